--- a/lab/commands/histories.py
+++ b/lab/commands/histories.py
@@ -5,9 +5,11 @@
 import sys
 from collections.abc import Callable, Iterable
 from concurrent.futures import ProcessPoolExecutor
+from pathlib import Path
 
 import click
 
+from cypressbeam.cli.parameters import FILE
 from lab.commands.parallel import BATCH, first_failure, silence_simulated_nodes
 
 Command = Callable[..., None]
@@ -175,3 +177,22 @@
         click.echo(f"seed {seed}: {text}")
     click.echo(f"{report.played} histories, {len(report.broken)} broken")
     sys.exit(3 if bool(report.broken) is not bool(fault) else 0)
+
+
+@click.command()
+@click.option("--jobs", default=8, show_default=True, help="Processes at once.")
+@click.option("--golden", type=FILE, help="A file with the digests that are expected.")
+@click.argument("names", nargs=-1)
+def traces(names: tuple[str, ...], golden: Path | None, jobs: int) -> None:
+    """Digests of all that fixed seeds of the simulations do, to see whether a change of the code changed its behaviour.
+
+    NAMES are simulations; without any, all. Exit code 3 if a digest differs from the expected one.
+    """
+    from lab import golden_traces
+
+    found = golden_traces.trace_all(names or tuple(golden_traces.SIMULATIONS), jobs)
+    click.echo("\n".join(found))
+    differing = golden_traces.differences(found, golden) if golden is not None else []
+    if differing:
+        click.echo("\n".join(["", "differ:", *differing]))
+    sys.exit(3 if differing else 0)
--- a/lab/hollow.py
+++ b/lab/hollow.py
@@ -13,7 +13,6 @@
 import json
 import math
 import os
-import random
 import re
 import resource
 import statistics
@@ -25,6 +24,7 @@
 from pathlib import Path
 
 from lab.hollow_nodes import MOST_LINE, Counts, Look, Task, read_io
+from lab.loopback_network import HOLLOW_NETWORKS, LoopbackNetwork
 from lab.membership import many_routes
 from lab.standins import Platform, Server
 from lab.system import CONTROL, PEERS, Machine, System
@@ -213,10 +213,9 @@
     return [f"hollow-{number + 1}", f"127.{net}.{1 + number // 200}.{1 + number % 200}", ZONES[number % len(ZONES)]]
 
 
-def tasks(plan: Plan, seeds: Sequence[Machine]) -> list[Task]:
-    """The hollow nodes, spread over the processes. No system that runs beside this one draws the same block."""
-    net = random.SystemRandom().randrange(16, 60)
-    places = [place_of(net, number) for number in range(plan.nodes)]
+def tasks(plan: Plan, seeds: Sequence[Machine], network: LoopbackNetwork) -> list[Task]:
+    """The hollow nodes, spread over the processes."""
+    places = [place_of(network.second_number, number) for number in range(plan.nodes)]
     return [Task(places[at::plan.processes], [[seed.ip, CONTROL] for seed in seeds], list(PEERS))
             for at in range(min(plan.processes, plan.nodes))]
 
@@ -427,6 +426,7 @@
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))  # for the processes that begin here
     load = os.getloadavg()[0]
+    network = LoopbackNetwork(HOLLOW_NETWORKS, third_numbers=range(1))
     platform = Platform(page=1000)
     await platform.listen()
     try:
@@ -439,10 +439,11 @@
             for machine in system.fronts:
                 await system.ready(machine)
             seeds = [machine for machine in system.machines if machine.core][:3]
-            processes = [await stack.enter_async_context(Process(task)) for task in tasks(plan, seeds)]
+            processes = [await stack.enter_async_context(Process(task)) for task in tasks(plan, seeds, network)]
             figures = await Run(plan, platform, system, processes).play()
     finally:
         platform.close()
+        network.close()
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
     figures.load_before, figures.load_after = load, os.getloadavg()[0]
     return figures
--- a/lab/system.py
+++ b/lab/system.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import os
-import random
 import shutil
 import signal
 import sys
@@ -14,6 +13,7 @@
 from pathlib import Path
 
 from cypressbeam.settings import VARIABLE
+from lab.loopback_network import SYSTEM_NETWORKS, LoopbackNetwork
 from mallowworks.discovery import Address, ListConnection
 
 #: Ports of a system's machines; each system draws its own network, so several run side by side.
@@ -66,10 +66,10 @@
     folder: Path = field(default_factory=lambda: Path(tempfile.mkdtemp(prefix="cypressbeam-")))
 
     def __post_init__(self) -> None:
-        net = f"127.{random.SystemRandom().randrange(64, 250)}.{random.SystemRandom().randrange(250)}"
+        self.network = LoopbackNetwork(SYSTEM_NETWORKS)
         names = [(f"core-{i + 1}", True, i) for i in range(self.cores)]
         names += [(f"edge-{i + 1}", False, i) for i in range(self.edges)]
-        self.machines = [Machine(name, f"{net}.{number + 1}", self.zones[i % len(self.zones)], core,
+        self.machines = [Machine(name, self.network.address(number + 1), self.zones[i % len(self.zones)], core,
                                  self.folder / name)
                          for number, (name, core, i) in enumerate(names)]
 
@@ -117,6 +117,7 @@
             if machine.process is not None:
                 await self.kill(machine)
         shutil.rmtree(self.folder, ignore_errors=True)
+        self.network.close()
 
 
 async def status_of(address: Address, path: str) -> int:
--- /dev/null
+++ b/tests/golden_state.py
@@ -0,0 +1,79 @@
+"""A state folder with a view, entries, digests of applied writes and marks of several members.
+
+`tests/data/state` was written by commit dd25593 with the steps of `write`; `tests/data/state.sql` holds its schema and
+rows, `tests/data/state.txt` what that commit loaded from it.
+"""
+
+from __future__ import annotations
+
+import re
+import shutil
+import sqlite3
+from dataclasses import replace
+from pathlib import Path
+
+from cypressbeam.chain import Entry, View
+from cypressbeam.marks import Marks
+from cypressbeam.store import Loaded, Store
+from lab.golden_traces import canonical
+from lab.membership import many_routes
+
+DATA = Path(__file__).with_name("data")
+CLOSE_S = 5.0
+
+
+async def close(store: Store) -> None:
+    """Wait until the store's thread has closed the file."""
+    store.close()
+    assert await store.closed(CLOSE_S)
+
+
+async def load(folder: Path) -> Loaded:
+    """What a store reads from a copy of a folder."""
+    copy = folder.with_name(f"{folder.name}-read")
+    shutil.copytree(folder, copy)
+    store = Store(copy)
+    loaded = await store.load()
+    await close(store)
+    return loaded
+
+
+async def write(folder: Path) -> None:
+    """Two starts of one machine: a view with five entries, then a later view with one more."""
+    store = Store(folder)
+    identity = (await store.load()).identity
+    names = (f"10.0.0.1/{identity}", "10.0.0.2/00aa11bb22cc", "10.0.0.3/00aa11bb22cd")
+    store.note({})
+    await store.save_view(View(256, names, names), None, {})
+    for number in range(1, 6):
+        marks = Marks(2, 123456789, 256, 256, number)
+        store.note({names[1]: marks, names[2]: Marks(1, 987654321, 256, 256, number - 1)})
+        await store.save_entry(Entry(number, 256, number * 3, (number - 1) * 3, many_routes(number * 3, 2)))
+    await store.save_promise(513)
+    await store.try_disk()
+    await close(store)
+    store = Store(folder)
+    loaded = await store.load()
+    last = loaded.last
+    assert last is not None
+    store.note({names[1]: Marks(3, 1234567890, 513, 256, 5), names[2]: Marks(1, 987654321, 256, 256, 5)})
+    view = View(513, (names[2], names[0]), names, last.number)
+    await store.save_view(view, replace(last, epoch=513), dict(loaded.taken))
+    await store.save_entry(Entry(6, 513, 20, 15, many_routes(20, 2)))
+    await close(store)
+
+
+def describe(loaded: Loaded) -> str:
+    """What was loaded, without what is drawn anew at each start."""
+    return canonical(replace(loaded, raised=replace(loaded.raised, draw=0)))
+
+
+def dump(file: Path) -> str:
+    """Schema and rows of a database, with one identity and one draw in place of those that were drawn."""
+    with sqlite3.connect(file) as database:
+        text = "\n".join(database.iterdump())
+        (identity,) = database.execute("select value from meta where key = 'identity'").fetchone()
+        (draw,) = database.execute("select value from meta where key = 'draw'").fetchone()
+        version = database.execute("pragma user_version").fetchone()
+    text = text.replace(identity, "<identity>").replace(str(draw), "<draw>")
+    return f"-- user_version {version[0]}\n" + re.sub(r"('tried',)X'[0-9A-F]+'", r"\1<bytes>", text) + "\n"
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import random
 import time
 
 import pytest
@@ -11,19 +10,21 @@
 
 from cypressbeam import frames
 from cypressbeam.peers import BULK, CONNECT_QUIET_S, SMALL, Peers
+from lab.loopback_network import LoopbackNetwork
 
 PAIRS, PORT = 4, 7655
 
 
 async def frames_that_come(lane: int, held_s: float) -> int:
     """Two nodes write to each other at once, again and again, while the loop is held up; how many frames come."""
-    net, came = f"127.{random.SystemRandom().randrange(2, 16)}", 0
+    network, came = LoopbackNetwork(), 0
 
     def take(*_: object) -> None:
         nonlocal came
         came += 1
     for pair in range(PAIRS):
-        nodes = [Peers(f"{net}.{pair}.{number}", PORT, take, lambda link: None, 1000.0) for number in (1, 2)]
+        addresses = [network.address(2 * pair + number) for number in (1, 2)]
+        nodes = [Peers(address, PORT, take, lambda link: None, 1000.0) for address in addresses]
         for node in nodes:
             await node.listen()
         links = [nodes[0].to(nodes[1].ip, lane), nodes[1].to(nodes[0].ip, lane)]
@@ -39,6 +40,7 @@
         await asyncio.sleep(0.05)
         for node in nodes:
             node.close()
+    network.close()
     return came
 
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -8,13 +8,13 @@
 import os
 import resource
 import signal
-import socket
 import sys
 from pathlib import Path
 from typing import Any
 
 import pytest
 
+from lab.loopback_network import LoopbackNetwork
 from mallowworks.__main__ import Sparing
 from mallowworks.config import OVERFLOW, ConfigError, flatten, read_config
 from mallowworks.http import Answer
@@ -92,6 +92,10 @@
     assert passes(1, 111.0) == "server s1 (6 lines like it left out)" and passes(1, 111.0) == "server s1"
 
 
+#: Of a node in a process of its own, at an address that nothing else has.
+NODE_PORT = 8000
+
+
 class Started:
     """A node in a process of its own."""
 
@@ -103,16 +107,15 @@
     async def start(self) -> None:
         await self.server.start()
         await self.agent.start()
-        with socket.socket() as probe:
-            probe.bind(("127.0.0.1", 0))
-            self.port = probe.getsockname()[1]
+        self.network = LoopbackNetwork()  # no other process can take the port at its address before the node does
+        self.host, self.port = self.network.address(1), NODE_PORT
         self.configure(self.agent.port)
         await self.again()
 
     def configure(self, discovery_port: int, **changes: Any) -> None:
         """Write the configuration file."""
         self.path.write_text(json.dumps({
-            "listen": f"127.0.0.1:{self.port}", "discovery": f"127.0.0.1:{discovery_port}", "seed": "1",
+            "listen": f"{self.host}:{self.port}", "discovery": f"127.0.0.1:{discovery_port}", "seed": "1",
             "limits": {"sockets": 1024} | self.limits, "known": listing(1, row(0, self.server.port)),
             "settings": SETTINGS} | changes))
 
@@ -130,7 +133,7 @@
             assert self.process.returncode is None
 
     async def client(self) -> Client:
-        return Client(*await asyncio.open_connection("127.0.0.1", self.port))
+        return Client(*await asyncio.open_connection(self.host, self.port))
 
     async def serves(self) -> None:
         client = await self.client()
