--- a/cypressbeam/admin/backup.py
+++ b/cypressbeam/admin/backup.py
@@ -23,8 +23,15 @@
     body = await read(where)
     told = await read_state(where)
     number = configuration.read(body).revision
-    data = cbor2.dumps({"format": BACKUP_FORMAT, "revision": number, "digest": configuration.digest(body),
-                        "epoch": told["epoch"], "body": body})
+    data = cbor2.dumps(
+        {
+            "format": BACKUP_FORMAT,
+            "revision": number,
+            "digest": configuration.digest(body),
+            "epoch": told["epoch"],
+            "body": body,
+        }
+    )
     write_whole(file, data)
     return f"revision {number} saved to {file}"
 
--- a/cypressbeam/admin/config_file.py
+++ b/cypressbeam/admin/config_file.py
@@ -36,18 +36,23 @@
         read = configuration.read(load(file))
     except Invalid as err:
         return {"invalid": str(err), "odd": [], "routes": []}
-    return {"invalid": None, "revision": read.revision, "odd": oddities(read),
-            "routes": [describe_route(channel) for channel in read.channels]}
+    return {
+        "invalid": None,
+        "revision": read.revision,
+        "odd": oddities(read),
+        "routes": [describe_route(channel) for channel in read.channels],
+    }
 
 
 def describe_route(channel: Channel) -> str:
     """Where a route leads, and how its requests are treated."""
     shares = channel.shares()
     total = sum(share.gain for share in shares)
-    leads = ", ".join(f"{share.plant} {share.gain / total:.0%}" if len(shares) > 1 else share.plant
-                      for share in shares)
-    return (f"{channel.host}{channel.prefix} -> {leads} ({channel.mode}, {channel.tries} tries, wanted in"
-            f" {channel.setpoint_ms:g} ms, given up after {channel.cutoff_ms:g} ms, rank {channel.rank})")
+    leads = ", ".join(f"{share.plant} {share.gain / total:.0%}" if len(shares) > 1 else share.plant for share in shares)
+    return (
+        f"{channel.host}{channel.prefix} -> {leads} ({channel.mode}, {channel.tries} tries, wanted in"
+        f" {channel.setpoint_ms:g} ms, given up after {channel.cutoff_ms:g} ms, rank {channel.rank})"
+    )
 
 
 def oddities(read: Configuration) -> list[str]:
@@ -58,11 +63,13 @@
     for channel in read.channels:
         where = f"channels[{channel.label}]"
         if channel.setpoint_ms > channel.cutoff_ms:
-            found.append(f"{where}: the aim of {channel.setpoint_ms:g} ms lies behind the end at"
-                         f" {channel.cutoff_ms:g} ms")
+            found.append(
+                f"{where}: the aim of {channel.setpoint_ms:g} ms lies behind the end at {channel.cutoff_ms:g} ms"
+            )
         elif channel.tries > 1 and channel.setpoint_ms > LATE_SETPOINT * channel.cutoff_ms:
-            found.append(f"{where}: an aim of {channel.setpoint_ms:g} of {channel.cutoff_ms:g} ms leaves little for a"
-                         " second try")
+            found.append(
+                f"{where}: an aim of {channel.setpoint_ms:g} of {channel.cutoff_ms:g} ms leaves little for a second try"
+            )
         if channel.mode != "idempotent" and channel.tries > 1:
             found.append(f"{where}: {channel.mode} requests are tried again only where they surely did not run")
         found += [f"{where}.allocation: {share.plant} has weight 0" for share in channel.allocation if share.gain == 0]
@@ -73,8 +80,13 @@
     """What `check` found, a line each."""
     if found["invalid"]:
         return f"invalid: {found['invalid']}"
-    return "\n".join([f"valid: revision {found['revision']}, {len(found['routes'])} routes",
-                      *(f"  {route}" for route in found["routes"]), *(f"odd: {line}" for line in found["odd"])])
+    return "\n".join(
+        [
+            f"valid: revision {found['revision']}, {len(found['routes'])} routes",
+            *(f"  {route}" for route in found["routes"]),
+            *(f"odd: {line}" for line in found["odd"]),
+        ]
+    )
 
 
 def flatten(value: Any, at: str = "") -> dict[str, Any]:
@@ -82,8 +94,10 @@
     if isinstance(value, dict):
         parts = [(str(key), item) for key, item in value.items()]
     elif isinstance(value, list):
-        parts = [(str(item.get("label", item.get("plant", number))) if isinstance(item, dict) else str(number), item)
-                 for number, item in enumerate(value)]
+        parts = [
+            (str(item.get("label", item.get("plant", number))) if isinstance(item, dict) else str(number), item)
+            for number, item in enumerate(value)
+        ]
     else:
         return {at: value}
     lines: dict[str, Any] = {}
--- a/cypressbeam/admin/membership.py
+++ b/cypressbeam/admin/membership.py
@@ -26,8 +26,9 @@
     answers = {member["ip"]: member for member in told["members"]}
     silent = dict(line.split(" ") for line in told["silent"])
     group, chain = told["group"], told["chain"]
-    lines = [f"epoch {told['epoch']}: {len(group)} members, {len(group) // 2 + 1} are a majority,"
-             f" {len(chain)} whole copies"]
+    lines = [
+        f"epoch {told['epoch']}: {len(group)} members, {len(group) // 2 + 1} are a majority, {len(chain)} whole copies"
+    ]
     for name in group:
         ip = ip_of(name)
         place = f"copy {chain.index(name) + 1} of {len(chain)}" if name in chain else "no copy that counts"
@@ -39,8 +40,9 @@
     return "\n".join([*lines, *describe_quorum_loss(told)])
 
 
-async def change_members(where: Address, change: str, old: str, new: str,
-                         tell: Callable[[str], None] = lambda line: None) -> dict[str, Any]:
+async def change_members(
+    where: Address, change: str, old: str, new: str, tell: Callable[[str], None] = lambda line: None
+) -> dict[str, Any]:
     """Add, remove or replace a member, by addresses, and wait until it is done; `tell` hears what it waits for. The
     order names the group that it was made for, so it is safe to send it again. Raises Refused, or TimeoutError."""
     told = await read_state(where)
--- a/cypressbeam/admin/status.py
+++ b/cypressbeam/admin/status.py
@@ -24,18 +24,22 @@
 def describe_state(told: dict[str, Any]) -> str:
     """A line for the node, one for the chain and one for each machine of the core."""
     node = told["node"]
-    lines = [f"node {node['name']} at {node['ip']}: revision {node['revision']}, {node['servers']} servers"
-             f" (list {node['list']}), news from {node['parent'] or 'itself'}, {node['fronts']} nodes carry traffic",
-             f"it has seen epoch {node['epoch']}, and the root's word "
-             + (f"{node['age_s']:.1f} s ago" if node["age_s"] is not None else "never"),
-             f"epoch {told['epoch']}, chain {' > '.join(told['chain']) or 'not known'}"]
+    lines = [
+        f"node {node['name']} at {node['ip']}: revision {node['revision']}, {node['servers']} servers"
+        f" (list {node['list']}), news from {node['parent'] or 'itself'}, {node['fronts']} nodes carry traffic",
+        f"it has seen epoch {node['epoch']}, and the root's word "
+        + (f"{node['age_s']:.1f} s ago" if node["age_s"] is not None else "never"),
+        f"epoch {told['epoch']}, chain {' > '.join(told['chain']) or 'not known'}",
+    ]
     for member in told["members"]:
         if not member["answers"]:
             lines.append(f"  {member['ip']:15} does not answer")
             continue
-        lines.append(f"  {member['ip']:15} epoch {member['epoch']}, revision {member['revision']},"
-                     f" lag {member['lag']}, {'active' if member['active'] else 'not active'},"
-                     f" disk {'works' if member['disk'] else 'refuses'}{', root' if member['root'] else ''}")
+        lines.append(
+            f"  {member['ip']:15} epoch {member['epoch']}, revision {member['revision']},"
+            f" lag {member['lag']}, {'active' if member['active'] else 'not active'},"
+            f" disk {'works' if member['disk'] else 'refuses'}{', root' if member['root'] else ''}"
+        )
     return "\n".join([*lines, *describe_quorum_loss(told)])
 
 
--- a/cypressbeam/agreement.py
+++ b/cypressbeam/agreement.py
@@ -101,6 +101,7 @@
 #: was a member, while it stood by.
 EMPTY, COUNTED, LEVEL = 0, 1, 2
 
+
 @dataclass(frozen=True, slots=True)
 class StartAnew:
     """This machine's disk is an older copy of itself: go on as another machine, with an empty disk."""
@@ -160,8 +161,14 @@
 class Keeper:
     """One machine with a disk: its part in agreeing on views, and its member of the chain."""
 
-    def __init__(self, name: str, copies: int, check: Callable[[bytes], int], digest: Callable[[bytes], bytes],
-                 jitter: Callable[[], float]) -> None:
+    def __init__(
+        self,
+        name: str,
+        copies: int,
+        check: Callable[[bytes], int],
+        digest: Callable[[bytes], bytes],
+        jitter: Callable[[], float],
+    ) -> None:
         self.name = name
         self.ip = ip_of(name)
         self.copies = copies
@@ -220,8 +227,9 @@
 
     # -- start ---------------------------------------------------------------------------------------------
 
-    def load(self, view: View | None, promised: int, last: Entry | None, taken: dict[int, bytes],
-             now_s: float) -> list[Action]:
+    def load(
+        self, view: View | None, promised: int, last: Entry | None, taken: dict[int, bytes], now_s: float
+    ) -> list[Action]:
         """What was on disk at the start."""
         self.promised, self.last, self.taken = promised, last, taken
         self.seen_epoch = promised
@@ -286,9 +294,14 @@
         """Up to when a majority of the group, this machine with it, is known to have been in reach both ways."""
         if self.view is None:
             return NEVER_S
-        times_s = [now_s if name == self.name else heard.at_s
-                   if (heard := self.heard.get(ip_of(name))) is not None and heard.name == name else NEVER_S
-                   for name in self.view.group]
+        times_s = [
+            now_s
+            if name == self.name
+            else heard.at_s
+            if (heard := self.heard.get(ip_of(name))) is not None and heard.name == name
+            else NEVER_S
+            for name in self.view.group
+        ]
         return sorted(times_s, reverse=True)[self.majority(self.view.group) - 1]
 
     def stands(self) -> bool:
@@ -307,8 +320,7 @@
             return False
         if not self.root:
             return self.leads(now_s)
-        return (now_s - self.root_s < ROOT_GRACE_S
-                and now_s - self.contact_s(now_s) <= DEAD_S + ROOT_ALONE_S)
+        return now_s - self.root_s < ROOT_GRACE_S and now_s - self.contact_s(now_s) <= DEAD_S + ROOT_ALONE_S
 
     def newcomers(self, now_s: float) -> dict[str, str]:
         """Machines of the group that came back as others, with empty disks: new names by old ones."""
@@ -374,9 +386,15 @@
         """Whether each member of the chain is known to have this view on disk. Nothing is undone by a later
         promise: activation only says what has been written."""
         assert self.view is not None
-        return all(name == self.name or ((heard := self.heard.get(ip_of(name))) is not None
-                                         and heard.name == name and heard.epoch == self.view.epoch)
-                   for name in self.view.chain)
+        return all(
+            name == self.name
+            or (
+                (heard := self.heard.get(ip_of(name))) is not None
+                and heard.name == name
+                and heard.epoch == self.view.epoch
+            )
+            for name in self.view.chain
+        )
 
     def pulse(self, now_s: float) -> list[Action]:
         self.pulse_due_s = now_s + PULSE_S
@@ -392,9 +410,20 @@
         epoch = self.member.view.epoch if self.member is not None else 0
         own = self.own_marks()
         disk = 1 + 2 * self.checks if self.offers_disk(now_s) else 0
-        return frames.Pulse(self.name, epoch, self.promised, disk, self.standing,
-                            self.next_number(now_s) if asks else 0, echo, own.incarnation, own.draw, own.promised,
-                            own.epoch, own.number)
+        return frames.Pulse(
+            self.name,
+            epoch,
+            self.promised,
+            disk,
+            self.standing,
+            self.next_number(now_s) if asks else 0,
+            echo,
+            own.incarnation,
+            own.draw,
+            own.promised,
+            own.epoch,
+            own.number,
+        )
 
     def next_number(self, now_s: float) -> int:
         for number in [number for number, at_s in self.sent.items() if now_s - at_s > DEAD_S + ROOT_ALONE_S]:
@@ -418,8 +447,9 @@
         at_s = self.echoed_s(frame, now_s)
         if before is not None and before.name == frame.name:
             at_s = max(at_s, before.at_s)
-        self.heard[ip] = Heard(frame.name, frame.epoch, frame.promised, bool(frame.disk), frame.standing, at_s,
-                               frame.held, frame.entry)
+        self.heard[ip] = Heard(
+            frame.name, frame.epoch, frame.promised, bool(frame.disk), frame.standing, at_s, frame.held, frame.entry
+        )
         if frame.disk:
             self.checks_of[ip] = frame.disk >> 1
         if self.shows_a_loss(frame):
@@ -493,8 +523,12 @@
         """Tell a member what it told before."""
         self.refused.add(name)
         known = self.marks[name]
-        return [Tell(ip_of(name), frames.StaleDisk(name, known.incarnation, known.draw, known.promised, known.epoch,
-                                                   known.number))]
+        return [
+            Tell(
+                ip_of(name),
+                frames.StaleDisk(name, known.incarnation, known.draw, known.promised, known.epoch, known.number),
+            )
+        ]
 
     def on_stale(self, frame: frames.StaleDisk, now_s: float) -> list[Action]:
         """Another one holds that this machine has told more. An old word of ours may have come late: then not."""
@@ -515,9 +549,11 @@
     def newer(self, now_s: float) -> int:
         """How many others are there that have more on their disks."""
         own = self.own_marks()
-        return sum(1 for heard in self.heard.values()
-                   if self.heard_lately(ip_of(heard.name), now_s)
-                   and (heard.held, heard.number) > (own.epoch, own.number))
+        return sum(
+            1
+            for heard in self.heard.values()
+            if self.heard_lately(ip_of(heard.name), now_s) and (heard.held, heard.number) > (own.epoch, own.number)
+        )
 
     def shows_a_loss(self, frame: frames.Pulse) -> bool:
         """Whether this disk must once have had more: within an epoch nobody has an entry that one before it in the
@@ -533,8 +569,14 @@
     def most_told(self) -> int:
         """The highest number that others of the chain have told in this epoch."""
         assert self.view is not None
-        return max((heard.number for heard in self.heard.values()
-                    if heard.name in self.view.chain and heard.held == self.view.epoch), default=0)
+        return max(
+            (
+                heard.number
+                for heard in self.heard.values()
+                if heard.name in self.view.chain and heard.held == self.view.epoch
+            ),
+            default=0,
+        )
 
     # -- mending -------------------------------------------------------------------------------------------
 
@@ -615,10 +657,27 @@
             return []
         view = self.view or View(0, (), ())
         entry = self.newest() or Entry(0, 0, 0, 0, b"")
-        return [Tell(proposer, frames.Promise(epoch, self.name, view.epoch, view.chain, view.group, entry.number,
-                                              entry.epoch, entry.revision, entry.base, entry.body,
-                                              digests.pack(self.all_taken(), self.promised_since),
-                                              self.own.incarnation, self.own.draw, self.own.epoch))]
+        return [
+            Tell(
+                proposer,
+                frames.Promise(
+                    epoch,
+                    self.name,
+                    view.epoch,
+                    view.chain,
+                    view.group,
+                    entry.number,
+                    entry.epoch,
+                    entry.revision,
+                    entry.base,
+                    entry.body,
+                    digests.pack(self.all_taken(), self.promised_since),
+                    self.own.incarnation,
+                    self.own.draw,
+                    self.own.epoch,
+                ),
+            )
+        ]
 
     def newest(self) -> Entry | None:
         return self.member.last if self.member is not None else self.last
@@ -661,8 +720,11 @@
             return []
         if proposal.sent or not proposal.enough_s:
             return []
-        missing = [name for name in proposal.group
-                   if name not in proposal.promises and self.present(name, now_s) and not self.empty(name, now_s)]
+        missing = [
+            name
+            for name in proposal.group
+            if name not in proposal.promises and self.present(name, now_s) and not self.empty(name, now_s)
+        ]
         if missing and now_s - proposal.enough_s < GATHER_S:
             return []
         return self.decide(proposal, now_s)
@@ -682,16 +744,33 @@
         best = newest_of(proposal.promises)
         proposal.sent = True
         taken = digests.merge(self.all_taken(), proposal.since, digests.unpack(best.taken))
-        return [Tell(ip_of(name), self.accept_for(proposal, name, tuple(members), group, best, taken))
-                for name in members]
-
-    def accept_for(self, proposal: Proposal, name: str, members: tuple[str, ...], group: tuple[str, ...],
-                   best: frames.Promise, taken: dict[int, bytes]) -> frames.Accept:
+        return [
+            Tell(ip_of(name), self.accept_for(proposal, name, tuple(members), group, best, taken)) for name in members
+        ]
+
+    def accept_for(
+        self,
+        proposal: Proposal,
+        name: str,
+        members: tuple[str, ...],
+        group: tuple[str, ...],
+        best: frames.Promise,
+        taken: dict[int, bytes],
+    ) -> frames.Accept:
         """To each the digests that it lacks: one with an empty disk has told of none."""
         promise = proposal.promises.get(name)
         since = promise.base if promise is not None else 0
-        return frames.Accept(proposal.epoch, members, group, best.number, best.revision, best.base, best.body,
-                             digests.pack(taken, since), since)
+        return frames.Accept(
+            proposal.epoch,
+            members,
+            group,
+            best.number,
+            best.revision,
+            best.base,
+            best.body,
+            digests.pack(taken, since),
+            since,
+        )
 
     def has_the_new_one(self, group: tuple[str, ...], chain: list[str]) -> bool:
         """Whether a machine whose address is new to the group has its place in the chain: it holds what counts before
@@ -769,11 +848,23 @@
         """What this machine holds, for an operator."""
         view = self.view or View(0, (), ())
         member, newest = self.member, self.newest()
-        flags = ((frames.ACTIVE if member is not None and member.active and not member.sealed else 0)
-                 | (frames.DISK_WORKS if self.disk_works(now_s) else 0) | (frames.ROOT if self.root else 0))
-        return frames.State(ident, self.name, view.epoch, view.chain, view.group, self.promised,
-                            newest.number if newest else 0, newest.revision if newest else 0,
-                            member.committed if member is not None else 0, flags)
+        flags = (
+            (frames.ACTIVE if member is not None and member.active and not member.sealed else 0)
+            | (frames.DISK_WORKS if self.disk_works(now_s) else 0)
+            | (frames.ROOT if self.root else 0)
+        )
+        return frames.State(
+            ident,
+            self.name,
+            view.epoch,
+            view.chain,
+            view.group,
+            self.promised,
+            newest.number if newest else 0,
+            newest.revision if newest else 0,
+            member.committed if member is not None else 0,
+            flags,
+        )
 
     # -- orders and reads ----------------------------------------------------------------------------------
 
@@ -809,11 +900,17 @@
         for action in actions:
             if isinstance(action, Sync):
                 self.writes.append(now_s)
-            if isinstance(action, Tell) and isinstance(action.frame, frames.Outcome) and (
-                    action.frame.status == INVALID and not self.judge_alike()):
+            if (
+                isinstance(action, Tell)
+                and isinstance(action.frame, frames.Outcome)
+                and (action.frame.status == INVALID and not self.judge_alike())
+            ):
                 done.append(Tell(action.ip, replace(action.frame, status=503, text=f"for now: {action.frame.text}")))
-            elif (isinstance(action, Tell) and isinstance(action.frame, frames.Outcome)
-                    and action.frame.status in REFUSALS):
+            elif (
+                isinstance(action, Tell)
+                and isinstance(action.frame, frames.Outcome)
+                and action.frame.status in REFUSALS
+            ):
                 done += self.confirm(action.frame.ident, action.ip, action.frame, now_s)
             else:
                 done.append(action)
@@ -822,8 +919,9 @@
     def judge_alike(self) -> bool:
         """Whether no member is known to judge configurations by another version of the check: it may be the head next,
         and take a late copy of what was refused here."""
-        return self.view is None or all(self.checks_of.get(ip_of(name), self.checks) == self.checks
-                                        for name in self.view.group)
+        return self.view is None or all(
+            self.checks_of.get(ip_of(name), self.checks) == self.checks for name in self.view.group
+        )
 
     def confirm(self, ident: int, origin: str, refusal: frames.Outcome | None, now_s: float) -> list[Action]:
         """Ask the group whether this epoch still holds, before something is answered."""
--- a/cypressbeam/blobs/fetcher.py
+++ b/cypressbeam/blobs/fetcher.py
@@ -135,9 +135,11 @@
         if fetch is None:
             return "nobody is asked for it"
         now_s = self.loop.time()
-        return (f"{len(fetch.got)} of {fetch.total} bytes, moved {now_s - fetch.moved_s:.1f} s ago, asked"
-                f" {now_s - fetch.asked_s:.1f} s ago, begun {now_s - fetch.began_s:.1f} s ago; sources"
-                f" {' '.join(fetch.sources)}")
+        return (
+            f"{len(fetch.got)} of {fetch.total} bytes, moved {now_s - fetch.moved_s:.1f} s ago, asked"
+            f" {now_s - fetch.asked_s:.1f} s ago, begun {now_s - fetch.began_s:.1f} s ago; sources"
+            f" {' '.join(fetch.sources)}"
+        )
 
     def ask(self, mark: bytes, fetch: Fetch) -> None:
         """Ask the first source for the next window."""
--- a/cypressbeam/blobs/link.py
+++ b/cypressbeam/blobs/link.py
@@ -31,9 +31,11 @@
     def of(cls, link_mbps: float, shared: bool) -> LinkRate:
         """Of a link that carries so many Mbit/s; `shared`: also clients' requests."""
         per_s = link_mbps * 1e6 / 8
-        return cls(int(min(max(per_s * SLICE_S, SLICE_BYTES[0]), SLICE_BYTES[1])),
-                   int(min(max(per_s * WINDOW_S, WINDOW_BYTES[0]), WINDOW_BYTES[1])),
-                   per_s * (LINK_SHARE if shared else FREE_SHARE))
+        return cls(
+            int(min(max(per_s * SLICE_S, SLICE_BYTES[0]), SLICE_BYTES[1])),
+            int(min(max(per_s * WINDOW_S, WINDOW_BYTES[0]), WINDOW_BYTES[1])),
+            per_s * (LINK_SHARE if shared else FREE_SHARE),
+        )
 
 
 class Connection(Protocol):
--- a/cypressbeam/blobs/server.py
+++ b/cypressbeam/blobs/server.py
@@ -42,7 +42,7 @@
 
     def on_want(self, link: Connection, frame: frames.Want) -> None:
         """A node wants a part of a body, and names what it has that might serve as a base."""
-        bases = [frame.bases[at:at + frames.DIGEST] for at in range(0, len(frame.bases), frames.DIGEST)]
+        bases = [frame.bases[at : at + frames.DIGEST] for at in range(0, len(frame.bases), frames.DIGEST)]
         key = (link, frame.mark)
         serving = self.serving.get(key)
         if serving is not None and serving.end == frame.at and serving.base == frame.bases:
@@ -61,8 +61,12 @@
             serving.base = next(both_have, b"")
         elif fetch is not None and fetch.total >= 0 and (not fetch.base or fetch.base in serving.bases):
             serving.base = fetch.base
-        if serving.base is not None and serving.at and serving.bases != [serving.base] and (
-                serving.base or serving.bases):
+        if (
+            serving.base is not None
+            and serving.at
+            and serving.bases != [serving.base]
+            and (serving.base or serving.bases)
+        ):
             serving.at, serving.end = 0, serving.end - serving.at
 
     def form(self, mark: bytes, base: bytes) -> tuple[bytes | bytearray, int] | None:
@@ -113,7 +117,7 @@
                     key[0].send(frames.Lacking(key[1]))
                 continue
             data, total = found
-            part = bytes(data[serving.at:min(serving.end, serving.at + self.rate.slice_bytes)])
+            part = bytes(data[serving.at : min(serving.end, serving.at + self.rate.slice_bytes)])
             if part:
                 return key, serving, part, total
         return None
--- a/cypressbeam/chain.py
+++ b/cypressbeam/chain.py
@@ -275,14 +275,23 @@
         self.sent_s = now_s
         ident, origin = self.asked[0] if self.asked else (0, "")
         entry = self.last
-        return [Tell(following, frames.Forward(self.view.epoch, entry.number, entry.revision, entry.base,
-                                               entry.body, ident, origin))]
+        return [
+            Tell(
+                following,
+                frames.Forward(self.view.epoch, entry.number, entry.revision, entry.base, entry.body, ident, origin),
+            )
+        ]
 
     def remind(self, ip: str, number: int) -> list[Action]:
         """The next one tells that it has entries up to this number only. What is committed was on its disk: it was
         told late, or its disk is an older copy, and then it needs the entry again."""
-        if self.last is None or not self.active or self.sealed or self.view.next(self.me) != ip or (
-                number >= self.committed or self.last.number != self.committed):
+        if (
+            self.last is None
+            or not self.active
+            or self.sealed
+            or self.view.next(self.me) != ip
+            or (number >= self.committed or self.last.number != self.committed)
+        ):
             return []
         entry = self.last
         return [Tell(ip, frames.Forward(self.view.epoch, entry.number, entry.revision, entry.base, entry.body, 0, ""))]
--- a/cypressbeam/cli/member.py
+++ b/cypressbeam/cli/member.py
@@ -20,8 +20,9 @@
 
 
 def change_members(where: Address, change: str, old: str, new: str, plain: bool) -> None:
-    done = run_call(membership.change_members(where, change, old, new,
-                                           lambda line: click.echo(f"waits: {line}", err=True)))
+    done = run_call(
+        membership.change_members(where, change, old, new, lambda line: click.echo(f"waits: {line}", err=True))
+    )
     click.echo(as_json(done) if plain else done["text"])
 
 
--- a/cypressbeam/configuration.py
+++ b/cypressbeam/configuration.py
@@ -13,7 +13,7 @@
 Mode = Literal["idempotent", "effectful", "ingest"]
 #: Between nodes and on disk a version's number has eight bytes, with a sign. Other whole numbers have the same bound:
 #: one of thousands of digits can't even be written as text.
-MOST_REVISION = MOST_WHOLE = 2 ** 63 - 1
+MOST_REVISION = MOST_WHOLE = 2**63 - 1
 #: The version of the check, up to 127: to be raised with each change of what is refused. While members of two versions
 #: are there, what is no valid configuration is left without a clear answer (docs/design/orders.md).
 CHECKS = 1
@@ -127,8 +127,10 @@
         raise Invalid(f"revision: 1 to {MOST_REVISION} is wanted")
     limits = configuration.constraints
     # Each by itself: what is no number compares with nothing, and would pass for the least of them.
-    if not all(0 < figure < math.inf for figure in (limits.header_max_bytes, limits.body_max_bytes,
-                                                    limits.header_wait_ms, limits.quiet_ms)):
+    if not all(
+        0 < figure < math.inf
+        for figure in (limits.header_max_bytes, limits.body_max_bytes, limits.header_wait_ms, limits.quiet_ms)
+    ):
         raise Invalid("constraints: each must be above 0, and a number")
     if max(limits.header_max_bytes, limits.body_max_bytes) > MOST_WHOLE:
         raise Invalid(f"constraints: at most {MOST_WHOLE} bytes")
--- a/cypressbeam/control.py
+++ b/cypressbeam/control.py
@@ -60,10 +60,15 @@
 class Control:
     """The application behind a control listener. `view` gives the chain's members, head first, as last known."""
 
-    def __init__(self, ip: str, view: Callable[[], tuple[str, ...]],
-                 send: Callable[[str, frames.Frame], None], survey: Survey,
-                 elsewhere: Callable[[], Address | None] = lambda: None,
-                 alone: Callable[[], bool] = lambda: False) -> None:
+    def __init__(
+        self,
+        ip: str,
+        view: Callable[[], tuple[str, ...]],
+        send: Callable[[str, frames.Frame], None],
+        survey: Survey,
+        elsewhere: Callable[[], Address | None] = lambda: None,
+        alone: Callable[[], bool] = lambda: False,
+    ) -> None:
         self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
         self.now_us = Clock()
         self.ip = ip
--- a/cypressbeam/core.py
+++ b/cypressbeam/core.py
@@ -70,8 +70,9 @@
 class Core:
     """A machine with a disk: its part in the core on real sockets and a real disk."""
 
-    def __init__(self, settings: Settings, relay: Relay, send: Callable[[str, frames.Frame], None],
-                 store: Storage) -> None:
+    def __init__(
+        self, settings: Settings, relay: Relay, send: Callable[[str, frames.Frame], None], store: Storage
+    ) -> None:
         self.settings = settings
         self.relay = relay
         self.send = send
@@ -139,8 +140,9 @@
     def take_up(self, loaded: Loaded) -> None:
         name = f"{self.settings.ip}/{loaded.identity}"
         self.relay.identity = name
-        self.keeper = Keeper(name, self.settings.machine_losses + 1, revision_of, configuration.digest,
-                             self.chance.random)
+        self.keeper = Keeper(
+            name, self.settings.machine_losses + 1, revision_of, configuration.digest, self.chance.random
+        )
         self.keeper.checks = configuration.CHECKS
         self.members = Members(self.keeper, self.settings.machine_losses)
         self.replacement = Replacement(self.members, self.settings.replace_after_s)
@@ -174,8 +176,12 @@
         """Whether a majority of the group is heard, and none of it holds a later view. Without that this machine names
         no root and hands out no news."""
         keeper, view, now_s = self.keeper, self.view, self.loop.time()
-        return (keeper is not None and view is not None and now_s - keeper.contact_s(now_s) <= DEAD_S
-                and all(heard.epoch <= view.epoch for heard in keeper.heard.values()))
+        return (
+            keeper is not None
+            and view is not None
+            and now_s - keeper.contact_s(now_s) <= DEAD_S
+            and all(heard.epoch <= view.epoch for heard in keeper.heard.values())
+        )
 
     def vouched(self) -> str:
         """The root as this machine may name it to others: with a majority in reach, and no later view promised or
@@ -220,8 +226,11 @@
         elif self.above_since_s is None:
             self.above_since_s = now_s
         elif now_s - self.above_since_s >= ABOVE_S and keeper.proposal is None:
-            log.warning("view %d is below epoch %d, which nodes have seen: a higher one is proposed", view.epoch,
-                        self.relay.epoch)
+            log.warning(
+                "view %d is below epoch %d, which nodes have seen: a higher one is proposed",
+                view.epoch,
+                self.relay.epoch,
+            )
             self.above_since_s = None
             keeper.seen_epoch = max(keeper.seen_epoch, self.relay.epoch)
             self.carry_out(keeper.propose(now_s))
@@ -245,11 +254,20 @@
         self.rooted_s = self.loop.time()
         self.relay.become_root(self.chance.getrandbits(63) | 1, self.view.epoch)
         self.roster = Roster(self.settings.node)
-        self.roster.join(frames.Join(self.settings.node, self.settings.ip, self.settings.zone, self.relay.flags, 1, "",
-                                     kbps=max(int(self.settings.link_mbps * 1000), 1)), self.rooted_s)
+        self.roster.join(
+            frames.Join(
+                self.settings.node,
+                self.settings.ip,
+                self.settings.zone,
+                self.relay.flags,
+                1,
+                "",
+                kbps=max(int(self.settings.link_mbps * 1000), 1),
+            ),
+            self.rooted_s,
+        )
         if self.settings.platform is not None:
-            self.poller = self.loop.create_task(Poller(self.settings.platform, self.take_list,
-                                                       self.chance).run())
+            self.poller = self.loop.create_task(Poller(self.settings.platform, self.take_list, self.chance).run())
         early, self.early = self.early, {}
         for link, join, came_s in early.values():
             if not link.closed and self.rooted_s - came_s <= EARLY_S:
@@ -314,8 +332,16 @@
     def ask_for(self, change: Change) -> None:
         """Send the head an order for a change of the group, as an operator would."""
         log.info("this machine leaves; the group is to be %s", " ".join(sorted(change.steps()[-1])))
-        self.on_core(frames.Change(self.chance.getrandbits(63), self.settings.ip, change.kind, change.old, change.new,
-                                   tuple(sorted(change.base))))
+        self.on_core(
+            frames.Change(
+                self.chance.getrandbits(63),
+                self.settings.ip,
+                change.kind,
+                change.old,
+                change.new,
+                tuple(sorted(change.base)),
+            )
+        )
 
     # -- upkeep --------------------------------------------------------------------------------------------
 
@@ -434,8 +460,10 @@
         """What this machine holds and whom it hears, for an operator."""
         spares = replacement.describe(frame.ident, now_s)
         silent = self.quorum.silences() or spares.silent
-        return [Tell(frame.origin, replace(spares, silent=silent)),
-                Tell(frame.origin, keeper.state(frame.ident, now_s))]
+        return [
+            Tell(frame.origin, replace(spares, silent=silent)),
+            Tell(frame.origin, keeper.state(frame.ident, now_s)),
+        ]
 
     # -- the roster and the list, at the root --------------------------------------------------------------
 
@@ -453,8 +481,11 @@
             log.info("node %s at %s joins", frame.name, frame.ip)
         self.roster.join(frame, self.loop.time(), self.relay.epoch)
         assert self.view is not None
-        link.send(self.roster.place(frame.name, self.relay.epoch, self.view.members, self.settings.ip, self.fronts(),
-                                    self.relay.group))
+        link.send(
+            self.roster.place(
+                frame.name, self.relay.epoch, self.view.members, self.settings.ip, self.fronts(), self.relay.group
+            )
+        )
 
     def on_suspect(self, name: str) -> None:
         """A watcher does not hear it. Where a link is full its datagrams are lost, so that alone says little: a node
--- a/cypressbeam/delta.py
+++ b/cypressbeam/delta.py
@@ -76,7 +76,7 @@
         at += RANGE.size
         if start + length > len(base) or at + new > len(plain):
             raise Broken("a range ends behind the bytes there are")
-        parts += [base[start:start + length], plain[at:at + new]]
+        parts += [base[start : start + length], plain[at : at + new]]
         at += new
         size += length + new
         if size > most:
--- a/cypressbeam/dispatch.py
+++ b/cypressbeam/dispatch.py
@@ -44,8 +44,9 @@
 }
 
 
-def dispatch(frame: frames.Frame, replica: Keeper, members: Members, replacement: Replacement,
-             now_s: float) -> Sequence[Action]:
+def dispatch(
+    frame: frames.Frame, replica: Keeper, members: Members, replacement: Replacement, now_s: float
+) -> Sequence[Action]:
     """What a message asks for; nothing where it is none of the core's. Raises FrameError."""
     handler = HANDLERS.get(type(frame))
     return handler(Rules(replica, members, replacement, now_s), frame) if handler is not None else ()
--- a/cypressbeam/distribution/configuration_replica.py
+++ b/cypressbeam/distribution/configuration_replica.py
@@ -95,8 +95,14 @@
 class ConfigurationReplica:
     """The newest configuration that is here, and the fetch of a newer one."""
 
-    def __init__(self, context: NodeContext, fence: EpochFence, tell: Callable[[frames.Frame], None],
-                 standing: Callable[[], int], parent_ip: Callable[[], str]) -> None:
+    def __init__(
+        self,
+        context: NodeContext,
+        fence: EpochFence,
+        tell: Callable[[frames.Frame], None],
+        standing: Callable[[], int],
+        parent_ip: Callable[[], str],
+    ) -> None:
         """`tell` sends to all children, `standing` is the epoch under which this node's own statements stand."""
         self.context = context
         self.fence = fence
@@ -155,8 +161,11 @@
     def announce(self, mark: bytes, before: int, former: bytes) -> None:
         """Tell children of the version that is here, in what it changes where that is little."""
         brief = self.store.brief(mark, former)
-        message = (frames.Update(self.revision, mark, former, brief, self.standing()) if brief
-                   else frames.News(self.revision, mark, self.standing()))
+        message = (
+            frames.Update(self.revision, mark, former, brief, self.standing())
+            if brief
+            else frames.News(self.revision, mark, self.standing())
+        )
         self.announced = Announced(message, before)
         if brief or mark != self.transfer.mark:  # otherwise children were told when it began to come
             self.tell(message)
@@ -217,6 +226,11 @@
         now_s = self.context.now_s()
         self.lag.begin(now_s)
         if self.lag.is_to_report(now_s):
-            log.warning("behind for %.1f s: version %d is here, %d is known of, %d in force; %s",
-                        now_s - self.lag.since_s, self.revision, self.newest[0], revision,
-                        self.fetcher.how(self.transfer.mark))
+            log.warning(
+                "behind for %.1f s: version %d is here, %d is known of, %d in force; %s",
+                now_s - self.lag.since_s,
+                self.revision,
+                self.newest[0],
+                revision,
+                self.fetcher.how(self.transfer.mark),
+            )
--- a/cypressbeam/distribution/feed.py
+++ b/cypressbeam/distribution/feed.py
@@ -14,8 +14,13 @@
 class Feed:
     """Serves the children; at the root it also makes the heartbeats."""
 
-    def __init__(self, position: TreePosition, children: Children, configuration: ConfigurationReplica,
-                 servers: ServerListReplica) -> None:
+    def __init__(
+        self,
+        position: TreePosition,
+        children: Children,
+        configuration: ConfigurationReplica,
+        servers: ServerListReplica,
+    ) -> None:
         self.position = position
         self.children = children
         self.configuration = configuration
@@ -67,7 +72,13 @@
         if not fence.vouched():
             self.children.tell(frames.Alive())
             return
-        beat = frames.Beat(listing.life, listing.seq, self.configuration.revision, self.position.registration.fronts,
-                           heartbeats.next_number(listing.life), fence.epoch)
+        beat = frames.Beat(
+            listing.life,
+            listing.seq,
+            self.configuration.revision,
+            self.position.registration.fronts,
+            heartbeats.next_number(listing.life),
+            fence.epoch,
+        )
         heartbeats.take(beat, self.position.context.now_s())
         self.pass_beat(beat)
--- a/cypressbeam/distribution/outlier_reports.py
+++ b/cypressbeam/distribution/outlier_reports.py
@@ -56,8 +56,9 @@
 
     def conclude(self, frame: frames.Ailing) -> None:
         """At the root: servers that fail for many are told down the tree."""
-        found = self.verdicts.report(frame.name, frame.zone, frame.servers, len(self.relay.listing.servers),
-                                     self.context.now_s())
+        found = self.verdicts.report(
+            frame.name, frame.zone, frame.servers, len(self.relay.listing.servers), self.context.now_s()
+        )
         if found:
             log.info("servers that fail for many of %s: %s", frame.zone, " ".join(found))
             self.relay.children.tell(frames.Verdict(frame.zone, tuple(found), self.relay.epoch))
--- a/cypressbeam/distribution/position.py
+++ b/cypressbeam/distribution/position.py
@@ -13,8 +13,15 @@
 class TreePosition:
     """What follows from the state of the parts; of its own it has only whether this node is the root."""
 
-    def __init__(self, context: NodeContext, fence: EpochFence, registration: Registration, locator: RootLocator,
-                 subscription: Subscription, heartbeats: Heartbeats) -> None:
+    def __init__(
+        self,
+        context: NodeContext,
+        fence: EpochFence,
+        registration: Registration,
+        locator: RootLocator,
+        subscription: Subscription,
+        heartbeats: Heartbeats,
+    ) -> None:
         self.context = context
         self.fence = fence
         self.registration = registration
--- a/cypressbeam/distribution/registration.py
+++ b/cypressbeam/distribution/registration.py
@@ -63,8 +63,18 @@
         heartbeat."""
         settings = self.context.settings
         flags = self.flags | (frames.SLOW if self.lag.slow() else 0)
-        return frames.Join(settings.node, settings.ip, settings.zone, flags, int(self.assignment is not None),
-                           self.lost, self.identity, max(int(settings.link_mbps * 1000), 1), epoch, given)
+        return frames.Join(
+            settings.node,
+            settings.ip,
+            settings.zone,
+            flags,
+            int(self.assignment is not None),
+            self.lost,
+            self.identity,
+            max(int(settings.link_mbps * 1000), 1),
+            epoch,
+            given,
+        )
 
     def expires(self, now_s: float) -> bool:
         """Whether the registration is to be renewed."""
--- a/cypressbeam/distribution/root_locator.py
+++ b/cypressbeam/distribution/root_locator.py
@@ -16,8 +16,14 @@
 class RootLocator:
     """The root's address, as far as it is known, and the search for it."""
 
-    def __init__(self, context: NodeContext, fence: EpochFence, registration: Registration,
-                 ask: Callable[[str], None], resume: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        context: NodeContext,
+        fence: EpochFence,
+        registration: Registration,
+        ask: Callable[[str], None],
+        resume: Callable[[], None],
+    ) -> None:
         """`ask` sends the registration to an address; `resume` is called when the search may go on."""
         self.context = context
         self.fence = fence
--- a/cypressbeam/early.py
+++ b/cypressbeam/early.py
@@ -17,8 +17,9 @@
     can't be done: what is wrong then is told by those who read the settings in full and listen in the usual way."""
     try:
         with open(environ["CYPRESSBEAM_BOOT"], encoding="utf-8") as lines:
-            (place,) = [line.partition("=")[2].strip() for line in lines
-                        if line.partition("=")[0].strip() == "listeners.front"]
+            (place,) = [
+                line.partition("=")[2].strip() for line in lines if line.partition("=")[0].strip() == "listeners.front"
+            ]
         host, _, port = place.rpartition(":")
         return listen(host, int(port))
     except (KeyError, OSError, ValueError, OverflowError):
--- a/cypressbeam/frames/codec.py
+++ b/cypressbeam/frames/codec.py
@@ -34,8 +34,9 @@
 
     def pack(self) -> bytes:
         """The frame with its header, as it goes onto a stream."""
-        body = b"".join(_pack(form, getattr(self, field.name))
-                        for form, field in zip(self.FORM, fields(self), strict=True))
+        body = b"".join(
+            _pack(form, getattr(self, field.name)) for form, field in zip(self.FORM, fields(self), strict=True)
+        )
         return HEAD.pack(len(body), self.KIND) + body
 
     @classmethod
@@ -94,7 +95,7 @@
     at += size.size
     if at + length > len(data):
         raise FrameError("a field ends behind the frame")
-    part = data[at:at + length]
+    part = data[at : at + length]
     return (part.decode() if form == "s" else part), at + length
 
 
@@ -117,7 +118,7 @@
 
 
 def _unpack_digest(data: bytes, at: int) -> tuple[bytes, int]:
-    mark = data[at:at + DIGEST]
+    mark = data[at : at + DIGEST]
     if len(mark) < DIGEST:
         raise FrameError("a digest ends behind the frame")
     return (mark if any(mark) else b""), at + DIGEST
--- a/cypressbeam/frames/registry.py
+++ b/cypressbeam/frames/registry.py
@@ -24,11 +24,50 @@
 from cypressbeam.frames.validation import FrameError
 
 FRAMES: dict[int, type[Frame]] = {
-    kind.KIND: kind for kind in (Join, Refer, Place, Attach, News, Servers, Beat, Suspect, Leave, Order, Outcome,
-                                 Forward, Committed, Read, Reading, Found, Founded, Pulse, ViewIs, Prepare,
-                                 Promise, Accept, Confirm, Confirmed, Ask, State, Want, Slice, Lacking, Released,
-                                 Alive, Ailing, Verdict, Change, Progress, Level, Levelled, StandingBy,
-                                 Update, StaleDisk)}
+    kind.KIND: kind
+    for kind in (
+        Join,
+        Refer,
+        Place,
+        Attach,
+        News,
+        Servers,
+        Beat,
+        Suspect,
+        Leave,
+        Order,
+        Outcome,
+        Forward,
+        Committed,
+        Read,
+        Reading,
+        Found,
+        Founded,
+        Pulse,
+        ViewIs,
+        Prepare,
+        Promise,
+        Accept,
+        Confirm,
+        Confirmed,
+        Ask,
+        State,
+        Want,
+        Slice,
+        Lacking,
+        Released,
+        Alive,
+        Ailing,
+        Verdict,
+        Change,
+        Progress,
+        Level,
+        Levelled,
+        StandingBy,
+        Update,
+        StaleDisk,
+    )
+}
 
 
 def unpack(kind: int, body: bytes) -> Frame:
--- a/cypressbeam/gate.py
+++ b/cypressbeam/gate.py
@@ -63,9 +63,14 @@
 def request_class(channel: Channel) -> it.RequestClass:
     """What a route asks for, in the balancer's words. Rank 0 is the highest: each further one is worth half."""
     return it.RequestClass(
-        kind_of(channel), MODES[channel.mode], aim_us=max(int(channel.setpoint_ms * 1000), 1),
-        deadline_us=max(int(channel.cutoff_ms * 1000), 1), worth=2.0 ** -min(channel.rank, 8),
-        late_worth=0.3 * 2.0 ** -min(channel.rank, 8), tries=max(channel.tries, 1))
+        kind_of(channel),
+        MODES[channel.mode],
+        aim_us=max(int(channel.setpoint_ms * 1000), 1),
+        deadline_us=max(int(channel.cutoff_ms * 1000), 1),
+        worth=2.0 ** -min(channel.rank, 8),
+        late_worth=0.3 * 2.0 ** -min(channel.rank, 8),
+        tries=max(channel.tries, 1),
+    )
 
 
 def balancer_settings(channels: list[Channel], settings: Settings, fronts: int, index: int) -> it.Settings:
@@ -73,12 +78,23 @@
     envelope: Envelope = settings.envelope
     classes = {kind_of(channel): request_class(channel) for channel in channels}
     return it.Settings(
-        classes=tuple(classes.values()), proxies=max(fronts, 1), me=min(index, max(fronts, 1) - 1),
-        zone=settings.zone, may_cancel=True, retry_advice=True, max_advice_us=MOST_ADVICE_US,
-        weights=it.WeightMeaning.SIZE, reports=("queue", "in_flight"),
-        prices=it.Prices(cross_zone=CROSSING), cold_share=COLD_SHARE, cold_us=COLD_US, fall_multiple=1e6,
+        classes=tuple(classes.values()),
+        proxies=max(fronts, 1),
+        me=min(index, max(fronts, 1) - 1),
+        zone=settings.zone,
+        may_cancel=True,
+        retry_advice=True,
+        max_advice_us=MOST_ADVICE_US,
+        weights=it.WeightMeaning.SIZE,
+        reports=("queue", "in_flight"),
+        prices=it.Prices(cross_zone=CROSSING),
+        cold_share=COLD_SHARE,
+        cold_us=COLD_US,
+        fall_multiple=1e6,
         retry_share=RATIO_USED * envelope.retry_ratio,
-        retry_burst=SLACK_USED * envelope.retry_slack / max(fronts, 1), retry_from_empty=True)
+        retry_burst=SLACK_USED * envelope.retry_slack / max(fronts, 1),
+        retry_from_empty=True,
+    )
 
 
 class Sizes:
@@ -103,14 +119,16 @@
     def __init__(self, settings: Settings, now_us: Callable[[], int] | None = None) -> None:
         usable = settings.file_handles - SPARE_DESCRIPTORS
         self.client_connections = max(1, int(usable * CLIENT_SHARE))
-        super().__init__(GATE, CONNECT_TIMEOUT_US, IDLE_US, max(1, usable - self.client_connections), MOST_ANSWER,
-                         now_us)
+        super().__init__(
+            GATE, CONNECT_TIMEOUT_US, IDLE_US, max(1, usable - self.client_connections), MOST_ANSWER, now_us
+        )
         self.settings = settings
         self.chance = random.Random()
         self.table: Table | None = None
         usual = Constraints()  # until there is a configuration: bodies are not to be refused that it would allow
-        self.limits = Limits(body_bytes=usual.body_max_bytes, body_renews=True,
-                             held_bytes=int(settings.memory_mb * HELD_SHARE * 1e6))
+        self.limits = Limits(
+            body_bytes=usual.body_max_bytes, body_renews=True, held_bytes=int(settings.memory_mb * HELD_SHARE * 1e6)
+        )
         self.desks: dict[str, Desk] = {}
         self.sizes = Sizes()
         self.servers: dict[str, listing.Server] = {}
@@ -171,8 +189,9 @@
             if server.ident not in self.started_us:
                 warm_us = server.warmup_ms * 1000
                 self.started_us[server.ident] = now_us + warm_us - COLD_US if warm_us else 0
-            self.upstream.place(server.ident, server.address, self.started_us[server.ident],
-                                server.state == listing.IN_SERVICE)
+            self.upstream.place(
+                server.ident, server.address, self.started_us[server.ident], server.state == listing.IN_SERVICE
+            )
         self.servers = dict(servers)
         for service in touched:
             self.tell_servers(service)
@@ -182,11 +201,16 @@
         if desk is None:
             return
         entries = tuple(
-            it.ServerEntry(server.ident, zone=server.zone, weight=float(server.capacity),
-                           state=(it.ServerState.ACTIVE if server.state == listing.IN_SERVICE
-                                  else it.ServerState.DRAINING),
-                           started_us=self.started_us[server.ident])
-            for server in self.servers.values() if server.plant == service)
+            it.ServerEntry(
+                server.ident,
+                zone=server.zone,
+                weight=float(server.capacity),
+                state=(it.ServerState.ACTIVE if server.state == listing.IN_SERVICE else it.ServerState.DRAINING),
+                started_us=self.started_us[server.ident],
+            )
+            for server in self.servers.values()
+            if server.plant == service
+        )
         desk.feed(it.ListChanged(self.version, it.ListScope.WHOLE, entries))
 
     def take_verdict(self, servers: Iterable[str]) -> None:
@@ -199,8 +223,9 @@
 
     # -- requests ------------------------------------------------------------------------------------------
 
-    def attempt_ended(self, attempt: Attempt, ending: it.Ending, answer: Answer | None,
-                      report: it.Report | None) -> None:
+    def attempt_ended(
+        self, attempt: Attempt, ending: it.Ending, answer: Answer | None, report: it.Report | None
+    ) -> None:
         if ending in SERVERS_FAULTS:
             self.on_fault(attempt.server)
         super().attempt_ended(attempt, ending, answer, report)
@@ -217,13 +242,25 @@
         if self.knows(ident):
             raise BadRequest(400, f"Attempt-Id: {ident} is still in hand")
         service = route.choose(self.chance)
-        arrived = it.RequestArrived(ident, route.kind, self.give_up_at(message, found, route),
-                                    is_heavy=len(message.body) >= HEAVY_BYTES,
-                                    crossing=self.sizes.crossing(route.kind, len(message.body)))
+        arrived = it.RequestArrived(
+            ident,
+            route.kind,
+            self.give_up_at(message, found, route),
+            is_heavy=len(message.body) >= HEAVY_BYTES,
+            crossing=self.sizes.crossing(route.kind, len(message.body)),
+        )
         connection.request = ident
-        self.take(Request(self.desks[service], arrived, pass_on(message, named, GATE), message.body,
-                          connection.respond, MODES[route.channel.mode] is it.Repeat.SAFE,
-                          Asked(message.method == b"HEAD", b"range" in found)))
+        self.take(
+            Request(
+                self.desks[service],
+                arrived,
+                pass_on(message, named, GATE),
+                message.body,
+                connection.respond,
+                MODES[route.channel.mode] is it.Repeat.SAFE,
+                Asked(message.method == b"HEAD", b"range" in found),
+            )
+        )
         return None
 
     def give_up_at(self, message: Message, found: dict[bytes, bytes], route: Route) -> int:
--- a/cypressbeam/list_poller.py
+++ b/cypressbeam/list_poller.py
@@ -47,8 +47,7 @@
         servers: list[Server] = []
         token: str | None = ""
         while token is not None:
-            answer = await connection.get("/servers" + (f"?pageToken={quote(token)}" if token else ""),
-                                          POLL_TIMEOUT_S)
+            answer = await connection.get("/servers" + (f"?pageToken={quote(token)}" if token else ""), POLL_TIMEOUT_S)
             if answer.status == 429:
                 await asyncio.sleep(self.chance.uniform(*POLL_AGAIN_S))
                 continue
--- a/cypressbeam/listing.py
+++ b/cypressbeam/listing.py
@@ -57,9 +57,15 @@
 
 
 def read_server(listed: Listed) -> Server:
-    return Server(listed.id, listed.plant, read_address(listed.address), listed.zone,
-                  min(max(listed.capacity, 1), 65535), STATES.get(listed.state, DRAINING),
-                  min(max(int(listed.warmup_left_ms), 0), 2**32 - 1))
+    return Server(
+        listed.id,
+        listed.plant,
+        read_address(listed.address),
+        listed.zone,
+        min(max(listed.capacity, 1), 65535),
+        STATES.get(listed.state, DRAINING),
+        min(max(int(listed.warmup_left_ms), 0), 2**32 - 1),
+    )
 
 
 def pack_rows(servers: list[Server]) -> bytes:
@@ -97,13 +103,12 @@
             texts = []
             for _ in range(3):
                 length = data[at]
-                texts.append(data[at + 1:at + 1 + length].decode())
+                texts.append(data[at + 1 : at + 1 + length].decode())
                 at += 1 + length
             if at > len(data):
                 raise frames.FrameError("a row ends behind the frame")
             ident, plant, zone = texts
-            servers.append(Server(ident, plant, (".".join(map(str, host)), port), zone, capacity, state,
-                                  warmup_ms))
+            servers.append(Server(ident, plant, (".".join(map(str, host)), port), zone, capacity, state, warmup_ms))
     except (struct.error, IndexError, UnicodeDecodeError) as err:
         raise frames.FrameError(f"rows: {err}") from None
     return servers
--- a/cypressbeam/marks.py
+++ b/cypressbeam/marks.py
@@ -31,10 +31,12 @@
 
     def behind(self, told: Marks) -> bool:
         """Whether a disk that has this lacks something of what its machine has told."""
-        return (self.incarnation < told.incarnation
-                or (self.incarnation == told.incarnation and self.draw != told.draw)
-                or self.promised < told.promised
-                or (self.epoch, self.number) < (told.epoch, told.number))
+        return (
+            self.incarnation < told.incarnation
+            or (self.incarnation == told.incarnation and self.draw != told.draw)
+            or self.promised < told.promised
+            or (self.epoch, self.number) < (told.epoch, told.number)
+        )
 
 
 #: Of a machine that has told nothing.
--- a/cypressbeam/members.py
+++ b/cypressbeam/members.py
@@ -155,8 +155,11 @@
         if view is None:
             return {}
         members = {ip_of(name) for name in view.group}
-        return {ip: heard.name for ip, heard in self.keeper.heard.items()
-                if ip not in members and heard.disk and self.keeper.heard_lately(ip, now_s)}
+        return {
+            ip: heard.name
+            for ip, heard in self.keeper.heard.items()
+            if ip not in members and heard.disk and self.keeper.heard_lately(ip, now_s)
+        }
 
     def heads(self, now_s: float) -> bool:
         """Whether the next step of a change is this machine's to make."""
@@ -220,9 +223,24 @@
             return []
         self.told_level_s[ip] = now_s
         entry = keeper.newest() or Entry(0, 0, 0, 0, b"")
-        return [Tell(ip, frames.Level(keeper.heard[ip].name, keeper.ip, view.epoch, view.chain, view.group,
-                                      entry.number, entry.epoch, entry.revision, entry.base, entry.body,
-                                      digests.pack(keeper.all_taken()) if first else b""))]
+        return [
+            Tell(
+                ip,
+                frames.Level(
+                    keeper.heard[ip].name,
+                    keeper.ip,
+                    view.epoch,
+                    view.chain,
+                    view.group,
+                    entry.number,
+                    entry.epoch,
+                    entry.revision,
+                    entry.base,
+                    entry.body,
+                    digests.pack(keeper.all_taken()) if first else b"",
+                ),
+            )
+        ]
 
     def on_level(self, frame: frames.Level, now_s: float) -> list[Action]:
         """At the stand-by, once the body is here. The view goes to disk if there is none yet: from then on this machine
@@ -242,8 +260,7 @@
 
     def on_levelled(self, frame: frames.Levelled) -> list[Action]:
         newest = self.keeper.newest()
-        wrong = (newest is not None and frame.number == newest.number
-                 and frame.mark != self.keeper.digest(newest.body))
+        wrong = newest is not None and frame.number == newest.number and frame.mark != self.keeper.digest(newest.body)
         if not wrong:
             self.levelled[frame.name] = frame.number
         return []
--- a/cypressbeam/node.py
+++ b/cypressbeam/node.py
@@ -71,17 +71,22 @@
 
 
 class GatewayNode:
-    def __init__(self, settings: Settings, store: Storage | None = None,
-                 listening: socket.socket | None = None) -> None:
+    def __init__(
+        self, settings: Settings, store: Storage | None = None, listening: socket.socket | None = None
+    ) -> None:
         """A machine that has a folder for state keeps it there, or in the given place. Clients may be waiting at a
         socket that listens already."""
         self.loop = asyncio.get_running_loop()
         self.settings = settings
         self.listening = listening
-        flags = ((frames.FRONT if settings.front else 0) | (frames.QUORUM if settings.quorum_member else 0)
-                 | (frames.BOOTSTRAP if settings.bootstrap else 0))
-        self.peers = Peers(settings.ip, settings.peer_port, self.on_frame, self.on_lost, settings.link_mbps,
-                           settings.front is not None)
+        flags = (
+            (frames.FRONT if settings.front else 0)
+            | (frames.QUORUM if settings.quorum_member else 0)
+            | (frames.BOOTSTRAP if settings.bootstrap else 0)
+        )
+        self.peers = Peers(
+            settings.ip, settings.peer_port, self.on_frame, self.on_lost, settings.link_mbps, settings.front is not None
+        )
         self.relay = Relay(settings, self.peers, flags)
         self.relay.configuration.on_committed = self.take_configuration
         self.relay.servers.on_change = self.take_servers
@@ -92,16 +97,16 @@
         if settings.state_dir is not None:
             self.core = Core(settings, self.relay, self.peers.send, store or Store(settings.state_dir))
         self.survey = Survey(settings.ip, self.members, self.tell, self.peers.send)
-        self.control = Control(settings.ip, self.members, self.peers.send, self.survey, self.better_reader,
-                               self.alone)
+        self.control = Control(settings.ip, self.members, self.peers.send, self.survey, self.better_reader, self.alone)
         self.founding: Founding | None = None
         self.outliers = OutlierReports(self.relay.context, self.relay, self.take_outliers)
         if self.gate is not None and settings.share_faults:
             self.gate.on_fault = self.outliers.note_fault
         self.frontends: list[Frontend] = []
         self.tasks: set[asyncio.Task[None]] = set()
-        self.handlers = (self.relay.handlers() | self.outliers.handlers() | self.node_handlers()
-                         | self.root_handlers(self.core))
+        self.handlers = (
+            self.relay.handlers() | self.outliers.handlers() | self.node_handlers() | self.root_handlers(self.core)
+        )
 
     def make_gate(self) -> Gate | None:
         return Gate(self.settings) if self.settings.front else None
@@ -119,8 +124,9 @@
         else:
             self.begin_founding()
         if settings.control is not None:
-            await self.listen(Frontend(self.control, control.MOST_CONNECTIONS, OVERFLOW, control.LIMITS),
-                              settings.control)
+            await self.listen(
+                Frontend(self.control, control.MOST_CONNECTIONS, OVERFLOW, control.LIMITS), settings.control
+            )
         if self.gate is not None and settings.front is not None:
             self.listening = self.listening or early.listen(*settings.front)
             frontend = Frontend(self.gate, self.gate.client_connections, OVERFLOW, self.gate.limits)
@@ -160,8 +166,9 @@
             for frontend in self.frontends:
                 frontend.stop_accepting()
             # Also requests that are still coming in: on a thin link a body takes a second.
-            while ((self.gate.requests or any(frontend.owes() for frontend in self.frontends))
-                   and self.loop.time() < ends_s):
+            while (
+                self.gate.requests or any(frontend.owes() for frontend in self.frontends)
+            ) and self.loop.time() < ends_s:
                 await asyncio.sleep(0.02)
             for request in [*self.gate.requests.values()]:
                 self.gate.time_is_up(request)
@@ -257,12 +264,21 @@
     def tell(self) -> dict[str, Any]:
         """This node for an operator, in what JSON can hold."""
         relay, settings = self.relay, self.settings
-        return {"name": settings.node, "ip": settings.ip, "zone": settings.zone,
-                "parent": relay.parent.ip if relay.parent is not None else None, "is_root": relay.is_root,
-                "children": len(relay.children), "revision": relay.revision, "servers": len(relay.listing.servers),
-                "list": relay.listing.seq, "fronts": relay.fronts, "epoch": relay.epoch,
-                "age_s": relay.position.age_s(),
-                "ready": self.gate.can_serve() if self.gate is not None else None}
+        return {
+            "name": settings.node,
+            "ip": settings.ip,
+            "zone": settings.zone,
+            "parent": relay.parent.ip if relay.parent is not None else None,
+            "is_root": relay.is_root,
+            "children": len(relay.children),
+            "revision": relay.revision,
+            "servers": len(relay.listing.servers),
+            "list": relay.listing.seq,
+            "fronts": relay.fronts,
+            "epoch": relay.epoch,
+            "age_s": relay.position.age_s(),
+            "ready": self.gate.can_serve() if self.gate is not None else None,
+        }
 
     def take_configuration(self, revision: int, body: bytes) -> None:
         if self.gate is not None:
--- a/cypressbeam/peers.py
+++ b/cypressbeam/peers.py
@@ -107,7 +107,7 @@
                 return
             if len(self.buffer) < end:
                 return
-            body = bytes(self.buffer[frames.HEAD.size:end])
+            body = bytes(self.buffer[frames.HEAD.size : end])
             del self.buffer[:end]
             self.take(kind, body)
 
@@ -119,8 +119,9 @@
             self.close()
             return
         if mark := frame.body_field():
-            self.peers.blobs.fetcher.need(mark, self.ip, lambda whole: self.hand(replace(cast(Any, frame), body=whole)),
-                                   key=(kind, body))
+            self.peers.blobs.fetcher.need(
+                mark, self.ip, lambda whole: self.hand(replace(cast(Any, frame), body=whole)), key=(kind, body)
+            )
         else:
             self.hand(frame)
 
@@ -175,8 +176,15 @@
 class Peers:
     """All connections to other nodes."""
 
-    def __init__(self, ip: str, port: int, on_frame: Callable[[Link, frames.Frame], None],
-                 on_lost: Callable[[Link], None], link_mbps: float, shared: bool = True) -> None:
+    def __init__(
+        self,
+        ip: str,
+        port: int,
+        on_frame: Callable[[Link, frames.Frame], None],
+        on_lost: Callable[[Link], None],
+        link_mbps: float,
+        shared: bool = True,
+    ) -> None:
         """`shared`: the link also carries clients' requests."""
         self.loop = asyncio.get_running_loop()
         self.ip = ip
@@ -256,8 +264,9 @@
                     if not bulk or len(knocks) < KNOCKS:
                         self.knock(link, knocks)
                     pending = [task for task in knocks if not task.done()]
-                    await asyncio.wait(pending, timeout=KNOCK_S * len(knocks) if bulk else KNOCK_S,
-                                       return_when=asyncio.FIRST_COMPLETED)
+                    await asyncio.wait(
+                        pending, timeout=KNOCK_S * len(knocks) if bulk else KNOCK_S, return_when=asyncio.FIRST_COMPLETED
+                    )
                     for task in knocks:
                         if task.done() and link.transport is None:
                             task.result()  # raises what it failed of
@@ -274,8 +283,9 @@
     def knock(self, link: Link, knocks: dict[asyncio.Task[Any], Knock]) -> None:
         knock = Knock()
         # From the node's own address: the other side knows nodes by it, also on machines with several.
-        task = self.loop.create_task(self.loop.create_connection(
-            lambda: knock, link.ip, self.port, local_addr=(self.ip, 0)))
+        task = self.loop.create_task(
+            self.loop.create_connection(lambda: knock, link.ip, self.port, local_addr=(self.ip, 0))
+        )
         task.add_done_callback(lambda done: self.knocked(link, done))
         knocks[task] = knock
 
--- a/cypressbeam/quorum_loss.py
+++ b/cypressbeam/quorum_loss.py
@@ -63,12 +63,14 @@
     def lines(self) -> list[str]:
         """For an operator: what is seen, what that means, and what to do."""
         gone = ", ".join(one.text() for one in self.missing)
-        return [f"no majority of the core: {len(self.here)} of {self.members} members are there, {self.majority} are"
-                f" needed; missing: {gone}",
-                "orders, reads and changes of members get 503; nodes serve on with the configuration and the list that"
-                " they have",
-                "the way out: bring back enough of these members with their disks, at their addresses; if their disks"
-                f" are gone for ever, make a new core from a saved copy: {PAGE}, \"{SECTION}\""]
+        return [
+            f"no majority of the core: {len(self.here)} of {self.members} members are there, {self.majority} are"
+            f" needed; missing: {gone}",
+            "orders, reads and changes of members get 503; nodes serve on with the configuration and the list that"
+            " they have",
+            "the way out: bring back enough of these members with their disks, at their addresses; if their disks"
+            f' are gone for ever, make a new core from a saved copy: {PAGE}, "{SECTION}"',
+        ]
 
 
 def absence(name: str, heard: Mapping[str, str], refused: Collection[str]) -> Absence:
@@ -77,14 +79,18 @@
     return Absence.NEW_DISK if heard.get(ip_of(name), name) != name else Absence.SILENT
 
 
-def judge(group: Collection[str], heard: Mapping[str, str], silent_s: Mapping[str, float],
-          refused: Collection[str] = ()) -> QuorumLoss | None:
+def judge(
+    group: Collection[str], heard: Mapping[str, str], silent_s: Mapping[str, float], refused: Collection[str] = ()
+) -> QuorumLoss | None:
     """The statement on a group (names). `heard` gives who is there, by address, under which name; `silent_s` for how
     long members have been missing, by address, as far as that is known; `refused` names those whose disks are older
     than what they told."""
     here = tuple(sorted(ip_of(name) for name in group if heard.get(ip_of(name)) == name))
-    missing = tuple(Missing(ip_of(name), absence(name, heard, refused), silent_s.get(ip_of(name)))
-                    for name in sorted(group) if ip_of(name) not in here)
+    missing = tuple(
+        Missing(ip_of(name), absence(name, heard, refused), silent_s.get(ip_of(name)))
+        for name in sorted(group)
+        if ip_of(name) not in here
+    )
     found = QuorumLoss(len(group), here, missing)
     return found if group and len(here) < found.majority else None
 
@@ -109,8 +115,9 @@
     lost_s: float = 0.0
     said_s: float = 0.0
 
-    def tick(self, group: Collection[str], heard: Mapping[str, str], now_s: float,
-             refused: Collection[str] = ()) -> Said | None:
+    def tick(
+        self, group: Collection[str], heard: Mapping[str, str], now_s: float, refused: Collection[str] = ()
+    ) -> Said | None:
         """Take in who is heard now, this machine with it. A machine that is no member gives an empty group."""
         if self.ticked_s is not None and now_s - self.ticked_s > STOOD_STILL_S:
             self.since_s.clear()  # whom it would have heard meanwhile it can't say
--- a/cypressbeam/relay.py
+++ b/cypressbeam/relay.py
@@ -44,12 +44,14 @@
         self.locator = RootLocator(self.context, self.fence, self.registration, self.register, self.resume_search)
         self.subscription = Subscription(self.context, self.subscribe_request)
         self.heartbeats = Heartbeats()
-        self.position = TreePosition(self.context, self.fence, self.registration, self.locator, self.subscription,
-                                     self.heartbeats)
+        self.position = TreePosition(
+            self.context, self.fence, self.registration, self.locator, self.subscription, self.heartbeats
+        )
         self.fence.vouched = self.position.named
         self.children = Children()
-        self.configuration = ConfigurationReplica(self.context, self.fence, self.children.tell,
-                                                  self.position.standing, self.subscription.parent_ip)
+        self.configuration = ConfigurationReplica(
+            self.context, self.fence, self.children.tell, self.position.standing, self.subscription.parent_ip
+        )
         self.servers = ServerListReplica()
         self.feed = Feed(self.position, self.children, self.configuration, self.servers)
         peers.blobs.fetcher.on_progress = self.subscription.on_heard
@@ -127,8 +129,11 @@
             return
         now_s, subscription = self.context.now_s(), self.subscription
         # The root that feeds it lives, and there is no beat: the way is being mended, and is soon left if it isn't.
-        waits = (subscription.parent is not None and subscription.misses_heartbeat(now_s)
-                 and subscription.epoch == frame.epoch)
+        waits = (
+            subscription.parent is not None
+            and subscription.misses_heartbeat(now_s)
+            and subscription.epoch == frame.epoch
+        )
         self.heartbeats.root_heard_s = now_s
         self.locator.found(link.ip)
         self.registration.assign(frame, now_s)
@@ -149,8 +154,9 @@
     def subscribe_request(self) -> frames.Attach:
         """What this node tells its parent that it has."""
         listing = self.servers.listing
-        return frames.Attach(self.context.settings.node, self.configuration.revision, listing.life, listing.seq,
-                             self.fence.epoch)
+        return frames.Attach(
+            self.context.settings.node, self.configuration.revision, listing.life, listing.seq, self.fence.epoch
+        )
 
     def leave_parent(self) -> None:
         """The parent has failed: the next one of the assignment is tried, or the root asked for others."""
@@ -206,8 +212,11 @@
     def on_beat(self, link: Link, frame: frames.Beat) -> None:
         """The parent passes on a heartbeat of the root."""
         subscription = self.subscription
-        if (link is not subscription.parent or self.fence.rejects(link, frame.epoch)
-                or not self.heartbeats.is_new(frame)):
+        if (
+            link is not subscription.parent
+            or self.fence.rejects(link, frame.epoch)
+            or not self.heartbeats.is_new(frame)
+        ):
             return
         now_s = self.context.now_s()
         self.heartbeats.take(frame, now_s)
--- a/cypressbeam/replacement.py
+++ b/cypressbeam/replacement.py
@@ -82,8 +82,7 @@
     def in_contact(self, now_s: float) -> bool:
         """Whether this machine is a member with a majority in reach: only then others' silence says something."""
         view = self.replica.view
-        return (view is not None and self.replica.name in view.group
-                and now_s - self.replica.contact_s(now_s) <= DEAD_S)
+        return view is not None and self.replica.name in view.group and now_s - self.replica.contact_s(now_s) <= DEAD_S
 
     def has_one_too_many(self, group: frozenset[str]) -> bool:
         """An even number bears no more losses than the odd one below it, and needs one machine more for a majority."""
@@ -192,5 +191,10 @@
     def describe(self, ident: int, now_s: float) -> frames.StandingBy:
         """Who stands by, and which members are not heard here, for how many seconds."""
         silent = sorted(self.silence.since_s.items())
-        return frames.StandingBy(ident, self.replica.name, tuple(sorted(self.members.standing_by(now_s).values())),
-                                 tuple(f"{ip} {now_s - since_s:.0f}" for ip, since_s in silent), self.status)
+        return frames.StandingBy(
+            ident,
+            self.replica.name,
+            tuple(sorted(self.members.standing_by(now_s).values())),
+            tuple(f"{ip} {now_s - since_s:.0f}" for ip, since_s in silent),
+            self.status,
+        )
--- a/cypressbeam/roster.py
+++ b/cypressbeam/roster.py
@@ -67,7 +67,7 @@
         found += [known] * min(FAN_OUT * max(known.kbps // thinnest, 1), MOST_FAN_OUT)
         if len(found) >= len(order):
             break
-    return found[:len(order)]
+    return found[: len(order)]
 
 
 class Roster:
@@ -88,7 +88,11 @@
         """A node joins, or joins again, at a root that leads in this epoch."""
         known = self.nodes.get(frame.name)
         if known is not None and (known.ip, known.zone, known.flags, known.kbps) == (
-                frame.ip, frame.zone, frame.flags, frame.kbps):
+            frame.ip,
+            frame.zone,
+            frame.flags,
+            frame.kbps,
+        ):
             before = known.doubtful()
             known.listen(frame.fed, now_s)
             known.seen_s = now_s
@@ -116,8 +120,9 @@
         self.stale = True
         if known.flags & frames.FRONT:
             self.names.remove(name)
-        self.watching = {other: watched for other, watched in self.watching.items()
-                         if other != name and known not in watched}
+        self.watching = {
+            other: watched for other, watched in self.watching.items() if other != name and known not in watched
+        }
 
     def expire(self, now_s: float) -> list[str]:
         """Drop those that have not joined for long; returns their names."""
@@ -128,8 +133,7 @@
 
     def fronts(self, zone: str | None = None) -> int:
         """How many nodes carry traffic, in all or in a zone."""
-        return sum(1 for known in self.nodes.values()
-                   if known.flags & frames.FRONT and zone in (None, known.zone))
+        return sum(1 for known in self.nodes.values() if known.flags & frames.FRONT and zone in (None, known.zone))
 
     def order(self, zone: str) -> list[Known]:
         """The nodes of a zone as they stand in its tree: the root first, fast links before thin ones, then by weight;
@@ -139,8 +143,15 @@
             self.stale = False
         if zone not in self.orders:
             here = [known for known in self.nodes.values() if known.zone == zone]
-            self.orders[zone] = sorted(here, key=lambda k: (
-                k.name != self.me, k.doubtful() or bool(k.flags & frames.SLOW), -k.kbps, weight("tree", k.name)))
+            self.orders[zone] = sorted(
+                here,
+                key=lambda k: (
+                    k.name != self.me,
+                    k.doubtful() or bool(k.flags & frames.SLOW),
+                    -k.kbps,
+                    weight("tree", k.name),
+                ),
+            )
             self.feeders[zone] = feeders(self.orders[zone])
         return self.orders[zone]
 
@@ -161,15 +172,24 @@
 
     def nearest(self, name: str, others: list[Known]) -> list[Known]:
         """Of the others those that weigh most for a name."""
-        return heapq.nlargest(WATCHED, (other for other in others if other.name != name),
-                              key=lambda other: weight(name, other.name))
+        return heapq.nlargest(
+            WATCHED, (other for other in others if other.name != name), key=lambda other: weight(name, other.name)
+        )
 
-    def place(self, name: str, epoch: int, members: tuple[str, ...], root: str, fronts: int,
-              group: tuple[str, ...] = ()) -> frames.Place:
+    def place(
+        self, name: str, epoch: int, members: tuple[str, ...], root: str, fronts: int, group: tuple[str, ...] = ()
+    ) -> frames.Place:
         """What a node is told. `fronts` is how many carry traffic, 0 while that is not known."""
         known = self.nodes[name]
         watched = self.watches(known)
         return frames.Place(
-            epoch, members, self.parents(known, root), tuple(other.ip for other in watched),
-            tuple(other.name for other in watched), fronts, self.fronts(known.zone),
-            bisect_left(self.names, name) if known.flags & frames.FRONT else 0, group)
+            epoch,
+            members,
+            self.parents(known, root),
+            tuple(other.ip for other in watched),
+            tuple(other.name for other in watched),
+            fronts,
+            self.fronts(known.zone),
+            bisect_left(self.names, name) if known.flags & frames.FRONT else 0,
+            group,
+        )
--- a/cypressbeam/routing.py
+++ b/cypressbeam/routing.py
@@ -67,7 +67,7 @@
             return None
         cut = path.rfind("/")
         while cut >= 0:
-            route = of_host.get(path[:cut + 1])
+            route = of_host.get(path[: cut + 1])
             if route is not None:
                 return route
             cut = path.rfind("/", 0, cut)
--- a/cypressbeam/search.py
+++ b/cypressbeam/search.py
@@ -35,8 +35,9 @@
         self.open.clear()
         self.due_s = 0.0
 
-    def next(self, now_s: float, group: Sequence[str], seeds: Sequence[str], fleet: int,
-             chance: random.Random) -> str | None:
+    def next(
+        self, now_s: float, group: Sequence[str], seeds: Sequence[str], fleet: int, chance: random.Random
+    ) -> str | None:
         """Whom to ask now: one of the group by chance, then the seeds in their order. `fleet` is the number of nodes,
         as far as it is known. None: nobody, or not yet."""
         if now_s < self.due_s:
--- a/cypressbeam/settings.py
+++ b/cypressbeam/settings.py
@@ -136,25 +136,35 @@
     sync_s = lines.number("envelope.syncS", 4.0)
     state_dir = values.get("stateDir")
     return Settings(
-        node=lines.text("node"), ip=lines.text("ip"), zone=values.get("zone", ""),
-        seeds=lines.addresses("seedPeers"), front=lines.address("listeners.front"),
-        readiness=lines.address("listeners.readiness"), control=lines.address("listeners.control"),
-        internal_ports=lines.ports("internalPorts"), bootstrap=lines.flag("bootstrap"),
-        quorum_member=lines.flag("quorumMember"), state_dir=Path(state_dir) if state_dir else None,
+        node=lines.text("node"),
+        ip=lines.text("ip"),
+        zone=values.get("zone", ""),
+        seeds=lines.addresses("seedPeers"),
+        front=lines.address("listeners.front"),
+        readiness=lines.address("listeners.readiness"),
+        control=lines.address("listeners.control"),
+        internal_ports=lines.ports("internalPorts"),
+        bootstrap=lines.flag("bootstrap"),
+        quorum_member=lines.flag("quorumMember"),
+        state_dir=Path(state_dir) if state_dir else None,
         memory_mb=lines.number("constraints.memoryMb", 300, 1),
         file_handles=lines.number("constraints.fileHandles", 1024, 64),
         link_mbps=lines.number("constraints.linkMbps", 1000.0, 0.01),
         machine_losses=lines.number("tolerance.machineLosses", 0),
         platform=lines.address("platform.address"),
-        platform_per_s=lines.number("platform.ratePerS", 10.0), share_faults=lines.flag("gateway.shareFaults", True),
+        platform_per_s=lines.number("platform.ratePerS", 10.0),
+        share_faults=lines.flag("gateway.shareFaults", True),
         replace_after_s=lines.number("gateway.replaceAfterS", REPLACE_SHARE * sync_s),
         envelope=Envelope(
             converge_ms=lines.number("envelope.convergeMs", 3000),
             drain_deadline_ms=lines.number("envelope.drainDeadlineMs", 3000),
-            grace_period_s=lines.number("envelope.gracePeriodS", 6.0), sync_s=sync_s,
+            grace_period_s=lines.number("envelope.gracePeriodS", 6.0),
+            sync_s=sync_s,
             retry_ratio=lines.number("envelope.retryRatio", 0.2),
             retry_window_s=lines.number("envelope.retryWindowS", 10.0),
-            retry_slack=lines.number("envelope.retrySlack", 60.0)))
+            retry_slack=lines.number("envelope.retrySlack", 60.0),
+        ),
+    )
 
 
 def load(environ: Mapping[str, str]) -> Settings:
--- a/cypressbeam/store.py
+++ b/cypressbeam/store.py
@@ -72,8 +72,7 @@
 
 
 class Storage(Protocol):
-    """What keeps the state of a machine: what a call has returned for outlives a loss of power. Each raises StoreError.
-    """
+    """Durable state of a machine: what a call has returned for outlives a loss of power. Each raises StoreError."""
 
     async def load(self, anew: bool = False) -> Loaded:
         """Anew: as from an empty disk; what was there is kept under another name."""
@@ -143,6 +142,7 @@
                 error = err
             with contextlib.suppress(RuntimeError):  # the loop is closed by now: nobody waits
                 loop.call_soon_threadsafe(settle, value, error)
+
         self.work.put(task)
         return await done
 
@@ -157,7 +157,7 @@
         except (sqlite3.Error, OSError, TornError) as err:
             # Opened anew the next time: after a refused write nothing that is in memory of it can be trusted.
             self._shut()
-            if isinstance(err, TornError) or getattr(err, "sqlite_errorcode", 0) & 0xff in TORN:
+            if isinstance(err, TornError) or getattr(err, "sqlite_errorcode", 0) & 0xFF in TORN:
                 raise TornError(f"{self.path.name}: {err}") from None
             raise StoreError(f"{self.path.name}: {err}") from None
 
@@ -180,8 +180,12 @@
 
     def _prepare(self, database: Any) -> None:
         # Exclusive: no shared memory beside the log, and one process has the folder.
-        for line in ("locking_mode=exclusive", "journal_mode=wal", "synchronous=full",
-                     f"journal_size_limit={LOG_LIMIT}"):
+        for line in (
+            "locking_mode=exclusive",
+            "journal_mode=wal",
+            "synchronous=full",
+            f"journal_size_limit={LOG_LIMIT}",
+        ):
             database.execute(f"pragma {line}")
         (version,) = database.execute("pragma user_version").fetchone()
         if version not in (0, FORMAT):
@@ -196,7 +200,8 @@
                 "create table taken (revision integer primary key, digest blob not null);"
                 f"insert into meta values ('identity', '{secrets.token_hex(6)}'), ('promised', 0),"
                 f" ('incarnation', 1), ('draw', {secrets.randbits(DRAW_BITS)});"
-                f"pragma user_version={FORMAT}; commit;")
+                f"pragma user_version={FORMAT}; commit;"
+            )
 
     # -- files that can't be read ---------------------------------------------------------------------------
 
@@ -245,9 +250,12 @@
         def save(database: Any) -> None:
             what(database)
             if raised is not None:
-                database.executemany("insert or replace into meta values (?, ?)",
-                                     [("incarnation", raised.incarnation), ("draw", raised.draw)])
+                database.executemany(
+                    "insert or replace into meta values (?, ?)",
+                    [("incarnation", raised.incarnation), ("draw", raised.draw)],
+                )
             write_marks(database, marks)
+
         await self.run(save)
         self.stored = marks
         if raised is not None:
@@ -263,25 +271,32 @@
         def save(database: Any) -> None:
             write_promise(database, view.epoch)
             database.execute("delete from view")
-            database.execute("insert into view values (?, ?, ?, ?)",
-                             (view.epoch, ",".join(view.chain), ",".join(view.group), view.began))
+            database.execute(
+                "insert into view values (?, ?, ?, ?)",
+                (view.epoch, ",".join(view.chain), ",".join(view.group), view.began),
+            )
             database.execute("delete from entry")
             write_taken(database, taken)
             if entry is not None:
                 write_entry(database, entry)
+
         await self.write(save)
 
     async def save_entry(self, entry: Entry) -> None:
         """A new version; old ones go, their digests stay, by which a repeated order is known."""
+
         def save(database: Any) -> None:
             write_entry(database, entry)
             database.execute("delete from entry where number <= ?", (entry.number - BODIES_KEPT,))
+
         await self.write(save)
 
     async def try_disk(self) -> None:
         """Write and sync something that says nothing."""
+
         def save(database: Any) -> None:
             database.execute("insert or replace into meta values ('tried', ?)", (secrets.token_bytes(512),))
+
         await self.write(save)
 
     def close(self) -> None:
@@ -315,10 +330,13 @@
 def write_taken(database: Any, taken: dict[int, bytes]) -> None:
     """These and no others; as a rule nearly all stand there already."""
     known = dict(database.execute("select revision, digest from taken"))
-    database.executemany("delete from taken where revision = ?",
-                         [(revision,) for revision in known if revision not in taken])
-    database.executemany("insert or replace into taken values (?, ?)",
-                         [(revision, mark) for revision, mark in taken.items() if known.get(revision) != mark])
+    database.executemany(
+        "delete from taken where revision = ?", [(revision,) for revision in known if revision not in taken]
+    )
+    database.executemany(
+        "insert or replace into taken values (?, ?)",
+        [(revision, mark) for revision, mark in taken.items() if known.get(revision) != mark],
+    )
 
 
 def write_entry(database: Any, entry: Entry) -> None:
@@ -326,11 +344,15 @@
     same."""
     mark = digest(entry.body)
     database.execute("delete from taken where revision > ?", (entry.base,))
-    database.execute("insert or replace into entry values (?, ?, ?, ?, ?, ?)",
-                     (entry.number, entry.epoch, entry.revision, entry.base, mark, entry.body))
+    database.execute(
+        "insert or replace into entry values (?, ?, ?, ?, ?, ?)",
+        (entry.number, entry.epoch, entry.revision, entry.base, mark, entry.body),
+    )
     database.execute("insert or replace into taken values (?, ?)", (entry.revision, mark))
-    database.execute("delete from taken where revision <= (select revision from taken order by revision desc"
-                     " limit 1 offset ?)", (KEPT,))
+    database.execute(
+        "delete from taken where revision <= (select revision from taken order by revision desc limit 1 offset ?)",
+        (KEPT,),
+    )
 
 
 def read_all(database: Any) -> Loaded:
@@ -352,7 +374,8 @@
     last = None
     mark = b""
     for number, epoch, revision, base, mark, body in database.execute(
-            "select number, epoch, revision, base, digest, body from entry order by number"):
+        "select number, epoch, revision, base, digest, body from entry order by number"
+    ):
         last = Entry(number, epoch, revision, base, body)
         if digest(body) != mark:
             raise TornError(f"entry {last.number} does not match its digest")
@@ -360,7 +383,18 @@
         raise TornError(f"entry {last.number} does not match the digest that was taken")
     own = Marks(meta.get("incarnation", 0), meta.get("draw", 0))
     # The first start of a disk has its incarnation on it already.
-    raised = own if view is None and last is None and own.incarnation == 1 else Marks(
-        own.incarnation + 1, secrets.randbits(DRAW_BITS))
-    return Loaded(str(meta["identity"]), int(meta["promised"]), view, last, taken, own, raised,
-                  unpack_marks(meta.get("marks", "")))
+    raised = (
+        own
+        if view is None and last is None and own.incarnation == 1
+        else Marks(own.incarnation + 1, secrets.randbits(DRAW_BITS))
+    )
+    return Loaded(
+        str(meta["identity"]),
+        int(meta["promised"]),
+        view,
+        last,
+        taken,
+        own,
+        raised,
+        unpack_marks(meta.get("marks", "")),
+    )
--- a/cypressbeam/survey.py
+++ b/cypressbeam/survey.py
@@ -38,8 +38,13 @@
 class Survey:
     """Calls for the state that wait for the core. `own` tells of this node itself, in what JSON can hold."""
 
-    def __init__(self, ip: str, members: Callable[[], tuple[str, ...]], own: Callable[[], dict[str, Any]],
-                 send: Callable[[str, frames.Frame], None]) -> None:
+    def __init__(
+        self,
+        ip: str,
+        members: Callable[[], tuple[str, ...]],
+        own: Callable[[], dict[str, Any]],
+        send: Callable[[str, frames.Frame], None],
+    ) -> None:
         self.loop = asyncio.get_running_loop()
         self.ip, self.members, self.own, self.send = ip, members, own, send
         self.chance = random.SystemRandom()
@@ -92,13 +97,20 @@
 
     def answer(self, question: Question) -> Answer:
         newest = max(question.answers.values(), key=lambda state: state.epoch, default=None)
-        head = max((state.number for state in question.answers.values() if newest and state.epoch == newest.epoch),
-                   default=0)
-        told = {"node": self.own(), "epoch": newest.epoch if newest else None,
-                "chain": newest.chain if newest else (), "group": newest.group if newest else (),
-                "quorumLoss": self.quorum_loss(question, newest),
-                "standingBy": sorted(question.standing_by), "silent": question.silent, "waits": question.waits,
-                "members": [describe(ip, question.answers.get(ip), head) for ip in sorted(question.asked)]}
+        head = max(
+            (state.number for state in question.answers.values() if newest and state.epoch == newest.epoch), default=0
+        )
+        told = {
+            "node": self.own(),
+            "epoch": newest.epoch if newest else None,
+            "chain": newest.chain if newest else (),
+            "group": newest.group if newest else (),
+            "quorumLoss": self.quorum_loss(question, newest),
+            "standingBy": sorted(question.standing_by),
+            "silent": question.silent,
+            "waits": question.waits,
+            "members": [describe(ip, question.answers.get(ip), head) for ip in sorted(question.asked)],
+        }
         return Answer(200, [JSON], msgspec.json.encode(told))
 
     def quorum_loss(self, question: Question, newest: frames.State | None) -> dict[str, Any] | None:
@@ -117,7 +129,17 @@
     """One machine of the core. Its lag is how many entries it is behind the newest on any disk of the chain."""
     if state is None:
         return {"ip": ip, "answers": False}
-    return {"ip": ip, "answers": True, "name": state.name, "epoch": state.epoch, "promised": state.promised,
-            "active": bool(state.flags & frames.ACTIVE), "disk": bool(state.flags & frames.DISK_WORKS),
-            "root": bool(state.flags & frames.ROOT), "revision": state.revision, "number": state.number,
-            "committed": state.committed, "lag": head - state.number}
+    return {
+        "ip": ip,
+        "answers": True,
+        "name": state.name,
+        "epoch": state.epoch,
+        "promised": state.promised,
+        "active": bool(state.flags & frames.ACTIVE),
+        "disk": bool(state.flags & frames.DISK_WORKS),
+        "root": bool(state.flags & frames.ROOT),
+        "revision": state.revision,
+        "number": state.number,
+        "committed": state.committed,
+        "lag": head - state.number,
+    }
--- a/cypressbeam/verdicts.py
+++ b/cypressbeam/verdicts.py
@@ -29,8 +29,10 @@
 
     def forget(self, now_s: float) -> None:
         """Drop what counts no more."""
-        fresh = {about: {node: at_s for node, at_s in by.items() if now_s - at_s <= WINDOW_S}
-                 for about, by in self.reports.items()}
+        fresh = {
+            about: {node: at_s for node, at_s in by.items() if now_s - at_s <= WINDOW_S}
+            for about, by in self.reports.items()
+        }
         self.reports = {about: by for about, by in fresh.items() if by}
         self.told = {about: at_s for about, at_s in self.told.items() if now_s - at_s <= WINDOW_S}
 
@@ -44,8 +46,11 @@
         found = []
         for server in named:
             lately = sum(told_zone == zone for told_zone, _ in self.told)
-            if (now_s - self.told.get((zone, server), now_s - REST_S) >= REST_S and lately < most
-                    and self.reporters(zone, server, most) >= REPORTERS):
+            if (
+                now_s - self.told.get((zone, server), now_s - REST_S) >= REST_S
+                and lately < most
+                and self.reporters(zone, server, most) >= REPORTERS
+            ):
                 self.told[zone, server] = now_s
                 found.append(server)
         return found
--- a/lab/attempt_faults.py
+++ b/lab/attempt_faults.py
@@ -41,6 +41,7 @@
         send(self, attempt)
         if behind:
             self.data_received(behind)
+
     patch(upstream.ServerConnection, "end", keep)
     patch(upstream.ServerConnection, "send", read_on)
 
@@ -62,6 +63,7 @@
 
     def told(sent: Sent, cause: Cause, reply: Reply | None = None) -> Outcome:
         return known(Sent.NOTHING if sent is Sent.PART and reply is None else sent, cause, reply)
+
     patch(upstream, "outcome", told)
 
 
@@ -70,17 +72,20 @@
 
     def told(sent: Sent, cause: Cause, reply: Reply | None = None) -> Outcome:
         return attempts.UNSENT if cause is Cause.CLOSED else known(sent, cause, reply)
+
     patch(upstream, "outcome", told)
 
 
 def believe_any_503(patch: Patch) -> None:
     def judge(answer: Answer) -> Reply:
         return Reply.NOT_EXECUTED if answer.status == 503 else dialect.judge_gate(answer)
+
     patch(gate, "GATE", replace(dialect.GATE, judge=judge))
 
 
 def take_what_has_come(patch: Patch) -> None:
     """An answer that a close cuts short goes to the client as if it were whole."""
+
     def connection_lost(self: upstream.ServerConnection, exc: Exception | None) -> None:
         self.closed = True
         self.upstream.drop(self)
@@ -90,6 +95,7 @@
                 self.end(Cause.ANSWERED, Answer(parser.get_status_code(), found.headers, bytes(found.body)))
             else:
                 self.end(Cause.CLOSED)
+
     patch(upstream.ServerConnection, "connection_lost", connection_lost)
 
 
@@ -101,6 +107,7 @@
         if request.timer is not None and not request.finished:
             request.respond(Answer(504))
             request.timer = self.loop.call_later(SOON_S * 4, time_is_up, self, request)
+
     patch(Carrier, "time_is_up", told)
 
 
@@ -113,8 +120,10 @@
 
 def leave_out(check: str) -> Callable[[Patch], None]:
     """One check of a success is not made."""
+
     def without(patch: Patch) -> None:
         patch(evidence, "CHECKS", {name: fails for name, fails in evidence.CHECKS.items() if name != check})
+
     return without
 
 
@@ -143,19 +152,27 @@
 
 
 RULES_LEFT_OUT: dict[str, Callable[[Patch], None]] = {
-    "compare-no-names": compare_no_names, "let-heads-grow-together": let_heads_grow_together,
-    "leave-bytes-behind": leave_bytes_behind, "take-the-same-connection": take_the_same_connection,
+    "compare-no-names": compare_no_names,
+    "let-heads-grow-together": let_heads_grow_together,
+    "leave-bytes-behind": leave_bytes_behind,
+    "take-the-same-connection": take_the_same_connection,
     "look-at-no-idle-connection": look_at_no_idle_connection,
-
-    "take-a-part-for-nothing": take_part_for_nothing, "take-a-close-for-a-refusal": take_a_close_for_a_refusal,
-    "believe-any-503": believe_any_503, "take-what-has-come": take_what_has_come, "answer-twice": answer_twice,
-    "promise-at-the-end": promise_at_the_end}
+    "take-a-part-for-nothing": take_part_for_nothing,
+    "take-a-close-for-a-refusal": take_a_close_for_a_refusal,
+    "believe-any-503": believe_any_503,
+    "take-what-has-come": take_what_has_come,
+    "answer-twice": answer_twice,
+    "promise-at-the-end": promise_at_the_end,
+}
 #: Each leaves out one check of an answer, which few states and few storms need.
 CHECKS_LEFT_OUT: dict[str, Callable[[Patch], None]] = {
-    "hand-on-at-once": hand_on_at_once, "take-a-reset-for-the-end": take_a_reset_for_the_end,
-    "take-any-close-for-the-end": take_any_close_for_the_end, "read-any-status": read_any_status,
+    "hand-on-at-once": hand_on_at_once,
+    "take-a-reset-for-the-end": take_a_reset_for_the_end,
+    "take-any-close-for-the-end": take_any_close_for_the_end,
+    "read-any-status": read_any_status,
     "read-two-codings": read_two_codings,
-    **{f"take-{name.lower().replace(',', '').replace(' ', '-')}": leave_out(name) for name in evidence.CHECKS}}
+    **{f"take-{name.lower().replace(',', '').replace(' ', '-')}": leave_out(name) for name in evidence.CHECKS},
+}
 FAULTS = RULES_LEFT_OUT | CHECKS_LEFT_OUT
 
 
@@ -167,6 +184,7 @@
     def patch(where: Any, what: str, new: Any) -> None:
         patched.append((where, what, getattr(where, what)))
         setattr(where, what, new)
+
     if name:
         FAULTS[name](patch)
     try:
--- a/lab/attempt_storms.py
+++ b/lab/attempt_storms.py
@@ -11,8 +11,13 @@
 #: What is done, to which of those there are, and how.
 Step = tuple[str, int, int]
 
-FORMS = [(200, "", "length"), (200, "", "chunks"), (200, "", "close"), (200, "Connection: close\r\n", "length"),
-         *[(*reply, "length") for reply in REPLIES.values()]]
+FORMS = [
+    (200, "", "length"),
+    (200, "", "chunks"),
+    (200, "", "close"),
+    (200, "Connection: close\r\n", "length"),
+    *[(*reply, "length") for reply in REPLIES.values()],
+]
 
 
 class Storm:
@@ -71,7 +76,7 @@
             self.unframed.add(sending)
         sending.refuses = status == 421 or "Not-Executed" in more
         if self.method(sending) == "HEAD":
-            data = data[:data.index(b"\r\n\r\n") + 4]
+            data = data[: data.index(b"\r\n\r\n") + 4]
         if status < 300:
             note(self.world, sending, b"" if status in (204, 205) else sending.told(str(status)))
         return data
@@ -93,20 +98,25 @@
                 sending.wire.lose()
 
     def method(self, sending: Sending) -> str:
-        return next(asked.method for client in self.world.clients for asked in client.asked
-                    if asked.ident == sending.ident)
+        return next(
+            asked.method for client in self.world.clients for asked in client.asked if asked.ident == sending.ident
+        )
 
     def again(self, which: int, how: int) -> None:
         """An answer that was given comes again, whole or cut short; at times it waits unread, as a close may."""
         told = [sending for sending, rest in self.rests.items() if not rest]
         if told:
             sending = told[which % len(told)]
-            wires = [wire for wire in self.between_answers() if wire.protocol.server == sending.server and (
-                wire is sending.wire or not self.carries(wire, sending.ident))]
+            wires = [
+                wire
+                for wire in self.between_answers()
+                if wire.protocol.server == sending.server
+                and (wire is sending.wire or not self.carries(wire, sending.ident))
+            ]
             data = self.replies[sending]
             if wires:
                 wire = wires[how % len(wires)]
-                (wire.arrive if how % 2 else wire.feed)(data if how % 3 else data[:how // 6 % len(data)])
+                (wire.arrive if how % 2 else wire.feed)(data if how % 3 else data[: how // 6 % len(data)])
 
     def carries(self, wire: ServerWire, ident: str) -> bool:
         """Whether an answer with that name would be the right one there: nobody could tell a copy of another
@@ -119,8 +129,9 @@
         return [wire for wire in self.world.wires if wire not in begun and not wire.closing]
 
     def spoil(self, which: int, how: int) -> None:
-        fresh = [sending for sending in self.world.fresh
-                 if sending not in self.rests or b"\r\n\r\n" in self.rests[sending]]  # not within a body
+        fresh = [
+            sending for sending in self.world.fresh if sending not in self.rests or b"\r\n\r\n" in self.rests[sending]
+        ]  # not within a body
         if fresh:
             sending = fresh[which % len(fresh)]
             spoil([*SPOILS][how % len(SPOILS)], sending)
@@ -145,15 +156,15 @@
 
     def room(self, which: int, how: int) -> None:
         self.world.room = [float("inf"), 30.0, 0.0][how % 3]
-        for wire in self.world.wires[which % 4::4]:
+        for wire in self.world.wires[which % 4 :: 4]:
             wire.room = self.world.room
 
     def connect(self, which: int, how: int) -> None:
         self.world.at_once = how % 3 != 0
-        for coming in self.world.connects[:1 + which % 3]:
+        for coming in self.world.connects[: 1 + which % 3]:
             if not coming.done():
                 coming.set_exception(ConnectionRefusedError()) if how % 4 == 0 else coming.set_result(None)
-        del self.world.connects[:1 + which % 3]
+        del self.world.connects[: 1 + which % 3]
 
     # What the platform and time do.
 
@@ -181,11 +192,33 @@
 
 
 #: What is likelier is there more than once.
-STEPS = ["ask", "ask", "ask", "whole", "whole", "whole", "part", "part", "again", "again", "spoil", "stutter",
-         "unread", "lose", "drain", "room", "connect", "tell", "leave"]
+STEPS = [
+    "ask",
+    "ask",
+    "ask",
+    "whole",
+    "whole",
+    "whole",
+    "part",
+    "part",
+    "again",
+    "again",
+    "spoil",
+    "stutter",
+    "unread",
+    "lose",
+    "drain",
+    "room",
+    "connect",
+    "tell",
+    "leave",
+]
+
+
 def storm(taken: list[Step]) -> None:
     async def scenario(world: World) -> None:
         await Storm(world).run(taken)
+
     play(scenario)
 
 
--- a/lab/attempts.py
+++ b/lab/attempts.py
@@ -44,10 +44,20 @@
 
 
 PROOF = "Not-Executed: 1\r\n"
-REPLIES = {"misdirected": (421, ""), "not executed": (503, PROOF), "turned away": (429, PROOF), "alone": (503, PROOF),
-           "503": (503, ""),
-           "429": (429, ""), "408": (408, ""), "500": (500, ""), "504": (504, ""), "204": (204, ""),
-           "last": (200, "Connection: close\r\n"), "205": (205, "")}
+REPLIES = {
+    "misdirected": (421, ""),
+    "not executed": (503, PROOF),
+    "turned away": (429, PROOF),
+    "alone": (503, PROOF),
+    "503": (503, ""),
+    "429": (429, ""),
+    "408": (408, ""),
+    "500": (500, ""),
+    "504": (504, ""),
+    "204": (204, ""),
+    "last": (200, "Connection: close\r\n"),
+    "205": (205, ""),
+}
 #: With proof; "alone": by the one server that there is.
 PROVEN = ("misdirected", "not executed", "turned away", "alone")
 STAMP = b"Server-Seal: a.b\r\n"
@@ -83,9 +93,12 @@
     "too short a length": lambda sending: answer(sending).replace(b"Content-Length: ", b"Content-Length: 1\r\nX: "),
     "a copy in the body": lambda sending: cut_and_copied(sending, 13),
     "a copy at the end": lambda sending: cut_and_copied(sending, 5),
-    "a copy in the body, and its rest": lambda sending: (answer(sending)[:-13] + answer(sending)[:13],
-                                                         answer(sending)[13:]),
-    "a copy in two pieces": lambda sending: (answer(sending)[:-5] + answer(sending)[:5], answer(sending)[5:])}
+    "a copy in the body, and its rest": lambda sending: (
+        answer(sending)[:-13] + answer(sending)[:13],
+        answer(sending)[13:],
+    ),
+    "a copy in two pieces": lambda sending: (answer(sending)[:-5] + answer(sending)[:5], answer(sending)[5:]),
+}
 
 
 def spoil(event: str, sending: Sending) -> None:
@@ -114,8 +127,9 @@
         yield State(kind, "connecting", Sent.NOTHING, "none", event)
     for kind, event in itertools.product(("read", "book"), IDLE):
         yield State(kind, "reused", Sent.WHOLE, "none", event)
-    for kind, origin, sent, progress in itertools.product(("read", "book"), ("fresh", "reused"),
-                                                          (Sent.PART, Sent.WHOLE), PROGRESS):
+    for kind, origin, sent, progress in itertools.product(
+        ("read", "book"), ("fresh", "reused"), (Sent.PART, Sent.WHOLE), PROGRESS
+    ):
         if kind == "read" and sent is Sent.PART:
             continue  # has no body: it is never that long
         whole = [event for event in ANSWERS if progress in ("none", "interim") or event != "another's before"]
@@ -215,8 +229,9 @@
         world, event = self.world, self.state.event
         if sending is not None and (event in ANSWERS or event in IDLE or event in UNFRAMED):
             if event == "alone":
-                world.states = {ident: listing.IN_SERVICE if ident == sending.server else listing.DRAINING
-                                for ident in world.states}
+                world.states = {
+                    ident: listing.IN_SERVICE if ident == sending.server else listing.DRAINING for ident in world.states
+                }
                 world.tell()
             self.finish(sending)
         elif sending is not None and event in SPOILS:
@@ -226,8 +241,12 @@
         elif event in ("drain", "restart"):
             world.states[self.attempt.server] = listing.DRAINING
             if event == "restart":
-                world.gate.upstream.place(self.attempt.server, ("10.9.0.1", 8000 + int(self.attempt.server[1:])),
-                                          world.gate.now_us() + 1, True)
+                world.gate.upstream.place(
+                    self.attempt.server,
+                    ("10.9.0.1", 8000 + int(self.attempt.server[1:])),
+                    world.gate.now_us() + 1,
+                    True,
+                )
                 world.gate.upstream.end_stale()
             else:
                 world.tell()
@@ -309,6 +328,7 @@
         if len(world.wires) == 1:
             made[0].inbox.append(None if how == "closed" else b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
         return made
+
     world.connect = connect  # type: ignore[method-assign,assignment]
 
 
@@ -325,4 +345,5 @@
 def walk(state: State) -> None:
     async def scenario(world: World) -> None:
         await Walk(world, state).run()
+
     play(scenario)
--- a/lab/calls.py
+++ b/lab/calls.py
@@ -19,8 +19,14 @@
 class Calls:
     """Who calls whom, by the kinds of a day."""
 
-    def __init__(self, kinds: tuple[Kind, ...], host: str, nodes_of: Callable[[str], dict[str, Address]],
-                 ledger: Ledger, seed: int) -> None:
+    def __init__(
+        self,
+        kinds: tuple[Kind, ...],
+        host: str,
+        nodes_of: Callable[[str], dict[str, Address]],
+        ledger: Ledger,
+        seed: int,
+    ) -> None:
         by_name = {kind.name: kind for kind in kinds}
         self.called = {f"/{kind.name}/".encode(): (kind.name, by_name[kind.calls]) for kind in kinds if kind.calls}
         self.kinds, self.host, self.nodes_of, self.ledger, self.seed = kinds, host, nodes_of, ledger, seed
@@ -32,7 +38,7 @@
 
     def of(self, server: Server, message: Message) -> Coroutine[Any, Any, None] | None:
         """The call that belongs to a server's work on a request."""
-        path = message.target[:message.target.find(b"/", 1) + 1]
+        path = message.target[: message.target.find(b"/", 1) + 1]
         if path not in self.called:
             return None
         caller, kind = self.called[path]
@@ -44,8 +50,9 @@
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         self.count += 1
-        answer, _ = await self.caller(zone).one_try(kind, f"call-{self.count}", began_s + kind.deadline_ms / 1000,
-                                                    set(), fresh=True, of_repeat=repeat)
+        answer, _ = await self.caller(zone).one_try(
+            kind, f"call-{self.count}", began_s + kind.deadline_ms / 1000, set(), fresh=True, of_repeat=repeat
+        )
         served = answer is not None and answer.status < 300
         self.ledger.wishes.append(Wish(kind.name, began_s, loop.time() - began_s, 0.0, 0.0, served, caller))
 
@@ -53,6 +60,14 @@
         """The same as clients of the zone, on connections of their own; what they send is no client's request."""
         if zone not in self.callers:
             self.callers[zone] = Population(
-                zone, self.kinds, 0.0, lambda: self.nodes_of(zone), lambda kind: self.host, lambda kind: set(), 0.0,
-                self.ledger, random.Random(f"{self.seed} calls {zone}"))
+                zone,
+                self.kinds,
+                0.0,
+                lambda: self.nodes_of(zone),
+                lambda kind: self.host,
+                lambda kind: set(),
+                0.0,
+                self.ledger,
+                random.Random(f"{self.seed} calls {zone}"),
+            )
         return self.callers[zone]
--- a/lab/capacity.py
+++ b/lab/capacity.py
@@ -23,8 +23,7 @@
 
 
 class Cost(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A cost of one role over what it grows with. `points` are (size, value); one size may stand there several times.
-    """
+    """A cost of one role over what it grows with. `points` are (size, value); one size may be there several times."""
 
     name: str
     role: str
@@ -105,12 +104,16 @@
     points, model = cost.points, cost.model
     own = [value for size, value in points if size == cost.target]
     value = statistics.median(own) if own else at(points, model, cost.target)
-    rests = [points[:left] + points[left + 1:] for left in range(len(points))]
-    others = [at(rest, model, cost.target) for rest in rests
-              if len({size for size, _ in rest}) > (model != "same")]
+    rests = [points[:left] + points[left + 1 :] for left in range(len(points))]
+    others = [at(rest, model, cost.target) for rest in rests if len({size for size, _ in rest}) > (model != "same")]
     seen = own if own else [value, *others]
-    return Fit(None if model == "same" else line(points, model)[1], value, min(seen), max(seen),
-               bool(own) and not cost.reckoned)
+    return Fit(
+        None if model == "same" else line(points, model)[1],
+        value,
+        min(seen),
+        max(seen),
+        bool(own) and not cost.reckoned,
+    )
 
 
 def ratio(cost: Cost) -> float | None:
@@ -154,8 +157,10 @@
 
 def table(costs: Sequence[Cost]) -> str:
     """All costs as a Markdown table, the worst first."""
-    lines = ["| cost (role) | over | points | growth | at the target | spread | limit | ratio | verdict |",
-             "| --- | --- | --- | --- | ---: | --- | ---: | ---: | --- |"]
+    lines = [
+        "| cost (role) | over | points | growth | at the target | spread | limit | ratio | verdict |",
+        "| --- | --- | --- | --- | ---: | --- | ---: | ---: | --- |",
+    ]
     for cost in ordered(costs):
         found, share = fit(cost), ratio(cost)
         points = ", ".join(f"{number(size)}: {number(value)}" for size, value in cost.points)
@@ -164,15 +169,18 @@
             f" | {growth(cost, found)} | {number(found.value)} at {number(cost.target)},"
             f" {'measured' if found.measured else 'reckoned'} | {spread(found)}"
             f" | {'-' if cost.limit is None else number(cost.limit)}"
-            f" | {'-' if share is None else number(share)} | {verdict(cost)} |")
+            f" | {'-' if share is None else number(share)} | {verdict(cost)} |"
+        )
     return "\n".join(lines)
 
 
 def sources(costs: Sequence[Cost]) -> str:
     """Of each cost the command, the run, and what carries it, as a Markdown table."""
     lines = ["| cost | command | run | carried by |", "| --- | --- | --- | --- |"]
-    lines += [f"| {'trial: ' * cost.trial}{cost.name} | `{cost.command}` | {cost.run} | {cost.carried or '-'} |"
-              for cost in ordered(costs)]
+    lines += [
+        f"| {'trial: ' * cost.trial}{cost.name} | `{cost.command}` | {cost.run} | {cost.carried or '-'} |"
+        for cost in ordered(costs)
+    ]
     return "\n".join(lines)
 
 
@@ -180,11 +188,26 @@
     """A page with a plot for each cost."""
     from lab import plots
 
-    drawn = [plots.target_plot(
-        f"{'trial: ' * cost.trial}{cost.name}", cost.unit, cost.over, cost.points,
-        partial(at, cost.points, cost.model),
-        (cost.target, fit(cost).value), cost.limit) for cost in ordered(costs)]
-    plots.write(file, "Every cost at the size of the target", {
-        "points": "what was measured; the line goes on to the target (a ring: reckoned where no point lies in it)",
-        "limit": "dashed; a cost over it is red", "order": "the worst ratio of value and limit first"},
-        table(costs), drawn)
+    drawn = [
+        plots.target_plot(
+            f"{'trial: ' * cost.trial}{cost.name}",
+            cost.unit,
+            cost.over,
+            cost.points,
+            partial(at, cost.points, cost.model),
+            (cost.target, fit(cost).value),
+            cost.limit,
+        )
+        for cost in ordered(costs)
+    ]
+    plots.write(
+        file,
+        "Every cost at the size of the target",
+        {
+            "points": "what was measured; the line goes on to the target (a ring: reckoned where no point lies in it)",
+            "limit": "dashed; a cost over it is red",
+            "order": "the worst ratio of value and limit first",
+        },
+        table(costs),
+        drawn,
+    )
--- a/lab/chaos.py
+++ b/lab/chaos.py
@@ -14,8 +14,17 @@
 
 #: Edge nodes, and how many troubles one history has.
 EDGES, TROUBLES = 8, 8
-KINDS = ("core", "wiped core", "edges", "core and edges", "all", "core cut off", "edge cut off", "older core",
-         "hanging core")
+KINDS = (
+    "core",
+    "wiped core",
+    "edges",
+    "core and edges",
+    "all",
+    "core cut off",
+    "edge cut off",
+    "older core",
+    "hanging core",
+)
 #: After a trouble: the core must be whole again, and then an order taken, and its news with a list known by all.
 WHOLE_S, TAKEN_S, KNOWN_S = 14.0, 6.0, 4.0
 AGAIN_S = 0.3
@@ -69,9 +78,14 @@
     """One root, and all machines with a disk in one active chain."""
     cores = [node.core for node in cluster.nodes.values() if node.core is not None]
     views = {core.view.epoch for core in cores if core.view is not None and len(core.view.chain) == CORES}
-    return (len(cores) == CORES and len(views) == 1 and sum(node.relay.is_root for node in cluster.nodes.values()) == 1
-            and all(core.keeper is not None and core.keeper.member is not None and core.keeper.member.active
-                    for core in cores))
+    return (
+        len(cores) == CORES
+        and len(views) == 1
+        and sum(node.relay.is_root for node in cluster.nodes.values()) == 1
+        and all(
+            core.keeper is not None and core.keeper.member is not None and core.keeper.member.active for core in cores
+        )
+    )
 
 
 def all_know(cluster: Cluster) -> bool:
@@ -82,8 +96,10 @@
     if not root.relay.listing.seq:  # one that has just become the root asks the platform
         cluster.poll(cluster.revision)
     wanted = root.relay.listing.life, root.relay.listing.seq
-    return all(node.relay.revision >= cluster.revision
-               and (node.relay.listing.life, node.relay.listing.seq) == wanted for node in cluster.edges)
+    return all(
+        node.relay.revision >= cluster.revision and (node.relay.listing.life, node.relay.listing.seq) == wanted
+        for node in cluster.edges
+    )
 
 
 async def settle(cluster: Cluster, after: str) -> None:
--- a/lab/clients.py
+++ b/lab/clients.py
@@ -71,7 +71,7 @@
         self.reader.reset()
         self.done = asyncio.get_running_loop().create_future()
         for at in range(0, len(message), PIECE):
-            self.transport.write(message[at:at + PIECE])
+            self.transport.write(message[at : at + PIECE])
         async with asyncio.timeout(most_s):
             return await self.done
 
@@ -144,8 +144,9 @@
             return answer is None or answer.status in REPEATED
         return answer is not None and answer.status in PROMISES
 
-    async def one_try(self, kind: Kind, ident: str, ends_s: float, met: set[str],
-                      fresh: bool, of_repeat: bool = False) -> tuple[Answer | None, float]:
+    async def one_try(
+        self, kind: Kind, ident: str, ends_s: float, met: set[str], fresh: bool, of_repeat: bool = False
+    ) -> tuple[Answer | None, float]:
         """The answer, if one came, and how long to wait before another try."""
         loop = asyncio.get_running_loop()
         nodes = self.nodes()
@@ -157,11 +158,23 @@
         method, target = (b"GET" if kind.mode == "idempotent" else b"POST"), f"/{kind.name}/{ident}".encode()
         body = ident.encode() * (kind.body // len(ident) + 1) if kind.body else b""
         left_ms = max(int(1000 * (ends_s - loop.time())), 1)
-        message = (b"%s %s HTTP/1.1\r\nHost: %s\r\nAttempt-Id: %s\r\nTime-Left-Ms: %d\r\nContent-Length: %d\r\n\r\n%s"
-                   % (method, target, self.host(kind).encode(), ident.encode(), left_ms, len(body), body))
-        one = Try(ident, kind.name, kind.mode == "idempotent", node, (method, target, body), loop.time(),
-                  servers=kind.tries, ends_s=ends_s, cutoff_s=kind.cutoff / 1000, worth=kind.worth,
-                  of_repeat=of_repeat)
+        message = (
+            b"%s %s HTTP/1.1\r\nHost: %s\r\nAttempt-Id: %s\r\nTime-Left-Ms: %d\r\nContent-Length: %d\r\n\r\n%s"
+            % (method, target, self.host(kind).encode(), ident.encode(), left_ms, len(body), body)
+        )
+        one = Try(
+            ident,
+            kind.name,
+            kind.mode == "idempotent",
+            node,
+            (method, target, body),
+            loop.time(),
+            servers=kind.tries,
+            ends_s=ends_s,
+            cutoff_s=kind.cutoff / 1000,
+            worth=kind.worth,
+            of_repeat=of_repeat,
+        )
         self.ledger.sends(one, self.services(kind))
         answer: Answer | None = None
         with contextlib.suppress(OSError, EOFError, TimeoutError):
@@ -216,5 +229,8 @@
         for seal in [value for name, value in answer.headers if name.lower() == b"server-seal"]:
             given = self.ledger.given.get(seal)
             if given != answer.status or seal.rpartition(b".")[2] != one.ident.encode():
-                self.ledger.breach("MIXED", one.ended_s or one.sent_s,
-                                   f"{one.ident} got {answer.status} sealed {seal!r}, whose server gave {given}")
+                self.ledger.breach(
+                    "MIXED",
+                    one.ended_s or one.sent_s,
+                    f"{one.ident} got {answer.status} sealed {seal!r}, whose server gave {given}",
+                )
--- a/lab/closing.py
+++ b/lab/closing.py
@@ -43,8 +43,13 @@
     @classmethod
     def drawn(cls, seed: int) -> Case:
         chance = random.Random(f"closing {seed}")
-        return cls(chance.choice((3, 5)), chance.choice((CORE_MBPS, THIN_MBPS)), chance.random() < 0.5,
-                   chance.randrange(4), chance.uniform(*DOWN_S))
+        return cls(
+            chance.choice((3, 5)),
+            chance.choice((CORE_MBPS, THIN_MBPS)),
+            chance.random() < 0.5,
+            chance.randrange(4),
+            chance.uniform(*DOWN_S),
+        )
 
 
 @dataclass(slots=True)
@@ -65,8 +70,7 @@
         self.found = Found(case)
         self.case = case
         self.chance = random.Random(f"closing history {seed}")
-        self.cluster = Replacing(EDGES, seed, core_mbps=case.mbps, edge_mbps=case.mbps, routes=ROUTES,
-                                 cores=case.cores)
+        self.cluster = Replacing(EDGES, seed, core_mbps=case.mbps, edge_mbps=case.mbps, routes=ROUTES, cores=case.cores)
 
     async def replace_one(self) -> None:
         """Some machine of the chain, by a new one; the group has stood without it for `syncS` afterwards."""
@@ -94,8 +98,9 @@
         edges = [host.ip for host, settings in self.cluster.machines if settings.front is not None]
         lost = set(self.chance.sample(edges, EDGES // 3))
         cores = {host.ip for host, settings in self.cluster.machines if settings.front is None}
-        self.cluster.net.cut = lambda one, other: ((one.ip in lost and other.ip in cores)
-                                                   or (other.ip in lost and one.ip in cores))
+        self.cluster.net.cut = lambda one, other: (
+            (one.ip in lost and other.ip in cores) or (other.ip in lost and one.ip in cores)
+        )
 
     async def lose_power(self) -> None:
         cluster = self.cluster
@@ -173,13 +178,17 @@
 def table(seeds: range) -> str:
     """Median and worst seconds from the last start, as a Markdown table."""
     found = [play(seed) for seed in seeds]
-    lines = ["| core machines | one replaced before | histories | leads, s (median / worst) | all nodes hold it, s |",
-             "| ---: | --- | ---: | ---: | ---: |"]
+    lines = [
+        "| core machines | one replaced before | histories | leads, s (median / worst) | all nodes hold it, s |",
+        "| ---: | --- | ---: | ---: | ---: |",
+    ]
     for cores in (3, 5):
         for replaced in (False, True):
             rows = [one for one in found if (one.case.cores, one.case.replaced) == (cores, replaced)]
             led_s, held_s = [one.led_s for one in rows], [one.held_s for one in rows]
-            lines.append(f"| {cores} | {'yes' if replaced else 'no'} | {len(rows)} "
-                         f"| {statistics.median(led_s):.2f} / {max(led_s):.2f} "
-                         f"| {statistics.median(held_s):.2f} / {max(held_s):.2f} |")
+            lines.append(
+                f"| {cores} | {'yes' if replaced else 'no'} | {len(rows)} "
+                f"| {statistics.median(led_s):.2f} / {max(led_s):.2f} "
+                f"| {statistics.median(held_s):.2f} / {max(held_s):.2f} |"
+            )
     return "\n".join(lines)
--- a/lab/commands/costs.py
+++ b/lab/commands/costs.py
@@ -52,8 +52,12 @@
     silence_simulated_nodes()
     found = [measure(int(size), cores, routes, servers, seed) for size in sizes.split(",")]
     click.echo(msgspec.json.encode(document(found)).decode() if as_json else table(found))
-    write_growth(page, "What grows with the fleet",
-                 {"played": f"{cores} core machines, {routes} routes, {servers} servers, seed {seed}"}, found)
+    write_growth(
+        page,
+        "What grows with the fleet",
+        {"played": f"{cores} core machines, {routes} routes, {servers} servers, seed {seed}"},
+        found,
+    )
     sys.exit(3 if too_steep(found) else 0)
 
 
@@ -74,8 +78,12 @@
     silence_simulated_nodes()
     found = measure_all([int(size) for size in sizes.split(",")], seconds, seed, jobs)
     click.echo(table(found))
-    write_growth(page, "What traffic costs as the fleet grows",
-                 {"played": f"{seconds:g} s of traffic at each size, seed {seed}"}, found)
+    write_growth(
+        page,
+        "What traffic costs as the fleet grows",
+        {"played": f"{seconds:g} s of traffic at each size, seed {seed}"},
+        found,
+    )
     sys.exit(3 if too_steep(found) else 0)
 
 
@@ -93,8 +101,21 @@
 @click.option("--quiet-s", default=10.0, show_default=True, help="Seconds in which nothing happens.")
 @click.option("--most-s", default=180.0, show_default=True, help="After so long all is ended.")
 @click.option("--json", "plain", is_flag=True, help="For programs.")
-def hollow(nodes: int, processes: int, real: int, cores: int, routes: int, servers: int, services: int, hosts: int,
-           racks: int, changes: int, quiet_s: float, most_s: float, plain: bool) -> None:
+def hollow(
+    nodes: int,
+    processes: int,
+    real: int,
+    cores: int,
+    routes: int,
+    servers: int,
+    services: int,
+    hosts: int,
+    racks: int,
+    changes: int,
+    quiet_s: float,
+    most_s: float,
+    plain: bool,
+) -> None:
     """Control parts of hundreds of nodes on real sockets, many in a process, with whole nodes among them.
 
     Exit code 1 if it was not done in time, 2 if it is more than the machine is to bear.
@@ -113,8 +134,13 @@
 
 
 @click.command()
-@click.option("--family", "families", multiple=True, help="routes, tenants, servers, services, samples, nodes, "
-              "digests, requests or connections; as often as wanted. Without it, all.")
+@click.option(
+    "--family",
+    "families",
+    multiple=True,
+    help="routes, tenants, servers, services, samples, nodes, "
+    "digests, requests or connections; as often as wanted. Without it, all.",
+)
 @click.option("--sizes", help="Other sizes than usual, for all that are measured.")
 @click.option("--repeat", default=3, show_default=True, help="Times that each size is measured.")
 @click.option("--json", "plain", is_flag=True, help="For programs.")
--- a/lab/commands/days.py
+++ b/lab/commands/days.py
@@ -41,8 +41,10 @@
         click.echo(as_json({"figures": found.figures, "breaches": found.breaches}))
     else:
         click.echo("\n".join(f"{name:28} {value:.4g}" for name, value in found.figures.items()))
-        click.echo("\n".join(f"{breach.at_s:8.2f} s {breach.rule}: {breach.text}" for breach in found.breaches)
-                   or "no rule broken")
+        click.echo(
+            "\n".join(f"{breach.at_s:8.2f} s {breach.rule}: {breach.text}" for breach in found.breaches)
+            or "no rule broken"
+        )
     sys.exit(3 if found.breaches else 0)
 
 
@@ -69,13 +71,18 @@
 @click.argument("folder", type=click.Path(file_okay=False, path_type=Path))
 @click.option("--seed", default=1, show_default=True, help="Another seed gives other days; the same one the same.")
 @click.option("--days", default=20, show_default=True, type=click.IntRange(1, 10_000), help="How many.")
-@click.option("--length", "length_s", default=32.0, show_default=True, type=click.FloatRange(5.0),
-              help="Seconds of traffic in a day.")
+@click.option(
+    "--length",
+    "length_s",
+    default=32.0,
+    show_default=True,
+    type=click.FloatRange(5.0),
+    help="Seconds of traffic in a day.",
+)
 @click.option("--kinds-of", "listing", type=FILE, help="Only the kinds that this file lists, one `name: text` a line.")
 @click.option("--also", default="", help="These kinds too, joined by commas.")
 @click.option("--only", default="", help="Only these kinds, joined by commas.")
-def write_days(folder: Path, seed: int, days: int, length_s: float, listing: Path | None, also: str,
-               only: str) -> None:
+def write_days(folder: Path, seed: int, days: int, length_s: float, listing: Path | None, also: str, only: str) -> None:
     """Write test days of a deployment into FOLDER, as TOML files; plays nothing. Without --kinds-of, of all kinds."""
     from lab.drawn_days import writing
     from lab.drawn_days.listing import ListingError, allowed_kinds
@@ -93,14 +100,20 @@
 
 @click.command()
 @click.argument("file", type=FILE, required=False)
-@click.option("--set", "settings", multiple=True, metavar="MODULE.NAME=VALUE",
-              help="A figure of the other side, such as balancer.PADDING=3; as often as wanted.")
+@click.option(
+    "--set",
+    "settings",
+    multiple=True,
+    metavar="MODULE.NAME=VALUE",
+    help="A figure of the other side, such as balancer.PADDING=3; as often as wanted.",
+)
 @click.option("--choice", default="", help="How the other side chooses a server: random or round-robin.")
 @click.option("--seeds", default=8, show_default=True, help="How many days of each side.")
 @click.option("--jobs", default=8, show_default=True, help="Processes at once.")
 @HTML
-def compare(file: Path | None, settings: tuple[str, ...], choice: str, seeds: int, jobs: int,
-            page: Path | None) -> None:
+def compare(
+    file: Path | None, settings: tuple[str, ...], choice: str, seeds: int, jobs: int, page: Path | None
+) -> None:
     """The program as it is against one with other figures, on the same days, paired by seed; a Markdown table.
 
     A difference whose 95% interval leaves out 0 is marked with a star.
@@ -120,5 +133,10 @@
         from lab import plots
 
         rows = [(row.name, row.as_is, row.difference, row.give) for row in experiment.rows(pairs)]
-        plots.write(page, f"{played.name}: as it is, and with {change}", {"days": f"seeds 1 to {seeds}, in pairs"},
-                    experiment.table(pairs, change), [plots.difference_plot(rows)])
+        plots.write(
+            page,
+            f"{played.name}: as it is, and with {change}",
+            {"days": f"seeds 1 to {seeds}, in pairs"},
+            experiment.table(pairs, change),
+            [plots.difference_plot(rows)],
+        )
--- a/lab/commands/histories.py
+++ b/lab/commands/histories.py
@@ -14,18 +14,22 @@
 
 Command = Callable[..., None]
 fault_option = click.option(
-    "--fault", help="Leave out a rule, by its name, or `all` one after another: each must be found.")
+    "--fault", help="Leave out a rule, by its name, or `all` one after another: each must be found."
+)
 
 
 def search_options(seeds: int, jobs: int, seeds_help: str) -> Callable[[Command], Command]:
     """The options of a search through seeds: how many, from which on, in how many processes."""
+
     def add(command: Command) -> Command:
         for option in (
-                click.option("--jobs", default=jobs, show_default=True, help="Processes at once."),
-                click.option("--first", default=0, show_default=True, help="The first seed."),
-                click.option("--seeds", default=seeds, show_default=True, help=seeds_help)):
+            click.option("--jobs", default=jobs, show_default=True, help="Processes at once."),
+            click.option("--first", default=0, show_default=True, help="The first seed."),
+            click.option("--seeds", default=seeds, show_default=True, help=seeds_help),
+        ):
             command = option(command)
         return command
+
     return add
 
 
@@ -168,8 +172,12 @@
     silence_simulated_nodes()
     report = Report()
     batches = [(fault, range(at, min(at + BATCH, first + seeds))) for at in range(first, first + seeds, BATCH)]
-    with ProcessPoolExecutor(jobs, initializer=silence_simulated_nodes) as pool, click.progressbar(
-            pool.map(search_with, batches), len(batches), label=fault or "histories", file=sys.stderr) as results:
+    with (
+        ProcessPoolExecutor(jobs, initializer=silence_simulated_nodes) as pool,
+        click.progressbar(
+            pool.map(search_with, batches), len(batches), label=fault or "histories", file=sys.stderr
+        ) as results,
+    ):
         for part in results:
             report.add(part)
     click.echo(report.table())
--- a/lab/commands/parallel.py
+++ b/lab/commands/parallel.py
@@ -20,12 +20,15 @@
     warnings.filterwarnings("ignore", "coroutine .* was never awaited", RuntimeWarning)
 
 
-def first_failure(play: Callable[[tuple[str, range]], tuple[int, str] | None], name: str, seeds: range,
-                  jobs: int) -> tuple[int, str] | None:
+def first_failure(
+    play: Callable[[tuple[str, range]], tuple[int, str] | None], name: str, seeds: range, jobs: int
+) -> tuple[int, str] | None:
     """Play histories in several processes until one fails; shows how far it is, where somebody looks on."""
-    batches = [(name, seeds[at:at + BATCH]) for at in range(0, len(seeds), BATCH)]
-    with ProcessPoolExecutor(jobs) as pool, click.progressbar(
-            pool.map(play, batches), len(batches), label=name or "histories", file=sys.stderr) as results:
+    batches = [(name, seeds[at : at + BATCH]) for at in range(0, len(seeds), BATCH)]
+    with (
+        ProcessPoolExecutor(jobs) as pool,
+        click.progressbar(pool.map(play, batches), len(batches), label=name or "histories", file=sys.stderr) as results,
+    ):
         for found in results:
             if found is not None:
                 pool.shutdown(wait=False, cancel_futures=True)
--- a/lab/commands/program.py
+++ b/lab/commands/program.py
@@ -7,11 +7,28 @@
 from lab.commands import costs, days, histories, measurements
 
 COMMANDS = (
-    histories.core, histories.turnover, histories.replacements, histories.closing,
-    histories.attempts, histories.chaos, histories.cuts, histories.traces,
-    measurements.fleet_membership, measurements.repair, measurements.disk, measurements.news, measurements.fetches,
-    days.day, days.days, days.write_days, days.compare,
-    costs.scale, costs.growth, costs.hollow, costs.footprint, costs.capacity,
+    histories.core,
+    histories.turnover,
+    histories.replacements,
+    histories.closing,
+    histories.attempts,
+    histories.chaos,
+    histories.cuts,
+    histories.traces,
+    measurements.fleet_membership,
+    measurements.repair,
+    measurements.disk,
+    measurements.news,
+    measurements.fetches,
+    days.day,
+    days.days,
+    days.write_days,
+    days.compare,
+    costs.scale,
+    costs.growth,
+    costs.hollow,
+    costs.footprint,
+    costs.capacity,
 )
 
 
--- a/lab/cuts.py
+++ b/lab/cuts.py
@@ -86,15 +86,21 @@
         if epoch is None or not isinstance(frame, (*WORDS, frames.Refer, frames.Join, frames.Attach)):
             return
         if isinstance(frame, WORDS) and epoch < self.highest and self.state() != before:
-            self.history.breach(f"{self.settings.node} took {type(frame).__name__} of epoch {epoch}, having seen "
-                                f"{self.highest}")
+            self.history.breach(
+                f"{self.settings.node} took {type(frame).__name__} of epoch {epoch}, having seen {self.highest}"
+            )
         self.highest = max(self.highest, epoch)
 
     def state(self) -> Any:
         """What a word of the root's may change."""
         at = self.relay
-        return (at.configuration.newest, at.listing.life, at.listing.seq, sum(at.heartbeats.numbers.values()),
-                at.registration.assignment)
+        return (
+            at.configuration.newest,
+            at.listing.life,
+            at.listing.seq,
+            sum(at.heartbeats.numbers.values()),
+            at.registration.assignment,
+        )
 
 
 class CutCluster(Cluster):
@@ -160,14 +166,23 @@
             return False
         if isinstance(frame, (frames.Beat, frames.Servers)):
             return frame.life == root.relay.listing.life
-        return (isinstance(frame, (frames.News, frames.Update, frames.Verdict))
-                and getattr(frame, "epoch", 0) == root.core.view.epoch)
+        return (
+            isinstance(frame, (frames.News, frames.Update, frames.Verdict))
+            and getattr(frame, "epoch", 0) == root.core.view.epoch
+        )
 
     def leader(self) -> GatewayNode | None:
         """The root that leads, by the newest view; not one that is cut off."""
-        led = [(core.view.epoch, node) for node in self.cluster.nodes.values() if (core := node.core) is not None
-               and core.view is not None and core.keeper is not None and node.relay.is_root
-               and core.keeper.leads(self.now_s) and not (self.cut_s and self.is_struck(node.settings.ip))]
+        led = [
+            (core.view.epoch, node)
+            for node in self.cluster.nodes.values()
+            if (core := node.core) is not None
+            and core.view is not None
+            and core.keeper is not None
+            and node.relay.is_root
+            and core.keeper.leads(self.now_s)
+            and not (self.cut_s and self.is_struck(node.settings.ip))
+        ]
         return max(led, key=lambda one: one[0], default=(0, None))[1]
 
     def under(self, node: GatewayNode, root: GatewayNode) -> bool:
@@ -205,7 +220,7 @@
     # -- what happens --------------------------------------------------------------------------------------
 
     def settle_on(self, root: GatewayNode) -> list[Machine]:
-        cores = self.cluster.machines[:self.case.cores]
+        cores = self.cluster.machines[: self.case.cores]
         by_ip = {settings.ip: (host, settings) for host, settings in cores}
         members = root.members()
         if self.case.who == "root":
@@ -218,12 +233,13 @@
 
     def cut(self) -> None:
         struck = {host.ip for host, _ in self.struck}
-        cores = {host.ip for host, _ in self.cluster.machines[:self.case.cores]}
+        cores = {host.ip for host, _ in self.cluster.machines[: self.case.cores]}
 
         def lost(one: Host, other: Host) -> bool:
             if not (one.ip in cores and other.ip in cores) or (one.ip in struck) == (other.ip in struck):
                 return False
             return self.case.way == "both" or (one.ip in struck) == (self.case.way == "out")
+
         self.cluster.net.cut = lost
         self.cluster.net.refuses = self.case.how != "silent"
 
@@ -241,14 +257,14 @@
     async def restarts(self) -> None:
         kind = self.case.restart
         await asyncio.sleep(self.chance.uniform(0.1, 0.6) * self.case.lasts_s)
-        others = [one for one in self.cluster.machines[:self.case.cores] if one not in self.struck]
+        others = [one for one in self.cluster.machines[: self.case.cores] if one not in self.struck]
         if kind in ("cut off", "both"):
             for machine in self.struck:
                 await self.restart(machine)
         if kind in ("others", "both"):
             await self.restart(self.chance.choice(others))
         if kind == "edges":
-            for machine in self.chance.sample(self.cluster.machines[self.case.cores:], 3):
+            for machine in self.chance.sample(self.cluster.machines[self.case.cores :], 3):
                 await self.restart(machine, wrong_seeds=True)
 
     async def operate(self) -> None:
@@ -327,16 +343,20 @@
 @contextlib.contextmanager
 def no_epochs() -> Iterator[None]:
     """Nobody looks at the epoch of what it is told."""
-    with (mock.patch.object(EpochFence, "rejects", lambda self, link, epoch: False),
-          mock.patch.object(EpochFence, "see", lambda self, epoch: setattr(self, "epoch", max(self.epoch, epoch)))):
+    with (
+        mock.patch.object(EpochFence, "rejects", lambda self, link, epoch: False),
+        mock.patch.object(EpochFence, "see", lambda self, epoch: setattr(self, "epoch", max(self.epoch, epoch))),
+    ):
         yield
 
 
 @contextlib.contextmanager
 def names_itself() -> Iterator[None]:
     """A machine of the core names the last of the chain that it holds, whomever it hears."""
+
     def vouched(self: core.Core) -> str:
         return self.view.members[-1] if self.view is not None else ""
+
     with mock.patch.object(core.Core, "vouched", vouched):
         yield
 
@@ -365,12 +385,16 @@
 
     def table(self) -> str:
         """Seconds (median / worst) as a Markdown table."""
-        lines = ["| cut off | way | with a root | cut to root | root to all under it | confirmed to all hold it |"
-                 " cut to all hold it | broken |",
-                 "| --- | --- | ---: | ---: | ---: | ---: | ---: | ---: |"]
+        lines = [
+            "| cut off | way | with a root | cut to root | root to all under it | confirmed to all hold it |"
+            " cut to all hold it | broken |",
+            "| --- | --- | ---: | ---: | ---: | ---: | ---: | ---: |",
+        ]
         for name, row in sorted(self.rows.items()):
-            lines.append(f"| {name} | {len(row.root_s)} | {span(row.root_s)} | {span(row.under_s)} |"
-                         f" {span(row.newest_s)} | {span(row.cut_newest_s)} | {len(row.breaches)} |")
+            lines.append(
+                f"| {name} | {len(row.root_s)} | {span(row.root_s)} | {span(row.under_s)} |"
+                f" {span(row.newest_s)} | {span(row.cut_newest_s)} | {len(row.breaches)} |"
+            )
         return "\n".join(lines)
 
 
--- a/lab/daily.py
+++ b/lab/daily.py
@@ -14,20 +14,57 @@
 from lab.emulator import Outcome, World
 
 SERVICES = (Service(name="finder", servers=9), Service(name="booker", servers=6))
-KINDS = (Kind(name="lookup", service="finder", per_s=30.0),
-         Kind(name="booking", service="booker", mode="effectful", per_s=12.0, work_ms=290.0, worth=2.0, late_worth=0.6),
-         Kind(name="upload", service="booker", mode="ingest", per_s=2.0, work_ms=250.0, body=60_000))
-KINDS_OF_TROUBLE = ("srv_ill", "srv_crash", "srv_flap", "release", "scale_in", "scale_out", "idle_race", "answer_lost",
-                    "surplus", "node_kill", "roll_term", "power_off_all", "zone_cut", "lossy", "burst", "config_change",
-                    "config_race", "reuse", "hup")
+KINDS = (
+    Kind(name="lookup", service="finder", per_s=30.0),
+    Kind(name="booking", service="booker", mode="effectful", per_s=12.0, work_ms=290.0, worth=2.0, late_worth=0.6),
+    Kind(name="upload", service="booker", mode="ingest", per_s=2.0, work_ms=250.0, body=60_000),
+)
+KINDS_OF_TROUBLE = (
+    "srv_ill",
+    "srv_crash",
+    "srv_flap",
+    "release",
+    "scale_in",
+    "scale_out",
+    "idle_race",
+    "answer_lost",
+    "surplus",
+    "node_kill",
+    "roll_term",
+    "power_off_all",
+    "zone_cut",
+    "lossy",
+    "burst",
+    "config_change",
+    "config_race",
+    "reuse",
+    "hup",
+)
 #: Unplanned trouble of machines excuses lost requests: every so many days have planned work and servers' troubles only.
 PLANNED_EVERY = 4
-PLANNED = ("roll_term", "roll_term", "hup", "hup", "config_change", "config_change", "config_race", "release",
-           "scale_in", "srv_ill", "burst")
+PLANNED = (
+    "roll_term",
+    "roll_term",
+    "hup",
+    "hup",
+    "config_change",
+    "config_change",
+    "config_race",
+    "release",
+    "scale_in",
+    "srv_ill",
+    "burst",
+)
 HOW = ("errors", "shed", "busy", "hang", "mute", "reset", "slow")
 #: Of each trouble that has one, the least and the most of its strength.
-STRENGTH = {"srv_ill": (0.1, 1.0), "idle_race": (0.1, 1.0), "answer_lost": (0.01, 0.3), "surplus": (0.01, 0.3),
-            "lossy": (0.005, 0.05), "burst": (1.5, 4.0)}
+STRENGTH = {
+    "srv_ill": (0.1, 1.0),
+    "idle_race": (0.1, 1.0),
+    "answer_lost": (0.01, 0.3),
+    "surplus": (0.01, 0.3),
+    "lossy": (0.005, 0.05),
+    "burst": (1.5, 4.0),
+}
 #: The share of days on which servers that book look something up by themselves.
 CALLS = 0.33
 #: Routes' cut-offs; 0: the deadline.
@@ -45,10 +82,17 @@
     strength = (2.0, 8.0) if kind == "srv_ill" and how == "slow" else STRENGTH.get(kind, (1.0, 1.0))
     at = chance.uniform(0.0, TRAFFIC_S - CALM_S - 4.0)
     away = {"power_off_all": (0.2, 1.5), "node_kill": (0.2, 3.0)}.get(kind, (0.5, 4.0))
-    return Trouble(kind=kind, how=how, at=round(at, 2), for_s=round(chance.uniform(*away), 2),  # type: ignore[arg-type]
-                   gap_s=round(chance.uniform(0.2, 1.0), 2), share=round(chance.uniform(0.05, 0.5), 2),
-                   x=round(chance.uniform(*strength), 3), on=chance.choice(("edge", "edge", "core")),
-                   service=chance.choice(("", "finder", "booker")))
+    return Trouble(
+        kind=kind,  # type: ignore[arg-type]
+        how=how,  # type: ignore[arg-type]
+        at=round(at, 2),
+        for_s=round(chance.uniform(*away), 2),
+        gap_s=round(chance.uniform(0.2, 1.0), 2),
+        share=round(chance.uniform(0.05, 0.5), 2),
+        x=round(chance.uniform(*strength), 3),
+        on=chance.choice(("edge", "edge", "core")),
+        service=chance.choice(("", "finder", "booker")),
+    )
 
 
 def drawn(seed: int) -> Day:
@@ -60,9 +104,17 @@
     kinds = tuple(msgspec.structs.replace(kind, cutoff_ms=chance.choice(CUTOFFS_MS)) for kind in KINDS)
     if chance.random() < CALLS:
         kinds = tuple(msgspec.structs.replace(kind, calls="lookup" if kind.name == "booking" else "") for kind in kinds)
-    return Day(name=f"drawn-{seed}", edges=chance.randint(4, 16), cores=chance.choice((3, 3, 5)),
-               zones=chance.randint(2, 4), idle_routes=chance.choice((8, 8, 300)), traffic_s=TRAFFIC_S,
-               services=SERVICES, kinds=kinds, troubles=troubles)
+    return Day(
+        name=f"drawn-{seed}",
+        edges=chance.randint(4, 16),
+        cores=chance.choice((3, 3, 5)),
+        zones=chance.randint(2, 4),
+        idle_routes=chance.choice((8, 8, 300)),
+        traffic_s=TRAFFIC_S,
+        services=SERVICES,
+        kinds=kinds,
+        troubles=troubles,
+    )
 
 
 def wrong(day: Day, seed: int) -> tuple[str, str]:
@@ -89,7 +141,7 @@
     """Without the troubles that the broken rule does not need."""
     at = 0
     while at < len(day.troubles):
-        fewer = msgspec.structs.replace(day, troubles=day.troubles[:at] + day.troubles[at + 1:])
+        fewer = msgspec.structs.replace(day, troubles=day.troubles[:at] + day.troubles[at + 1 :])
         if wrong(fewer, seed)[0] == rule:
             day = fewer
         else:
--- a/lab/day.py
+++ b/lab/day.py
@@ -62,9 +62,27 @@
 class Trouble(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """One entry of a day: what, when (seconds from the start of traffic), for how long, and on how many."""
 
-    kind: Literal["srv_ill", "srv_crash", "srv_flap", "release", "scale_in", "scale_out", "idle_race", "answer_lost",
-                  "surplus", "node_kill", "roll_term", "power_off_all", "zone_cut", "lossy", "burst", "config_change",
-                  "config_race", "reuse", "hup"]
+    kind: Literal[
+        "srv_ill",
+        "srv_crash",
+        "srv_flap",
+        "release",
+        "scale_in",
+        "scale_out",
+        "idle_race",
+        "answer_lost",
+        "surplus",
+        "node_kill",
+        "roll_term",
+        "power_off_all",
+        "zone_cut",
+        "lossy",
+        "burst",
+        "config_change",
+        "config_race",
+        "reuse",
+        "hup",
+    ]
     at: float = 0.0
     for_s: float = 5.0
     gap_s: float = 1.0
@@ -112,7 +130,8 @@
     services: tuple[Service, ...] = (Service(name="finder"), Service(name="booker", servers=8))
     kinds: tuple[Kind, ...] = (
         Kind(name="lookup", service="finder", per_s=120.0),
-        Kind(name="booking", service="booker", mode="effectful", per_s=40.0, work_ms=290.0, worth=2.0, late_worth=0.6))
+        Kind(name="booking", service="booker", mode="effectful", per_s=40.0, work_ms=290.0, worth=2.0, late_worth=0.6),
+    )
     troubles: tuple[Trouble, ...] = ()
 
     def wrong(self) -> str:
--- a/lab/disk_growth.py
+++ b/lab/disk_growth.py
@@ -48,8 +48,9 @@
         await store.save_entry(Entry(number, 256, number, number - 1, bytes(body)))
         if number % (changes // steps) == 0:
             took_ms = (time.perf_counter() - began_s) * 1e3 / (changes // steps)
-            found.append(Size(number, kilobytes(folder / FILE), kilobytes(folder / f"{FILE}-wal"), resident_mb(),
-                              took_ms))
+            found.append(
+                Size(number, kilobytes(folder / FILE), kilobytes(folder / f"{FILE}-wal"), resident_mb(), took_ms)
+            )
             began_s = time.perf_counter()
     store.close()
     store.thread.join()
@@ -62,5 +63,7 @@
     for size in sizes:
         with tempfile.TemporaryDirectory(prefix="cypressbeam-disk-") as folder:
             for at in asyncio.run(grow(Path(folder), changes, size, steps)):
-                yield (f"| {size} | {at.changes} | {at.database_kb:.0f} | {at.log_kb:.0f} | {at.memory_mb:.1f} |"
-                       f" {at.change_ms:.2f} |")
+                yield (
+                    f"| {size} | {at.changes} | {at.database_kb:.0f} | {at.log_kb:.0f} | {at.memory_mb:.1f} |"
+                    f" {at.change_ms:.2f} |"
+                )
--- a/lab/drawn_days/drawing.py
+++ b/lab/drawn_days/drawing.py
@@ -61,14 +61,17 @@
     allowed = [sequence for sequence in SEQUENCES if sequence.kinds <= kinds]
     wanted = sum(chance.random() < probability for probability in (SEQUENCE_PROBABILITY, SECOND_SEQUENCE_PROBABILITY))
     drawn = chance.sample(allowed, min(wanted, len(allowed)))
-    return [entry for sequence in drawn
-            for entry in sequence.draw(chance, chance.uniform(FIRST_S, LATEST_START * length_s))]
+    return [
+        entry for sequence in drawn for entry in sequence.draw(chance, chance.uniform(FIRST_S, LATEST_START * length_s))
+    ]
 
 
 def draw_changes(chance: random.Random, length_s: float) -> list[Entry]:
     """Changes of a route throughout the day."""
-    return [replace(draw_entry(chance, CHANGE, max(0.0, share * length_s + chance.uniform(-1.0, 1.0))), how="route")
-            for share in CHANGES_AT]
+    return [
+        replace(draw_entry(chance, CHANGE, max(0.0, share * length_s + chance.uniform(-1.0, 1.0))), how="route")
+        for share in CHANGES_AT
+    ]
 
 
 def draw_day(seed: int, kinds: Iterable[str], length_s: float, name: str) -> DrawnDay:
@@ -78,8 +81,10 @@
         raise ValueError(f"kinds {allowed}; one or more of the table are wanted")
     chance = random.Random(f"drawn day {seed}")
     last_s = max(FIRST_S, length_s - LAST_BEFORE_END_S)
-    entries = [draw_entry(chance, chance.choice(allowed), chance.uniform(FIRST_S, last_s))
-               for _ in range(chance.randint(LEAST_ENTRIES, MOST_ENTRIES))]
+    entries = [
+        draw_entry(chance, chance.choice(allowed), chance.uniform(FIRST_S, last_s))
+        for _ in range(chance.randint(LEAST_ENTRIES, MOST_ENTRIES))
+    ]
     entries += draw_sequences(chance, frozenset(allowed), length_s)
     if CHANGE in allowed:
         entries += draw_changes(chance, length_s)
--- a/lab/drawn_days/entries.py
+++ b/lab/drawn_days/entries.py
@@ -51,11 +51,14 @@
     """An entry of a kind at a time. Raises KeyError for a kind that the table does not hold."""
     kind = TABLE[name]
     variant = chance.choice(kind.variants)
-    return Entry(kind=name, at_s=round(at_s, 2),
-                 duration_s=one_of(chance, kind.duration_s),
-                 share=one_of(chance, kind.share),
-                 count=one_of(chance, kind.count),
-                 strength=one_of(chance, kind.variant_strength.get(variant, kind.strength)),
-                 gap_s=one_of(chance, kind.gap_s),
-                 machines=one_of(chance, kind.machines) or None,
-                 how=draw_words(chance, kind, variant) or None)
+    return Entry(
+        kind=name,
+        at_s=round(at_s, 2),
+        duration_s=one_of(chance, kind.duration_s),
+        share=one_of(chance, kind.share),
+        count=one_of(chance, kind.count),
+        strength=one_of(chance, kind.variant_strength.get(variant, kind.strength)),
+        gap_s=one_of(chance, kind.gap_s),
+        machines=one_of(chance, kind.machines) or None,
+        how=draw_words(chance, kind, variant) or None,
+    )
--- a/lab/drawn_days/kinds.py
+++ b/lab/drawn_days/kinds.py
@@ -26,8 +26,17 @@
 #: How widely trouble strikes the servers.
 SPREADS = ("", "across", "all")
 #: The ways in which a configuration is invalid.
-INVALID_CONFIGURATIONS = ("cut_short", "unknown_service", "same_place", "no_weight", "no_timeout", "old_version",
-                          "same_version", "stale_match", "shared_key")
+INVALID_CONFIGURATIONS = (
+    "cut_short",
+    "unknown_service",
+    "same_place",
+    "no_weight",
+    "no_timeout",
+    "old_version",
+    "same_version",
+    "stale_match",
+    "shared_key",
+)
 
 
 class Section(StrEnum):
@@ -67,20 +76,48 @@
 def server_kinds() -> tuple[Kind, ...]:
     """What happens to servers, and planned work on them."""
     return (
-        Kind(name="srv_crash", duration_s=DURATIONS_S, share=SMALL_SHARES, variants=("", "dark", "gone", "dark gone"),
-             modifiers=(SPREADS,)),
+        Kind(
+            name="srv_crash",
+            duration_s=DURATIONS_S,
+            share=SMALL_SHARES,
+            variants=("", "dark", "gone", "dark gone"),
+            modifiers=(SPREADS,),
+        ),
         Kind(name="srv_slow", duration_s=DURATIONS_S, share=SHARES, strength=(2.0, 4.0, 8.0), modifiers=(SPREADS,)),
-        Kind(name="srv_grey", duration_s=DURATIONS_S, share=SMALL_SHARES, strength=(0.2, 0.4, 1.0),
-             variants=("errors", "shed", "busy", "hang", "reset", "mute", "slow"),
-             variant_strength={"slow": (4.0, 8.0)}, modifiers=(("", "one_zone"), SPREADS)),
-        Kind(name="srv_lying_health", duration_s=DURATIONS_S, share=SMALL_SHARES,
-             variants=("errors", "hang", "reset", "bad"), modifiers=(SPREADS,)),
+        Kind(
+            name="srv_grey",
+            duration_s=DURATIONS_S,
+            share=SMALL_SHARES,
+            strength=(0.2, 0.4, 1.0),
+            variants=("errors", "shed", "busy", "hang", "reset", "mute", "slow"),
+            variant_strength={"slow": (4.0, 8.0)},
+            modifiers=(("", "one_zone"), SPREADS),
+        ),
+        Kind(
+            name="srv_lying_health",
+            duration_s=DURATIONS_S,
+            share=SMALL_SHARES,
+            variants=("errors", "hang", "reset", "bad"),
+            modifiers=(SPREADS,),
+        ),
         Kind(name="srv_flap", duration_s=DURATIONS_S, share=SMALL_SHARES, gap_s=(0.5, 1.0, 2.0)),
         Kind(name="idle_race", duration_s=DURATIONS_S, share=SHARES, strength=(100.0, 300.0, 1000.0)),
-        Kind(name="answer_lost", duration_s=DURATIONS_S, share=SHARES, strength=(0.03, 0.1, 0.25),
-             variants=("", "reset"), modifiers=(SPREADS,)),
-        Kind(name="garble", duration_s=DURATIONS_S, share=SHARES, strength=(0.02, 0.1, 0.25),
-             variants=("", "extra", "extra late", "unframed", "early"), modifiers=(SPREADS,)),
+        Kind(
+            name="answer_lost",
+            duration_s=DURATIONS_S,
+            share=SHARES,
+            strength=(0.03, 0.1, 0.25),
+            variants=("", "reset"),
+            modifiers=(SPREADS,),
+        ),
+        Kind(
+            name="garble",
+            duration_s=DURATIONS_S,
+            share=SHARES,
+            strength=(0.02, 0.1, 0.25),
+            variants=("", "extra", "extra late", "unframed", "early"),
+            modifiers=(SPREADS,),
+        ),
         Kind(name="replace_with_reuse", share=SMALL_SHARES, variants=("", "drain", "dark")),
         Kind(name="release", section=Section.PLAN, share=SHARES, strength=(1.0, 3.0, 6.0), gap_s=GAPS_S),
         Kind(name="scale_in", section=Section.PLAN, share=SMALL_SHARES, strength=(0.5, 2.0), variants=("", "spot")),
@@ -102,25 +139,75 @@
 def machine_kinds() -> tuple[Kind, ...]:
     """Machines that stop, freeze, turn slow or are cut off, and planned stops."""
     return (
-        Kind(name="node_kill", duration_s=DURATIONS_S, share=SMALL_SHARES, machines=("", "core"),
-             variants=("", "power"), modifiers=(TARGETS,), follow_ups=FOLLOW_UPS),
-        Kind(name="node_freeze", duration_s=DURATIONS_S, share=SMALL_SHARES, machines=("", "core"),
-             modifiers=(TARGETS,), follow_ups=FOLLOW_UPS),
-        Kind(name="node_slow", duration_s=DURATIONS_S, share=SMALL_SHARES, strength=(3.0, 6.0),
-             machines=("", "core"), modifiers=(TARGETS,)),
-        Kind(name="node_cut", duration_s=CUT_DURATIONS_S, share=SMALL_SHARES, variants=("", "all", "servers"),
-             modifiers=(REJECTIONS,), follow_ups=FOLLOW_UPS),
-        Kind(name="core_cut", duration_s=CUT_DURATIONS_S, count=ONE_OR_TWO,
-             variants=("", "all", "near", "oldest", "one_way", "seeds", "both", "lure"),
-             modifiers=(TARGETS, REJECTIONS), follow_ups=FOLLOW_UPS),
-        Kind(name="herd_kill", duration_s=DURATIONS_S, share=(0.3, 0.6, 1.0), machines=("", "core"),
-             variants=("", "power", "taken", "taken all"), follow_ups=("race",)),
+        Kind(
+            name="node_kill",
+            duration_s=DURATIONS_S,
+            share=SMALL_SHARES,
+            machines=("", "core"),
+            variants=("", "power"),
+            modifiers=(TARGETS,),
+            follow_ups=FOLLOW_UPS,
+        ),
+        Kind(
+            name="node_freeze",
+            duration_s=DURATIONS_S,
+            share=SMALL_SHARES,
+            machines=("", "core"),
+            modifiers=(TARGETS,),
+            follow_ups=FOLLOW_UPS,
+        ),
+        Kind(
+            name="node_slow",
+            duration_s=DURATIONS_S,
+            share=SMALL_SHARES,
+            strength=(3.0, 6.0),
+            machines=("", "core"),
+            modifiers=(TARGETS,),
+        ),
+        Kind(
+            name="node_cut",
+            duration_s=CUT_DURATIONS_S,
+            share=SMALL_SHARES,
+            variants=("", "all", "servers"),
+            modifiers=(REJECTIONS,),
+            follow_ups=FOLLOW_UPS,
+        ),
+        Kind(
+            name="core_cut",
+            duration_s=CUT_DURATIONS_S,
+            count=ONE_OR_TWO,
+            variants=("", "all", "near", "oldest", "one_way", "seeds", "both", "lure"),
+            modifiers=(TARGETS, REJECTIONS),
+            follow_ups=FOLLOW_UPS,
+        ),
+        Kind(
+            name="herd_kill",
+            duration_s=DURATIONS_S,
+            share=(0.3, 0.6, 1.0),
+            machines=("", "core"),
+            variants=("", "power", "taken", "taken all"),
+            follow_ups=("race",),
+        ),
         Kind(name="reset_conns", share=SMALL_SHARES, strength=(0.5, 1.0), modifiers=(TARGETS,)),
-        Kind(name="clock_step", duration_s=DURATIONS_S, share=(0.3, 0.6), strength=(500.0, 2000.0, 10_000.0),
-             variants=("", "back", "ahead"), modifiers=(TARGETS,)),
+        Kind(
+            name="clock_step",
+            duration_s=DURATIONS_S,
+            share=(0.3, 0.6),
+            strength=(500.0, 2000.0, 10_000.0),
+            variants=("", "back", "ahead"),
+            modifiers=(TARGETS,),
+        ),
         Kind(name="seed_turnover"),
-        Kind(name="roll_term", section=Section.PLAN, share=(0.3, 1.0), strength=(1.0, 3.0), gap_s=GAPS_S,
-             machines=("", "core"), variants=("", "remove"), modifiers=(("", "busy"),)),
+        Kind(
+            name="roll_term",
+            section=Section.PLAN,
+            share=(0.3, 1.0),
+            strength=(1.0, 3.0),
+            gap_s=GAPS_S,
+            machines=("", "core"),
+            variants=("", "remove"),
+            modifiers=(("", "busy"),),
+        ),
         Kind(name="add_nodes", section=Section.PLAN, share=(0.5, 1.0)),
         Kind(name="hup", section=Section.PLAN, share=(0.3, 1.0), gap_s=(0.5, 2.0)),
     )
@@ -129,12 +216,21 @@
 def storage_kinds() -> tuple[Kind, ...]:
     """Disks in trouble, and the loss or replacement of machines that hold state."""
     return (
-        Kind(name="disk_slow", duration_s=DURATIONS_S, count=ONE_OR_TWO, strength=(10.0, 30.0, 100.0),
-             modifiers=(TARGETS,)),
+        Kind(
+            name="disk_slow",
+            duration_s=DURATIONS_S,
+            count=ONE_OR_TWO,
+            strength=(10.0, 30.0, 100.0),
+            modifiers=(TARGETS,),
+        ),
         Kind(name="disk_stall", duration_s=DURATIONS_S, count=ONE_OR_TWO, modifiers=(TARGETS,)),
         Kind(name="disk_full", duration_s=DURATIONS_S, count=ONE_OR_TWO, modifiers=(TARGETS,)),
-        Kind(name="after_ack_kill", duration_s=DURATIONS_S, count=ONE_OR_TWO,
-             variants=("", "kill", "timed", "taken", "taken gone")),
+        Kind(
+            name="after_ack_kill",
+            duration_s=DURATIONS_S,
+            count=ONE_OR_TWO,
+            variants=("", "kill", "timed", "taken", "taken gone"),
+        ),
         Kind(name="after_ack_wipe", duration_s=DURATIONS_S, count=ONE_OR_TWO, variants=("", "timed", "oldest")),
         Kind(name="replace_core", strength=(0.5, 1.0, 4.0, 10.0), variants=("", "planned", "oldest", "leader")),
     )
@@ -143,8 +239,11 @@
 def configuration_kinds() -> tuple[Kind, ...]:
     """What the operator sends."""
     return (
-        Kind(name="config_change", section=Section.PLAN,
-             variants=("route", "weights", "timeout", "tenant", "quota", "idle")),
+        Kind(
+            name="config_change",
+            section=Section.PLAN,
+            variants=("route", "weights", "timeout", "tenant", "quota", "idle"),
+        ),
         Kind(name="config_race", section=Section.PLAN, count=(1, 3, 6, 12), gap_s=GAPS_S),
         Kind(name="config_storm", section=Section.PLAN, duration_s=(2.0, 4.0, 8.0), gap_s=(0.1, 0.2, 0.4)),
         Kind(name="bad_config", section=Section.PLAN, count=(1, 3, 6), gap_s=GAPS_S, variants=INVALID_CONFIGURATIONS),
@@ -153,5 +252,8 @@
     )
 
 
-TABLE: dict[str, Kind] = {kind.name: kind for group in (server_kinds(), client_kinds(), machine_kinds(),
-                                                        storage_kinds(), configuration_kinds()) for kind in group}
+TABLE: dict[str, Kind] = {
+    kind.name: kind
+    for group in (server_kinds(), client_kinds(), machine_kinds(), storage_kinds(), configuration_kinds())
+    for kind in group
+}
--- a/lab/drawn_days/listing.py
+++ b/lab/drawn_days/listing.py
@@ -23,8 +23,9 @@
     return frozenset(KIND_LINE.findall(text))
 
 
-def allowed_kinds(listing: Path | None, only: Sequence[str] = (),
-                  also: Sequence[str] = ()) -> tuple[tuple[str, ...], tuple[str, ...]]:
+def allowed_kinds(
+    listing: Path | None, only: Sequence[str] = (), also: Sequence[str] = ()
+) -> tuple[tuple[str, ...], tuple[str, ...]]:
     """The kinds to draw from, and those of the listing that the table does not hold, both sorted.
 
     `also` holds kinds that a site takes though its listing lacks them. Raises ListingError for a name in `also` that
--- a/lab/drawn_days/sequences.py
+++ b/lab/drawn_days/sequences.py
@@ -37,8 +37,11 @@
 def replacement_at_an_acknowledgement(chance: random.Random, at_s: float) -> list[Entry]:
     """A machine is replaced just before or after another loses power, or its disk, with an acknowledgement."""
     loss = chance.choice(("after_ack_kill", "after_ack_wipe"))
-    return [draw_entry(chance, loss, at_s), replace(draw_entry(chance, "config_change", at_s + 0.05), how="route"),
-            draw_entry(chance, "replace_core", max(0.0, at_s + chance.uniform(-1.0, 1.0)))]
+    return [
+        draw_entry(chance, loss, at_s),
+        replace(draw_entry(chance, "config_change", at_s + 0.05), how="route"),
+        draw_entry(chance, "replace_core", max(0.0, at_s + chance.uniform(-1.0, 1.0))),
+    ]
 
 
 def replacement_with_a_full_disk(chance: random.Random, at_s: float) -> list[Entry]:
@@ -49,9 +52,11 @@
 
 def replacement_of_a_large_configuration(chance: random.Random, at_s: float) -> list[Entry]:
     """A successor fetches a large configuration, and changes go on."""
-    return [replace(draw_entry(chance, "big_config", at_s), count=1000),
-            draw_entry(chance, "replace_core", at_s + chance.uniform(0.5, 3.0)),
-            replace(draw_entry(chance, "config_race", at_s + 1.0), count=6, gap_s=0.3)]
+    return [
+        replace(draw_entry(chance, "big_config", at_s), count=1000),
+        draw_entry(chance, "replace_core", at_s + chance.uniform(0.5, 3.0)),
+        replace(draw_entry(chance, "config_race", at_s + 1.0), count=6, gap_s=0.3),
+    ]
 
 
 def change_storm(chance: random.Random, at_s: float) -> list[Entry]:
@@ -66,15 +71,23 @@
     """Each way in which a configuration is invalid, in any order, with valid changes between them."""
     ways = chance.sample(INVALID_CONFIGURATIONS, len(INVALID_CONFIGURATIONS))
     race = replace(draw_entry(chance, "config_race", at_s), count=6, gap_s=0.5)
-    return [race, *(replace(draw_entry(chance, "bad_config", at_s + 0.4 * number), count=1, how=way)
-                    for number, way in enumerate(ways))]
+    return [
+        race,
+        *(
+            replace(draw_entry(chance, "bad_config", at_s + 0.4 * number), count=1, how=way)
+            for number, way in enumerate(ways)
+        ),
+    ]
 
 
 def invalid_configuration_in_a_cut(chance: random.Random, at_s: float) -> list[Entry]:
     """Invalid configurations reach a part that is cut off, in a race with valid ones."""
     cut = replace(draw_entry(chance, "core_cut", at_s), duration_s=8.0, count=1)
-    return [cut, replace(draw_entry(chance, "bad_config", at_s + 0.5), count=6, gap_s=0.5),
-            replace(draw_entry(chance, "config_race", at_s + 0.6), count=6, gap_s=0.5)]
+    return [
+        cut,
+        replace(draw_entry(chance, "bad_config", at_s + 0.5), count=6, gap_s=0.5),
+        replace(draw_entry(chance, "config_race", at_s + 0.6), count=6, gap_s=0.5),
+    ]
 
 
 def long_absence(chance: random.Random, at_s: float) -> list[Entry]:
--- a/lab/drawn_days/writing.py
+++ b/lab/drawn_days/writing.py
@@ -28,9 +28,19 @@
 
 def entry_text(entry: Entry) -> str:
     """One entry as an inline table, under the names that the file uses."""
-    return inline_table({"at": entry.at_s, "kind": entry.kind, "for_s": entry.duration_s, "share": entry.share,
-                         "count": entry.count, "x": entry.strength, "gap_s": entry.gap_s, "on": entry.machines,
-                         "how": entry.how})
+    return inline_table(
+        {
+            "at": entry.at_s,
+            "kind": entry.kind,
+            "for_s": entry.duration_s,
+            "share": entry.share,
+            "count": entry.count,
+            "x": entry.strength,
+            "gap_s": entry.gap_s,
+            "on": entry.machines,
+            "how": entry.how,
+        }
+    )
 
 
 def closing_text(closing: Closing | None) -> str:
@@ -42,9 +52,11 @@
 
 def day_text(day: DrawnDay) -> str:
     """The whole file."""
-    lists = "".join(f"{section.value} = [\n" + "".join(f"  {entry_text(entry)},\n" for entry in day.section(section))
-                    + "]\n" for section in Section)
-    return f'[[day]]\nname = {json.dumps(day.name)}\nseed = {day.seed}\n{HEAD}{lists}{closing_text(day.closing)}'
+    lists = "".join(
+        f"{section.value} = [\n" + "".join(f"  {entry_text(entry)},\n" for entry in day.section(section)) + "]\n"
+        for section in Section
+    )
+    return f"[[day]]\nname = {json.dumps(day.name)}\nseed = {day.seed}\n{HEAD}{lists}{closing_text(day.closing)}"
 
 
 def write_days(folder: Path, kinds: Iterable[str], seed: int, days: int, length_s: float) -> list[Path]:
--- a/lab/emulator.py
+++ b/lab/emulator.py
@@ -82,8 +82,9 @@
         super().__init__(day.edges, seed, day.edge_mbps, day.core_mbps, day.idle_routes, day.cores, self.zones)
         self.ledger = Ledger()
         self.chance = random.Random(f"{seed} world")
-        self.outside: dict[str, Host] = {zone: self.net.add(f"10.240.{number}.1", zone)
-                                         for number, zone in enumerate(self.zones)}
+        self.outside: dict[str, Host] = {
+            zone: self.net.add(f"10.240.{number}.1", zone) for number, zone in enumerate(self.zones)
+        }
         self.servers: list[Server] = []
         self.hosts: dict[str, Host] = {}
         """By server."""
@@ -104,12 +105,24 @@
 
     def settings_of(self, name: str, ip: str, zone: str, core: bool) -> Settings:
         day = self.day
-        envelope = Envelope(converge_ms=int(day.converge_s * 1000), drain_deadline_ms=int(day.drain_s * 1000),
-                            grace_period_s=day.grace_s, retry_ratio=day.retry_ratio, retry_window_s=day.retry_window_s,
-                            retry_slack=day.retry_slack)
-        return replace(super().settings_of(name, ip, zone, core), control=(ip, CONTROL), platform=PLATFORM,
-                       readiness=None if core else (ip, READY), memory_mb=day.memory_mb, file_handles=4100,
-                       envelope=envelope, share_faults=day.share_faults)
+        envelope = Envelope(
+            converge_ms=int(day.converge_s * 1000),
+            drain_deadline_ms=int(day.drain_s * 1000),
+            grace_period_s=day.grace_s,
+            retry_ratio=day.retry_ratio,
+            retry_window_s=day.retry_window_s,
+            retry_slack=day.retry_slack,
+        )
+        return replace(
+            super().settings_of(name, ip, zone, core),
+            control=(ip, CONTROL),
+            platform=PLATFORM,
+            readiness=None if core else (ip, READY),
+            memory_mb=day.memory_mb,
+            file_handles=4100,
+            envelope=envelope,
+            share_faults=day.share_faults,
+        )
 
     def add(self, name: str, ip: str, zone: str, core: bool) -> None:
         super().add(name, ip, zone, core)
@@ -134,13 +147,22 @@
         self.net.start(place)
 
         async def begin() -> Server:
-            server = Server(service.name, zone, service.slots, service.queue, ident=f"i-{self.born:05x}",
-                            connections=service.connections, ledger=self.ledger, work_of=self.work_of,
-                            chance=random.Random(f"{self.seed} server {self.born}"))
+            server = Server(
+                service.name,
+                zone,
+                service.slots,
+                service.queue,
+                ident=f"i-{self.born:05x}",
+                connections=service.connections,
+                ledger=self.ledger,
+                work_of=self.work_of,
+                chance=random.Random(f"{self.seed} server {self.born}"),
+            )
             server.call_of = self.calls.of
             server.speed = server.chance.lognormvariate(0.0, service.spread)
             await server.listen(place.ip, SERVER_PORT)
             return server
+
         server = await self.loop.create_task(begin(), context=place.context)
         if new:
             server.started_s = self.loop.time()
@@ -150,7 +172,7 @@
         return server
 
     def work_of(self, target: bytes) -> float:
-        return self.works_s.get(target[:target.find(b"/", 1) + 1], 0.05)
+        return self.works_s.get(target[: target.find(b"/", 1) + 1], 0.05)
 
     def drain(self, server: Server) -> None:
         server.state = "draining"
@@ -158,8 +180,11 @@
 
     def of(self, service: str) -> list[Server]:
         """Servers in service, of one service or of all."""
-        return [server for server in self.servers
-                if server.state == "in_service" and self.hosts[server.ident].up and service in ("", server.plant)]
+        return [
+            server
+            for server in self.servers
+            if server.state == "in_service" and self.hosts[server.ident].up and service in ("", server.plant)
+        ]
 
     # -- the platform --------------------------------------------------------------------------------------
 
@@ -175,6 +200,7 @@
                     self.misses[settings.node] = MISSES
                     self.loop.create_task(self.watch(machine, settings), context=host.context)
             return platform
+
         self.platform = await self.loop.create_task(begin(), context=host.context)
 
     async def watch(self, machine: Host, settings: Settings) -> None:
@@ -212,16 +238,35 @@
         usual = day.kinds[0]
         channels += [self.channel(f"idle-{number}", usual) for number in range(day.idle_routes)]
         channels += [self.channel(label, usual) for label in self.added[-1:]]
-        plants = [{"label": service.name, "probe": "/health", "connLimit": service.connections, "protocol": "h1",
-                   "tls": False} for service in day.services]
-        return {"revision": revision, "channels": channels, "plants": plants,
-                "constraints": {"headerMaxBytes": 16384, "bodyMaxBytes": 1 << 24, "headerWaitMs": 3000,
-                                "quietMs": 15000}}
+        plants = [
+            {
+                "label": service.name,
+                "probe": "/health",
+                "connLimit": service.connections,
+                "protocol": "h1",
+                "tls": False,
+            }
+            for service in day.services
+        ]
+        return {
+            "revision": revision,
+            "channels": channels,
+            "plants": plants,
+            "constraints": {"headerMaxBytes": 16384, "bodyMaxBytes": 1 << 24, "headerWaitMs": 3000, "quietMs": 15000},
+        }
 
     def channel(self, label: str, kind: Kind) -> dict[str, Any]:
-        return {"label": label, "host": HOST_NAME, "prefix": f"/{label}/", "mode": kind.mode,
-                "cutoffMs": kind.cutoff, "setpointMs": kind.aim_ms, "rank": 0 if kind.worth > 1 else 1,
-                "tries": kind.tries, "plant": kind.service}
+        return {
+            "label": label,
+            "host": HOST_NAME,
+            "prefix": f"/{label}/",
+            "mode": kind.mode,
+            "cutoffMs": kind.cutoff,
+            "setpointMs": kind.aim_ms,
+            "rank": 0 if kind.worth > 1 else 1,
+            "tries": kind.tries,
+            "plant": kind.service,
+        }
 
     async def push(self) -> float:
         """Replace the configuration, at any node, until it is taken; when that was acknowledged."""
@@ -264,7 +309,8 @@
                 answer = await connection.call(
                     b"POST /-/Configuration.Replace HTTP/1.1\r\nHost: control\r\nBase-Revision: %d\r\n"
                     b"Content-Type: application/cbor\r\nContent-Length: %d\r\n\r\n%s" % (base, len(body), body),
-                    PATIENCE_S)
+                    PATIENCE_S,
+                )
             finally:
                 connection.close()
         return answer.status
@@ -290,15 +336,18 @@
                 continue
             ident = f"look-{name}-{settings.node}-{number}"
             target = f"/{name}/{ident}".encode()
-            one = self.ledger.tries[ident] = Try(ident, name, True, settings.node, (b"GET", target, b""),
-                                                 self.loop.time())
+            one = self.ledger.tries[ident] = Try(
+                ident, name, True, settings.node, (b"GET", target, b""), self.loop.time()
+            )
             connection = ListConnection((settings.ip, FRONT))
             try:
                 async with asyncio.timeout(PATIENCE_S):
                     await connection.open()
                     answer = await connection.call(
                         b"GET %s HTTP/1.1\r\nHost: %s\r\nAttempt-Id: %s\r\nTime-Left-Ms: 2000\r\n\r\n"
-                        % (target, HOST_NAME.encode(), ident.encode()), PATIENCE_S)
+                        % (target, HOST_NAME.encode(), ident.encode()),
+                        PATIENCE_S,
+                    )
             except (OSError, EOFError, TimeoutError):
                 continue
             finally:
@@ -346,9 +395,17 @@
         day = self.day
         for zone, host in self.outside.items():
             population = Population(
-                zone, day.kinds, 1.0 / len(self.zones), lambda zone=zone: self.nodes_of(zone),  # type: ignore[misc]
-                lambda kind: HOST_NAME, lambda kind: self.ledger.allowed[kind.name], day.kept, self.ledger,
-                random.Random(f"{self.seed} clients {zone}"), stops_s)
+                zone,
+                day.kinds,
+                1.0 / len(self.zones),
+                lambda zone=zone: self.nodes_of(zone),  # type: ignore[misc]
+                lambda kind: HOST_NAME,
+                lambda kind: self.ledger.allowed[kind.name],
+                day.kept,
+                self.ledger,
+                random.Random(f"{self.seed} clients {zone}"),
+                stops_s,
+            )
             self.populations.append(population)
             host.context.copy().run(population.start)
 
@@ -373,18 +430,28 @@
 
     def outcome(self) -> Outcome:
         day, ledger = self.day, self.ledger
-        found = ledger.breaches(day.drain_s, day.retry_ratio, day.retry_window_s, day.retry_slack, Bounds(
-            grace_s=day.grace_s, converge_s=day.converge_s, contact_s=day.contact_s, loss_slack_s=day.loss_slack_s))
+        found = ledger.breaches(
+            day.drain_s,
+            day.retry_ratio,
+            day.retry_window_s,
+            day.retry_slack,
+            Bounds(
+                grace_s=day.grace_s, converge_s=day.converge_s, contact_s=day.contact_s, loss_slack_s=day.loss_slack_s
+            ),
+        )
         found += [Breach("FAULT", 0.0, text) for text in self.net.faults]
         edges = [host for host, settings in self.machines if settings.front is not None]
         figures = {"worth": ledger.worth(), "worst windows": ledger.worst_windows(), "served": ledger.served()}
         figures |= {f"worth of {kind}": worth for kind, worth in ledger.by_kind().items()}
         figures |= {f"p{100 * share:g} ms": ledger.took_ms(share) for share in (0.5, 0.99, 0.999)}
-        figures |= {"requests": float(len(ledger.of_clients)),
-                    "arrivals beyond the first": float(sum(len(ledger.extra(plant)) for plant in ledger.arrivals)),
-                    "held past the cut-off": float(len(ledger.held())), "price of these": ledger.price_of_held(),
-                    "edge processor s": sum(host.worked_s * day.edge_share for host in edges),
-                    "busiest edge kB": max(host.bytes for host in edges) / 1000}
+        figures |= {
+            "requests": float(len(ledger.of_clients)),
+            "arrivals beyond the first": float(sum(len(ledger.extra(plant)) for plant in ledger.arrivals)),
+            "held past the cut-off": float(len(ledger.held())),
+            "price of these": ledger.price_of_held(),
+            "edge processor s": sum(host.worked_s * day.edge_share for host in edges),
+            "busiest edge kB": max(host.bytes for host in edges) / 1000,
+        }
         return Outcome(figures, found)
 
 
--- a/lab/experiment.py
+++ b/lab/experiment.py
@@ -23,8 +23,38 @@
 
 MODULES: dict[str, ModuleType] = {"balancer": balancer, "gate": gate}
 #: Two-sided 95% points of Student's t, by the degrees of freedom; beyond the last one the normal's.
-STUDENT = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14, 2.13, 2.12, 2.11, 2.10,
-           2.09, 2.09, 2.08, 2.07, 2.07, 2.06, 2.06, 2.06, 2.05, 2.05, 2.05, 2.04)
+STUDENT = (
+    12.71,
+    4.30,
+    3.18,
+    2.78,
+    2.57,
+    2.45,
+    2.36,
+    2.31,
+    2.26,
+    2.23,
+    2.20,
+    2.18,
+    2.16,
+    2.14,
+    2.13,
+    2.12,
+    2.11,
+    2.10,
+    2.09,
+    2.09,
+    2.08,
+    2.07,
+    2.07,
+    2.06,
+    2.06,
+    2.06,
+    2.05,
+    2.05,
+    2.05,
+    2.04,
+)
 NORMAL = 1.96
 
 
@@ -88,6 +118,7 @@
     def put(where: object, name: str, value: object) -> None:
         before.append((where, name, getattr(where, name)))
         setattr(where, name, value)
+
     try:
         for name, value in change.constants:
             module, _, constant = name.partition(".")
@@ -153,8 +184,11 @@
 def table(pairs: Sequence[tuple[Outcome, Outcome]], change: Change) -> str:
     """The figures as a Markdown table; what differs clearly is marked."""
     lines = [f"| {len(pairs)} seeds | as it is | {change} | difference | 95% |", "| --- | ---: | ---: | ---: | ---: |"]
-    lines += [f"| {row.name} | {row.as_is:.4g} | {row.changed:.4g} | {row.difference:+.4g}{' *' if row.clear else ''} |"
-              f" ±{row.give:.2g} |" for row in rows(pairs)]
+    lines += [
+        f"| {row.name} | {row.as_is:.4g} | {row.changed:.4g} | {row.difference:+.4g}{' *' if row.clear else ''} |"
+        f" ±{row.give:.2g} |"
+        for row in rows(pairs)
+    ]
     broken = [sum(bool(pair[side].breaches) for pair in pairs) for side in (0, 1)]
     lines.append(f"| days with a broken rule | {broken[0]} | {broken[1]} | | |")
     return "\n".join(lines)
--- a/lab/fetches.py
+++ b/lab/fetches.py
@@ -56,9 +56,10 @@
     def configuration(self, revision: int) -> bytes:
         made = demo_configuration(revision)
         pattern = made["channels"][0]
-        made["channels"] += [pattern | {"label": f"r-{name}", "host": f"{name[:8]}.example",
-                                        "prefix": f"/{name[8:20]}/"}
-                             for name in map(name_of, range(self.routes))]
+        made["channels"] += [
+            pattern | {"label": f"r-{name}", "host": f"{name[:8]}.example", "prefix": f"/{name[8:20]}/"}
+            for name in map(name_of, range(self.routes))
+        ]
         return cbor2.dumps(made)
 
 
@@ -86,8 +87,10 @@
         self.filling = True
         while self.filling:
             if not self.full or self.chance.random() < FULL_TICK_S:
-                self.full = {host: self.chance.uniform(*FULL_S)
-                             for host in self.chance.sample(hosts, int(len(hosts) * FULL_SHARE))}
+                self.full = {
+                    host: self.chance.uniform(*FULL_S)
+                    for host in self.chance.sample(hosts, int(len(hosts) * FULL_SHARE))
+                }
             now_s = self.cluster.loop.time()
             for host, waits_s in self.full.items():
                 host.out_free_s = max(host.out_free_s, now_s + waits_s)
@@ -105,10 +108,12 @@
         held = self.chance.sample(relays, max(1, len(relays) // 2))
         cores = [node for node in held if node.core is not None]
         edges = {node.settings.ip for node in self.cluster.edges}
-        for node in [node for node in held if node.core is None] + cores[:CORES // 2]:
+        for node in [node for node in held if node.core is None] + cores[: CORES // 2]:
+
             def on_want(link: Link, frame: frames.Want, usual: Callable[[Link, frames.Want], None]) -> None:
                 if link.ip not in edges:
                     usual(link, frame)
+
             server = node.peers.blobs.server
             server.on_want = functools.partial(on_want, usual=server.on_want)  # type: ignore[method-assign]
 
@@ -211,8 +216,15 @@
 
 
 #: In a storm a node is looked at all the while.
-CASES = ("nothing in the way", "full links", "still relays", "still relays, full links", "a relay goes, full links",
-         "a storm of versions, full links", "a storm of versions, still relays, full links")
+CASES = (
+    "nothing in the way",
+    "full links",
+    "still relays",
+    "still relays, full links",
+    "a relay goes, full links",
+    "a storm of versions, full links",
+    "a storm of versions, still relays, full links",
+)
 
 
 def measure(case: str, seeds: Iterable[int], edges: int = EDGES) -> Found:
@@ -247,15 +259,18 @@
 
 def table(seeds: int) -> tuple[str, bool]:
     """The figures of all cases as a Markdown table, and whether all nodes were within the bound."""
-    lines = ["| case | behind, s (median / 99 % / worst) | bound, s | nodes over it"
-             " | the busiest core machine sent, kB |",
-             "| --- | ---: | ---: | ---: | ---: |"]
+    lines = [
+        "| case | behind, s (median / 99 % / worst) | bound, s | nodes over it | the busiest core machine sent, kB |",
+        "| --- | ---: | ---: | ---: | ---: |",
+    ]
     passed = True
     for case in CASES:
         found = measure(case, range(1, seeds + 1))
         ranked = sorted(found.behind_s)
-        lines.append(f"| {case} | {statistics.median(ranked):.2f} / {ranked[int(len(ranked) * 0.99)]:.2f} /"
-                     f" {ranked[-1]:.2f} | {found.bound_s:.2f} | {found.over} of {len(ranked)}"
-                     f" | {found.busiest_kb:.0f} |")
+        lines.append(
+            f"| {case} | {statistics.median(ranked):.2f} / {ranked[int(len(ranked) * 0.99)]:.2f} /"
+            f" {ranked[-1]:.2f} | {found.bound_s:.2f} | {found.over} of {len(ranked)}"
+            f" | {found.busiest_kb:.0f} |"
+        )
         passed = passed and not found.over
     return "\n".join(lines), passed
