--- a/cypressbeam/__main__.py
+++ b/cypressbeam/__main__.py
@@ -10,10 +10,10 @@
     """The console script. What takes time to load comes after the socket that clients connect to, and a node must not
     pay for what only people need."""
     if sys.argv[1:] == ["node"]:
-        from cypressbeam.early import open_front
+        from cypressbeam.node.early_listener import open_front
 
         front = open_front(os.environ)
-        from cypressbeam.run import run_node
+        from cypressbeam.node.run import run_node
 
         return run_node(front)
     from cypressbeam.cli.program import main as commands
--- a/cypressbeam/admin/backup.py
+++ b/cypressbeam/admin/backup.py
@@ -6,13 +6,13 @@
 
 import cbor2
 
-from cypressbeam import configuration
 from cypressbeam.admin.config_calls import push, read, revision
 from cypressbeam.admin.errors import Refused, Unusable
 from cypressbeam.admin.status import read_state
-from cypressbeam.configuration import Invalid
-from cypressbeam.files import write_whole
-from mallowworks.discovery import Address
+from cypressbeam.protocol import configuration
+from cypressbeam.protocol.configuration import Invalid
+from cypressbeam.standalone.discovery import Address
+from cypressbeam.storage.files import write_whole
 
 #: The first field of a saved state, and its version.
 BACKUP_FORMAT = "cypressbeam state 1"
--- a/cypressbeam/admin/calls.py
+++ b/cypressbeam/admin/calls.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from mallowworks.discovery import Address, ListConnection
-from mallowworks.http import Answer
+from cypressbeam.proxy.http_responses import Answer
+from cypressbeam.standalone.discovery import Address, ListConnection
 
 CALL_S = 5.0
 
--- a/cypressbeam/admin/config_calls.py
+++ b/cypressbeam/admin/config_calls.py
@@ -6,13 +6,13 @@
 
 import cbor2
 
-from cypressbeam import configuration
 from cypressbeam.admin.calls import call
 from cypressbeam.admin.config_file import flatten, load
 from cypressbeam.admin.errors import Refused
-from cypressbeam.control import READ, REPLACE
-from mallowworks.discovery import Address, read_address
-from mallowworks.http import Answer
+from cypressbeam.node.control_api import READ, REPLACE
+from cypressbeam.protocol import configuration
+from cypressbeam.proxy.http_responses import Answer
+from cypressbeam.standalone.discovery import Address, read_address
 
 #: A call is sent elsewhere so often at most.
 MOST_HOPS = 2
--- a/cypressbeam/admin/config_file.py
+++ b/cypressbeam/admin/config_file.py
@@ -9,9 +9,9 @@
 
 import cbor2
 
-from cypressbeam import configuration
 from cypressbeam.admin.errors import Unusable
-from cypressbeam.configuration import Channel, Configuration, Invalid
+from cypressbeam.protocol import configuration
+from cypressbeam.protocol.configuration import Channel, Configuration, Invalid
 
 #: A setpoint over this share of the cut-off leaves no time for a second try.
 LATE_SETPOINT = 0.5
--- a/cypressbeam/admin/membership.py
+++ b/cypressbeam/admin/membership.py
@@ -12,9 +12,9 @@
 from cypressbeam.admin.calls import call, reason_of
 from cypressbeam.admin.errors import Refused
 from cypressbeam.admin.status import describe_quorum_loss, read_state
-from cypressbeam.chain import ip_of
-from cypressbeam.control import MEMBERS
-from mallowworks.discovery import Address
+from cypressbeam.consensus.chain import ip_of
+from cypressbeam.node.control_api import MEMBERS
+from cypressbeam.standalone.discovery import Address
 
 #: A change of members is sent again after so long, and given up after so long: a newcomer on a thin link is brought
 #: level in seconds.
--- a/cypressbeam/admin/status.py
+++ b/cypressbeam/admin/status.py
@@ -8,8 +8,8 @@
 
 from cypressbeam.admin.calls import call
 from cypressbeam.admin.errors import Refused
-from cypressbeam.survey import STATE
-from mallowworks.discovery import Address
+from cypressbeam.node.state_query import STATE
+from cypressbeam.standalone.discovery import Address
 
 
 async def read_state(where: Address) -> dict[str, Any]:
--- a/pepperrelay/__init__.py
+++ b/cypressbeam/balancing/__init__.py
@@ -1,10 +1,10 @@
-"""pepperrelay: the decisions of a reverse proxy that spreads requests over HTTP servers.
+"""The decisions of a reverse proxy that spreads requests over HTTP servers, without sockets or clocks.
 
 `Balancer` is the state machine; everything else here is the plain data that goes in and comes out of it.
 """
 
-from pepperrelay.balancer import Balancer
-from pepperrelay.interface import (
+from cypressbeam.balancing.balancer import Balancer
+from cypressbeam.balancing.interface import (
     Action,
     AttemptEnded,
     Cancel,
--- a/pepperrelay/balancer.py
+++ b/cypressbeam/balancing/balancer.py
@@ -1,4 +1,4 @@
-"""The decisions of pepperrelay. Its vocabulary (settings, events, actions) is pepperrelay/interface.py.
+"""The decisions of the proxy. Their vocabulary (settings, events, actions) is cypressbeam/balancing/interface.py.
 
 Reading order: figures, latency percentile, token bucket, throttle, request and server view,
 Balancer (events, membership, request life, choice, guard). Times are whole microseconds; chance comes from
@@ -12,8 +12,8 @@
 import random
 from statistics import median_low
 
-from pepperrelay import interface as it
-from pepperrelay.interface import Ending, Repeat
+from cypressbeam.balancing import interface as it
+from cypressbeam.balancing.interface import Ending, Repeat
 
 # Time-outs: the share of answers that may be cut off falsely, the padding over the median, and how many
 # answers must have been seen before a percentile means anything. With fewer, from the least number on, the tail
--- a/pepperrelay/interface.py
+++ b/cypressbeam/balancing/interface.py
@@ -1,4 +1,4 @@
-"""The vocabulary of pepperrelay: settings at start, events in, actions out.
+"""The vocabulary of the decisions: settings at start, events in, actions out.
 
 Everything here is plain data. Times are whole microseconds and say so in their names.
 """
--- a/cypressbeam/founding.py
+++ b/cypressbeam/consensus/bootstrap.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from cypressbeam import frames
-from cypressbeam.chain import Tell, View, ip_of
+from cypressbeam.consensus.chain import Tell, View, ip_of
+from cypressbeam.protocol import frames
 
 #: The epoch of the founding view: below all that are proposed later.
 FOUNDING_EPOCH = 1 << 8
--- a/cypressbeam/chain.py
+++ b/cypressbeam/consensus/chain.py
@@ -1,6 +1,6 @@
 """One member of the chain that holds the configuration. Pure: frames and syncs in, actions out.
 
-Source: chain replication (van Renesse and Schneider, OSDI 2004); agreement.py makes and mends the chain. The head
+Source: chain replication (van Renesse and Schneider, OSDI 2004); replica.py makes and mends the chain. The head
 orders and compares bases, each member syncs before it passes on, the tail's sync commits. Every message carries the
 view's epoch; another one is refused.
 Invariants: no member passes on what it has not synced; nothing is published or answered 200 but by a tail that has
@@ -14,7 +14,8 @@
 from dataclasses import dataclass, field
 from functools import lru_cache
 
-from cypressbeam import frames, taken
+from cypressbeam.consensus import deduplication
+from cypressbeam.protocol import frames
 
 #: An entry that is not committed is sent down again after so long: the link may have broken.
 RESEND_S = 0.3
@@ -110,7 +111,7 @@
     last: Entry | None = None
     """The newest entry on disk."""
     taken: dict[int, bytes] = field(default_factory=dict)
-    """Digests of the entries that led to the newest one on disk, and its own, by revision (taken.py)."""
+    """Digests of the entries that led to the newest one on disk, and its own, by revision (deduplication.py)."""
     committed: int = 0
     """The number up to which this member knows entries to be committed."""
     waiting: deque[frames.Order] = field(default_factory=deque)
@@ -197,7 +198,7 @@
         and what is refused is never taken. So whoever may yet turn out to be either is told to come back."""
         if self.digest(order.body) in self.taken.values():
             return [answer(order, 200, "taken before")]  # first, for a check may have changed since
-        if taken.forgotten(self.taken, self.number) <= order.base < self.revision:
+        if deduplication.forgotten(self.taken, self.number) <= order.base < self.revision:
             # As a rule one of many on the same base: a body of many thousand routes is not read for that.
             return [answer(order, 412, f"the current version is {self.revision}")]
         try:
@@ -222,7 +223,7 @@
 
     def may_be_taken(self, base: int, revision: int) -> bool:
         """Whether an order may have been taken so long ago that its digest is not kept any more."""
-        return base < revision <= taken.forgotten(self.taken, self.number)
+        return base < revision <= deduplication.forgotten(self.taken, self.number)
 
     # -- entries, down the chain ---------------------------------------------------------------------------
 
@@ -248,7 +249,7 @@
         """The entry is on disk."""
         self.syncing = None
         self.last = entry
-        taken.note(self.taken, entry.revision, entry.base, self.digest(entry.body))
+        deduplication.note(self.taken, entry.revision, entry.base, self.digest(entry.body))
         if self.sealed:
             return []
         if not self.is_tail():
--- a/cypressbeam/taken.py
+++ b/cypressbeam/consensus/deduplication.py
@@ -9,8 +9,8 @@
 import struct
 from itertools import pairwise, takewhile
 
-from cypressbeam import frames
-from cypressbeam.configuration import MOST_REVISION
+from cypressbeam.protocol import frames
+from cypressbeam.protocol.configuration import MOST_REVISION
 
 #: Digests that are kept: 0.54 MB of memory, 0.2 MB on disk. At eight changes a second, the most that was measured with
 #: news for a whole fleet, they go back over eight minutes; callers give up far sooner, and days hold hundreds.
--- a/cypressbeam/dispatch.py
+++ b/cypressbeam/consensus/dispatch.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cypressbeam import frames
-from cypressbeam.agreement import Action, Keeper
-from cypressbeam.members import Members
-from cypressbeam.replacement import Replacement
+from cypressbeam.consensus.membership import Members
+from cypressbeam.consensus.replacement import Replacement
+from cypressbeam.consensus.replica import Action, Keeper
+from cypressbeam.protocol import frames
 
 
 @dataclass(frozen=True, slots=True)
--- a/cypressbeam/members.py
+++ b/cypressbeam/consensus/membership.py
@@ -1,7 +1,7 @@
 """Who belongs to the core, and how that changes. Pure: frames, ticks and what a machine has heard in, actions out.
 
 A change goes from one group to the next that has one address more, or one less: so any majority of the one meets any
-of the other, and no joint group is needed. A replacement is an add, then a remove. Each is one view (agreement.py):
+of the other, and no joint group is needed. A replacement is an add, then a remove. Each is one view (replica.py):
 promised by a majority of the old group, and active once all of a chain hold it, with a majority of the new group among
 them.
 
@@ -19,10 +19,10 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from cypressbeam import frames
-from cypressbeam import taken as digests
-from cypressbeam.agreement import EMPTY, NEVER_S, Action, Keeper
-from cypressbeam.chain import Entry, Tell, View, ip_of
+from cypressbeam.consensus import deduplication as digests
+from cypressbeam.consensus.chain import Entry, Tell, View, ip_of
+from cypressbeam.consensus.replica import EMPTY, NEVER_S, Action, Keeper
+from cypressbeam.protocol import frames
 
 #: What an order asks for.
 ADD, REMOVE, REPLACE = 1, 2, 3
--- a/cypressbeam/quorum_loss.py
+++ b/cypressbeam/consensus/quorum_loss.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from cypressbeam.agreement import STOOD_STILL_S
-from cypressbeam.chain import ip_of
+from cypressbeam.consensus.chain import ip_of
+from cypressbeam.consensus.replica import STOOD_STILL_S
 
 #: A majority that is missing for so long is told of: longer than a restart, a new view or a short cut takes, and well
 #: within 10 s. While it lasts the log says so again this often.
--- a/cypressbeam/replacement.py
+++ b/cypressbeam/consensus/replacement.py
@@ -3,8 +3,8 @@
 A spare is a machine with a disk that runs, is reached, and is no member. A machine that is gone for good, one that
 restarts and one that is cut off look alike for a while, so the rule is chosen such that a wrong guess is cheap: a
 member that comes back after it was replaced is a spare, with all its data, and takes the place of the next member that
-falls silent. Data is never at risk, for a replacement is an ordinary change of the group (members.py): the spare holds
-the newest entry before it counts, and nobody is removed before that.
+falls silent. Data is never at risk, for a replacement is an ordinary change of the group (membership.py): the spare
+holds the newest entry before it counts, and nobody is removed before that.
 
 - Every member counts the silence of the others, so that a new head does not begin anew. Only the head acts on it.
 - A group of an odd number replaces a silent member: the spare is added, then the member removed. Once the spare is
@@ -18,10 +18,10 @@
 
 from collections.abc import Callable, Iterable
 
-from cypressbeam import frames
-from cypressbeam.agreement import COUNTED, DEAD_S, EMPTY, MOST_PATIENCE, PROPOSAL_S, STOOD_STILL_S, Action
-from cypressbeam.chain import ip_of
-from cypressbeam.members import REMOVE, REPLACE, Change, Members, judge
+from cypressbeam.consensus.chain import ip_of
+from cypressbeam.consensus.membership import REMOVE, REPLACE, Change, Members, judge
+from cypressbeam.consensus.replica import COUNTED, DEAD_S, EMPTY, MOST_PATIENCE, PROPOSAL_S, STOOD_STILL_S, Action
+from cypressbeam.protocol import frames
 
 #: A change that was due is remembered for so long: the view that adds a spare may become active after the member that
 #: it was to replace is back.
--- a/cypressbeam/agreement.py
+++ b/cypressbeam/consensus/replica.py
@@ -11,7 +11,7 @@
 A machine promises only once it has itself put a view on disk. One that came back with an empty disk is named in a new
 group before it has that view, and others may hear of the group from a single machine that has it: a majority with the
 empty one in it would know of nothing (docs/incidents/009). One at an address that is new to the group takes nobody's
-place: it has put the view before the one that names it on disk, and promises from then on (members.py).
+place: it has put the view before the one that names it on disk, and promises from then on (membership.py).
 
 Invariants: a promise never goes down, and survives on disk; two views of one epoch are never active with different
 chains; what a view begins with is at least as new as all that was ever committed; a machine that lost its disk is
@@ -23,10 +23,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from cypressbeam import chain, frames
-from cypressbeam import taken as digests
-from cypressbeam.chain import Entry, Member, Sync, Tell, View, ip_of
-from cypressbeam.marks import Marks
+from cypressbeam.consensus import chain
+from cypressbeam.consensus import deduplication as digests
+from cypressbeam.consensus.chain import Entry, Member, Sync, Tell, View, ip_of
+from cypressbeam.consensus.rollback_detection import Marks
+from cypressbeam.protocol import frames
 
 #: Members ask each other for an echo this often; one is taken for lost once the last own pulse that it has echoed was
 #: sent so long ago. An echo is as old as the way there and back, and an own stall makes it older, so pulses go out more
@@ -134,7 +135,7 @@
     group: tuple[str, ...]
     """Whose majority decides."""
     wanted: tuple[str, ...]
-    """The group of the new view: the same, but for identities, or one member more or less (members.py)."""
+    """The group of the new view: the same, but for identities, or one member more or less (membership.py)."""
     began_s: float
     since: int = 0
     """Promises bring the digests of what was taken above this revision."""
--- a/cypressbeam/distribution/children.py
+++ b/cypressbeam/distribution/children.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterator
 
-from cypressbeam import frames
-from cypressbeam.peers import Link
+from cypressbeam.protocol import frames
+from cypressbeam.transport.peers import Link
 
 
 class Children:
--- a/cypressbeam/distribution/configuration_replica.py
+++ b/cypressbeam/distribution/configuration_replica.py
@@ -11,12 +11,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from cypressbeam import frames
-from cypressbeam.blobs.fetcher import Fetcher
-from cypressbeam.blobs.store import BRIEF_BYTES, BlobStore
 from cypressbeam.distribution.context import NodeContext
 from cypressbeam.distribution.fencing import EpochFence
-from cypressbeam.peers import Link
+from cypressbeam.protocol import frames
+from cypressbeam.transport.blobs.fetcher import Fetcher
+from cypressbeam.transport.blobs.store import BRIEF_BYTES, BlobStore
+from cypressbeam.transport.peers import Link
 
 log = logging.getLogger(__name__)
 
--- a/cypressbeam/distribution/context.py
+++ b/cypressbeam/distribution/context.py
@@ -6,8 +6,8 @@
 import random
 from dataclasses import dataclass, field
 
-from cypressbeam.peers import Peers
-from cypressbeam.settings import Settings
+from cypressbeam.protocol.settings import Settings
+from cypressbeam.transport.peers import Peers
 
 
 @dataclass(slots=True)
--- a/cypressbeam/listing.py
+++ b/cypressbeam/distribution/endpoint_list.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from cypressbeam import frames
-from cypressbeam.configuration import Invalid, decode
-from mallowworks.discovery import Address, read_address
+from cypressbeam.protocol import frames
+from cypressbeam.protocol.configuration import Invalid, decode
+from cypressbeam.standalone.discovery import Address, read_address
 
 IN_SERVICE, DRAINING, GONE = 0, 1, 2
 STATES = {"in_service": IN_SERVICE, "draining": DRAINING}
--- a/cypressbeam/distribution/server_list_replica.py
+++ b/cypressbeam/distribution/endpoint_list_replica.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from cypressbeam import frames
-from cypressbeam.listing import Listing
+from cypressbeam.distribution.endpoint_list import Listing
+from cypressbeam.protocol import frames
 
 
 class ServerListReplica:
--- a/cypressbeam/distribution/feed.py
+++ b/cypressbeam/distribution/feed.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from cypressbeam import frames
 from cypressbeam.distribution.children import Children
 from cypressbeam.distribution.configuration_replica import ConfigurationReplica
+from cypressbeam.distribution.endpoint_list_replica import ServerListReplica
 from cypressbeam.distribution.heartbeats import BEAT_S
 from cypressbeam.distribution.position import TreePosition
-from cypressbeam.distribution.server_list_replica import ServerListReplica
-from cypressbeam.peers import Link
+from cypressbeam.protocol import frames
+from cypressbeam.transport.peers import Link
 
 
 class Feed:
--- a/cypressbeam/distribution/fencing.py
+++ b/cypressbeam/distribution/fencing.py
@@ -9,8 +9,8 @@
 
 from collections.abc import Callable
 
-from cypressbeam import frames
-from cypressbeam.peers import Link
+from cypressbeam.protocol import frames
+from cypressbeam.transport.peers import Link
 
 
 class EpochFence:
--- a/cypressbeam/distribution/heartbeats.py
+++ b/cypressbeam/distribution/heartbeats.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cypressbeam import frames
+from cypressbeam.protocol import frames
 
 #: The root's heartbeat.
 BEAT_S = 0.4
--- a/cypressbeam/roster.py
+++ b/cypressbeam/distribution/node_registry.py
@@ -11,7 +11,7 @@
 from bisect import bisect_left, insort
 from dataclasses import dataclass
 
-from cypressbeam import frames
+from cypressbeam.protocol import frames
 
 #: Children of the relays with the thinnest links, and of any one at most; in between by what a link carries.
 FAN_OUT, MOST_FAN_OUT = 4, 24
--- a/cypressbeam/distribution/outlier_reports.py
+++ b/cypressbeam/distribution/outlier_reports.py
@@ -1,4 +1,4 @@
-"""Outlier detection of servers: nodes' reports go up the distribution tree, findings come down (verdicts.py)."""
+"""Outlier detection of servers: reports of nodes go up the distribution tree, findings come down."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from cypressbeam import frames
 from cypressbeam.distribution.context import NodeContext
-from cypressbeam.peers import Link
-from cypressbeam.relay import Handlers, Relay
-from cypressbeam.verdicts import Verdicts
+from cypressbeam.distribution.outlier_detection import Verdicts
+from cypressbeam.distribution.relay import Handlers, Relay
+from cypressbeam.protocol import frames
+from cypressbeam.transport.peers import Link
 
 log = logging.getLogger(__name__)
 
--- a/cypressbeam/distribution/registration.py
+++ b/cypressbeam/distribution/registration.py
@@ -7,9 +7,9 @@
 
 from collections.abc import Callable
 
-from cypressbeam import frames
 from cypressbeam.distribution.context import NodeContext
-from cypressbeam.roster import RENEW_S
+from cypressbeam.distribution.node_registry import RENEW_S
+from cypressbeam.protocol import frames
 
 #: A node whose event loop was so late lately asks to be given no children; how the lateness fades, each tick.
 SLOW_S, LAG_FADES = 0.3, 0.97
--- a/cypressbeam/relay.py
+++ b/cypressbeam/distribution/relay.py
@@ -10,21 +10,21 @@
 from collections.abc import Callable
 from typing import Any
 
-from cypressbeam import frames
 from cypressbeam.distribution.children import Children
 from cypressbeam.distribution.configuration_replica import ConfigurationReplica
 from cypressbeam.distribution.context import NodeContext
+from cypressbeam.distribution.endpoint_list import Listing
+from cypressbeam.distribution.endpoint_list_replica import ServerListReplica
 from cypressbeam.distribution.feed import Feed
 from cypressbeam.distribution.fencing import EpochFence
 from cypressbeam.distribution.heartbeats import Heartbeats
 from cypressbeam.distribution.position import TreePosition
 from cypressbeam.distribution.registration import Registration
 from cypressbeam.distribution.root_locator import RootLocator
-from cypressbeam.distribution.server_list_replica import ServerListReplica
 from cypressbeam.distribution.subscription import Subscription
-from cypressbeam.listing import Listing
-from cypressbeam.peers import Link, Peers
-from cypressbeam.settings import Settings
+from cypressbeam.protocol import frames
+from cypressbeam.protocol.settings import Settings
+from cypressbeam.transport.peers import Link, Peers
 
 log = logging.getLogger(__name__)
 
--- a/cypressbeam/distribution/root_locator.py
+++ b/cypressbeam/distribution/root_locator.py
@@ -1,6 +1,7 @@
 """How a node finds the root: it asks the one that it knows, and beside it one after another of all that may know it.
 
-`search.py` has the order and pace of those requests. A root that was named is asked once, and has `JOIN_S` to answer.
+`root_search.py` has the order and pace of those requests. A root that was named is asked once, and has `JOIN_S` to
+answer.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 from cypressbeam.distribution.context import NodeContext
 from cypressbeam.distribution.fencing import EpochFence
 from cypressbeam.distribution.registration import JOIN_S, Registration
-from cypressbeam.search import Search
+from cypressbeam.distribution.root_search import Search
 
 
 class RootLocator:
--- a/cypressbeam/distribution/subscription.py
+++ b/cypressbeam/distribution/subscription.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from cypressbeam import frames
 from cypressbeam.distribution.context import NodeContext
-from cypressbeam.peers import Link
+from cypressbeam.protocol import frames
+from cypressbeam.transport.peers import Link
 
 #: The silence after which a parent is given up: a new one must be found, and the updates taken up, well inside the
 #: bounds of configuration and draining.
--- a/cypressbeam/control.py
+++ b/cypressbeam/node/control_api.py
@@ -14,15 +14,15 @@
 
 import msgspec
 
-from cypressbeam import frames
-from cypressbeam.configuration import MOST_REVISION
-from cypressbeam.members import KINDS
-from cypressbeam.survey import JSON, STATE, Survey
-from mallowworks.carrier import Clock
-from mallowworks.discovery import Address
-from mallowworks.frontend import ClientConnection
-from mallowworks.http import Answer, Limits
-from mallowworks.messages import BadRequest, Message
+from cypressbeam.consensus.membership import KINDS
+from cypressbeam.node.state_query import JSON, STATE, Survey
+from cypressbeam.protocol import frames
+from cypressbeam.protocol.configuration import MOST_REVISION
+from cypressbeam.proxy.frontend import ClientConnection
+from cypressbeam.proxy.http_requests import BadRequest, Message
+from cypressbeam.proxy.http_responses import Answer, Limits
+from cypressbeam.proxy.proxy_core import Clock
+from cypressbeam.standalone.discovery import Address
 
 log = logging.getLogger(__name__)
 
--- a/cypressbeam/core.py
+++ b/cypressbeam/node/core_machine.py
@@ -10,8 +10,12 @@
 from dataclasses import replace
 from typing import Any
 
-from cypressbeam import configuration, frames
-from cypressbeam.agreement import (
+from cypressbeam.consensus.chain import Publish, Sync, Tell, View, ip_of
+from cypressbeam.consensus.dispatch import dispatch
+from cypressbeam.consensus.membership import Change, Members
+from cypressbeam.consensus.quorum_loss import QuorumWatch
+from cypressbeam.consensus.replacement import Replacement
+from cypressbeam.consensus.replica import (
     DEAD_S,
     STOOD_STILL_S,
     Action,
@@ -22,18 +26,14 @@
     StartAnew,
     TryDisk,
 )
-from cypressbeam.chain import Publish, Sync, Tell, View, ip_of
-from cypressbeam.dispatch import dispatch
-from cypressbeam.list_poller import Poller
-from cypressbeam.listing import Server
-from cypressbeam.members import Change, Members
-from cypressbeam.peers import Link
-from cypressbeam.quorum_loss import QuorumWatch
-from cypressbeam.relay import Relay
-from cypressbeam.replacement import Replacement
-from cypressbeam.roster import RENEW_S, Roster
-from cypressbeam.settings import Settings
-from cypressbeam.store import FormatError, Loaded, Storage, StoreError, TornError
+from cypressbeam.distribution.endpoint_list import Server
+from cypressbeam.distribution.node_registry import RENEW_S, Roster
+from cypressbeam.distribution.relay import Relay
+from cypressbeam.node.endpoint_poller import Poller
+from cypressbeam.protocol import configuration, frames
+from cypressbeam.protocol.settings import Settings
+from cypressbeam.storage.store import FormatError, Loaded, Storage, StoreError, TornError
+from cypressbeam.transport.peers import Link
 
 log = logging.getLogger(__name__)
 
--- a/cypressbeam/list_poller.py
+++ b/cypressbeam/node/endpoint_poller.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from urllib.parse import quote
 
-from cypressbeam.listing import Server, read_page
-from mallowworks.discovery import Address, ListConnection
+from cypressbeam.distribution.endpoint_list import Server, read_page
+from cypressbeam.standalone.discovery import Address, ListConnection
 
 log = logging.getLogger(__name__)
 
--- a/cypressbeam/node.py
+++ b/cypressbeam/node/gateway_node.py
@@ -11,23 +11,24 @@
 from pathlib import Path
 from typing import Any
 
-from cypressbeam import configuration, control, early, frames
-from cypressbeam.chain import Tell
-from cypressbeam.control import Control
-from cypressbeam.core import Core
+from cypressbeam.consensus.bootstrap import Founding
+from cypressbeam.consensus.chain import Tell
+from cypressbeam.distribution.failure_detector import Watch
 from cypressbeam.distribution.outlier_reports import OutlierReports
-from cypressbeam.founding import Founding
-from cypressbeam.gate import OVERFLOW, Gate
-from cypressbeam.peers import Link, Peers
-from cypressbeam.relay import Handlers, Relay
-from cypressbeam.settings import VARIABLE, Settings, SettingsError, load
-from cypressbeam.store import Storage, Store
-from cypressbeam.survey import Survey
-from cypressbeam.watch import Watch
-from mallowworks.discovery import Address
-from mallowworks.frontend import ClientConnection, Frontend, readiness
-from mallowworks.http import Answer
-from mallowworks.messages import BadRequest, Message
+from cypressbeam.distribution.relay import Handlers, Relay
+from cypressbeam.node import control_api, early_listener
+from cypressbeam.node.control_api import Control
+from cypressbeam.node.core_machine import Core
+from cypressbeam.node.state_query import Survey
+from cypressbeam.protocol import configuration, frames
+from cypressbeam.protocol.settings import VARIABLE, Settings, SettingsError, load
+from cypressbeam.proxy.frontend import ClientConnection, Frontend, readiness
+from cypressbeam.proxy.gateway import OVERFLOW, Gate
+from cypressbeam.proxy.http_requests import BadRequest, Message
+from cypressbeam.proxy.http_responses import Answer
+from cypressbeam.standalone.discovery import Address
+from cypressbeam.storage.store import Storage, Store
+from cypressbeam.transport.peers import Link, Peers
 
 log = logging.getLogger(__name__)
 
@@ -125,17 +126,17 @@
             self.begin_founding()
         if settings.control is not None:
             await self.listen(
-                Frontend(self.control, control.MOST_CONNECTIONS, OVERFLOW, control.LIMITS), settings.control
+                Frontend(self.control, control_api.MOST_CONNECTIONS, OVERFLOW, control_api.LIMITS), settings.control
             )
         if self.gate is not None and settings.front is not None:
-            self.listening = self.listening or early.listen(*settings.front)
+            self.listening = self.listening or early_listener.listen(*settings.front)
             frontend = Frontend(self.gate, self.gate.client_connections, OVERFLOW, self.gate.limits)
             self.frontends.append(frontend)
             task = self.loop.create_task(self.accept(frontend, settings.front))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
             if settings.readiness is not None:
-                await self.listen(Frontend(Readiness(self.gate), 64, OVERFLOW, control.LIMITS), settings.readiness)
+                await self.listen(Frontend(Readiness(self.gate), 64, OVERFLOW, control_api.LIMITS), settings.readiness)
         self.relay.start()
         await self.watch.start(settings.ip)
 
--- a/cypressbeam/run.py
+++ b/cypressbeam/node/run.py
@@ -11,10 +11,10 @@
 
 import uvloop
 
-from cypressbeam.node import serve
-from cypressbeam.settings import SettingsError, load
-from cypressbeam.store import StoreError
-from mallowworks.__main__ import GC_THRESHOLDS, Sparing
+from cypressbeam.node.gateway_node import serve
+from cypressbeam.protocol.settings import SettingsError, load
+from cypressbeam.standalone.__main__ import GC_THRESHOLDS, Sparing
+from cypressbeam.storage.store import StoreError
 
 
 def run_node(front: socket.socket | None) -> int:
--- a/cypressbeam/survey.py
+++ b/cypressbeam/node/state_query.py
@@ -10,11 +10,11 @@
 
 import msgspec
 
-from cypressbeam import frames
-from cypressbeam.chain import ip_of
-from cypressbeam.quorum_loss import judge, read_silences
-from mallowworks.frontend import ClientConnection
-from mallowworks.http import Answer
+from cypressbeam.consensus.chain import ip_of
+from cypressbeam.consensus.quorum_loss import judge, read_silences
+from cypressbeam.protocol import frames
+from cypressbeam.proxy.frontend import ClientConnection
+from cypressbeam.proxy.http_responses import Answer
 
 STATE = b"/-/System.State"
 #: A machine that has not answered by then is told as silent.
--- a/cypressbeam/frames/__init__.py
+++ b/cypressbeam/protocol/frames/__init__.py
@@ -2,7 +2,7 @@
 
 On a stream a frame is its length and code, then fields in the order of its class. Numbers are in network order; a text
 has 2 bytes of length before it, a blob 4, a list of texts 2 bytes of count. A configuration's body goes by its digest:
-a node that lacks it fetches it beside the frame (`cypressbeam.blobs`).
+a node that lacks it fetches it beside the frame (`cypressbeam.transport.blobs`).
 
 | module | messages |
 | --- | --- |
@@ -19,10 +19,10 @@
 
 from __future__ import annotations
 
-from cypressbeam.frames.blobs import Lacking, Slice, Want
-from cypressbeam.frames.chain import Committed, Forward, Order, Outcome, Read, Reading
-from cypressbeam.frames.codec import DIGEST, HEAD, MOST_FRAME, U8, U16, U32, U64, Frame
-from cypressbeam.frames.consensus import (
+from cypressbeam.protocol.frames.blobs import Lacking, Slice, Want
+from cypressbeam.protocol.frames.chain import Committed, Forward, Order, Outcome, Read, Reading
+from cypressbeam.protocol.frames.codec import DIGEST, HEAD, MOST_FRAME, U8, U16, U32, U64, Frame
+from cypressbeam.protocol.frames.consensus import (
     Accept,
     Confirm,
     Confirmed,
@@ -34,11 +34,11 @@
     StaleDisk,
     ViewIs,
 )
-from cypressbeam.frames.health import Ailing, Leave, Suspect, Verdict
-from cypressbeam.frames.membership import Change, Level, Levelled, Progress
-from cypressbeam.frames.registry import FRAMES, unpack
-from cypressbeam.frames.status import ACTIVE, DISK_WORKS, ROOT, Ask, StandingBy, State
-from cypressbeam.frames.tree import (
+from cypressbeam.protocol.frames.health import Ailing, Leave, Suspect, Verdict
+from cypressbeam.protocol.frames.membership import Change, Level, Levelled, Progress
+from cypressbeam.protocol.frames.registry import FRAMES, unpack
+from cypressbeam.protocol.frames.status import ACTIVE, DISK_WORKS, ROOT, Ask, StandingBy, State
+from cypressbeam.protocol.frames.tree import (
     BOOTSTRAP,
     FRONT,
     QUORUM,
@@ -54,7 +54,7 @@
     Servers,
     Update,
 )
-from cypressbeam.frames.validation import LEAST_EPOCH, MOST_EPOCH, MOST_NAMED, MOST_NUMBER, FrameError
+from cypressbeam.protocol.frames.validation import LEAST_EPOCH, MOST_EPOCH, MOST_NAMED, MOST_NUMBER, FrameError
 
 __all__ = [
     "ACTIVE",
--- a/cypressbeam/frames/blobs.py
+++ b/cypressbeam/protocol/frames/blobs.py
@@ -1,10 +1,10 @@
-"""Messages of the blob transfer: bodies in chunks, on a connection of their own (`cypressbeam.blobs`)."""
+"""Messages of the blob transfer: bodies in chunks, on a connection of their own (`cypressbeam.transport.blobs`)."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from cypressbeam.frames.codec import Frame
+from cypressbeam.protocol.frames.codec import Frame
 
 
 @dataclass(frozen=True, slots=True)
--- a/cypressbeam/frames/chain.py
+++ b/cypressbeam/protocol/frames/chain.py
@@ -7,8 +7,8 @@
 
 from dataclasses import dataclass
 
-from cypressbeam.frames.codec import Frame
-from cypressbeam.frames.validation import check_epochs, check_number, demand
+from cypressbeam.protocol.frames.codec import Frame
+from cypressbeam.protocol.frames.validation import check_epochs, check_number, demand
 
 
 @dataclass(frozen=True, slots=True)
--- a/cypressbeam/frames/codec.py
+++ b/cypressbeam/protocol/frames/codec.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, fields
 from typing import ClassVar, Self
 
-from cypressbeam.configuration import digest
-from cypressbeam.frames.validation import LEAST_EPOCH, MOST_EPOCH, FrameError, check_epochs
+from cypressbeam.protocol.configuration import digest
+from cypressbeam.protocol.frames.validation import LEAST_EPOCH, MOST_EPOCH, FrameError, check_epochs
 
 #: A frame's header on a stream: the length of what follows, and the message's code.
 HEAD = struct.Struct("!IB")
--- a/cypressbeam/frames/consensus.py
+++ b/cypressbeam/protocol/frames/consensus.py
@@ -1,4 +1,4 @@
-"""Messages of the core's consensus: founding, heartbeats, ballots, and the leader's check of its epoch (agreement.py).
+"""Messages of the core's consensus: founding, heartbeats, ballots, and the leader's check of its epoch (replica.py).
 
 Members are named by address and identity of their disk. A view is an epoch, a chain (head to tail) and the group whose
 majority decides the next view.
@@ -8,8 +8,8 @@
 
 from dataclasses import dataclass
 
-from cypressbeam.frames.codec import Frame
-from cypressbeam.frames.validation import check_epochs, check_member, check_number, check_view, demand
+from cypressbeam.protocol.frames.codec import Frame
+from cypressbeam.protocol.frames.validation import check_epochs, check_member, check_number, check_view, demand
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
 @dataclass(frozen=True, slots=True)
 class Pulse(Frame):
     """Heartbeat between members, and from machines that stand by; each is echoed at once, which proves contact. It
-    carries the sender's high-water marks, by which a rollback of its disk is detected (marks.py)."""
+    carries the sender's high-water marks, by which a rollback of its disk is detected (rollback_detection.py)."""
 
     KIND = 18
     FORM = "sqqccqqqqqqq"
@@ -62,7 +62,7 @@
     """0: it refuses writes, or the sender is a machine that leaves; otherwise 1, and twice the version of the sender's
     check of configurations."""
     standing: int = 1
-    """What its disk counts for: EMPTY, LEVEL or COUNTED (agreement.py)."""
+    """What its disk counts for: EMPTY, LEVEL or COUNTED (replica.py)."""
     number: int = 0
     """To be echoed; 0: not to be answered."""
     echo: int = 0
@@ -146,7 +146,7 @@
     body: bytes
     """Its configuration; on the wire its digest."""
     taken: bytes
-    """Digests of applied writes above the revision that the proposer named (taken.py)."""
+    """Digests of applied writes above the revision that the proposer named (deduplication.py)."""
     incarnation: int = 0
     """As in `Pulse`."""
     draw: int = 0
@@ -179,7 +179,7 @@
     base: int
     body: bytes
     taken: bytes
-    """Digests of applied writes above `since` (taken.py)."""
+    """Digests of applied writes above `since` (deduplication.py)."""
     since: int = 0
     """The revision up to which the receiver has told that it holds the digests."""
 
@@ -223,7 +223,7 @@
 @dataclass(frozen=True, slots=True)
 class StaleDisk(Frame):
     """Rollback detection: a member tells another one, whose heartbeat told less than an earlier one, the highest marks
-    that it told. One that has less on its disk starts with an empty one (marks.py)."""
+    that it told. One that has less on its disk starts with an empty one (rollback_detection.py)."""
 
     KIND = 48
     FORM = "sqqqqq"
--- a/cypressbeam/frames/health.py
+++ b/cypressbeam/protocol/frames/health.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from cypressbeam.frames.codec import Frame
+from cypressbeam.protocol.frames.codec import Frame
 
 
 @dataclass(frozen=True, slots=True)
--- a/cypressbeam/frames/membership.py
+++ b/cypressbeam/protocol/frames/membership.py
@@ -1,11 +1,18 @@
-"""Messages that change the core's group: an operator's request, and the state transfer to a new member (members.py)."""
+"""Messages that change the core's group: an operator's request, and the state transfer to a new member."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from cypressbeam.frames.codec import DIGEST, Frame
-from cypressbeam.frames.validation import MOST_NAMED, check_epochs, check_member, check_number, check_view, demand
+from cypressbeam.protocol.frames.codec import DIGEST, Frame
+from cypressbeam.protocol.frames.validation import (
+    MOST_NAMED,
+    check_epochs,
+    check_member,
+    check_number,
+    check_view,
+    demand,
+)
 
 ADD_MEMBER, REMOVE_MEMBER, REPLACE_MEMBER = 1, 2, 3
 
@@ -75,7 +82,7 @@
     base: int
     body: bytes
     taken: bytes
-    """The deduplication table, the first time; later nothing (taken.py)."""
+    """The deduplication table, the first time; later nothing (deduplication.py)."""
 
     def check(self) -> None:
         """View and entry are sound."""
--- a/cypressbeam/frames/registry.py
+++ b/cypressbeam/protocol/frames/registry.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from cypressbeam.frames.blobs import Lacking, Slice, Want
-from cypressbeam.frames.chain import Committed, Forward, Order, Outcome, Read, Reading
-from cypressbeam.frames.codec import Frame
-from cypressbeam.frames.consensus import (
+from cypressbeam.protocol.frames.blobs import Lacking, Slice, Want
+from cypressbeam.protocol.frames.chain import Committed, Forward, Order, Outcome, Read, Reading
+from cypressbeam.protocol.frames.codec import Frame
+from cypressbeam.protocol.frames.consensus import (
     Accept,
     Confirm,
     Confirmed,
@@ -17,11 +17,11 @@
     StaleDisk,
     ViewIs,
 )
-from cypressbeam.frames.health import Ailing, Leave, Suspect, Verdict
-from cypressbeam.frames.membership import Change, Level, Levelled, Progress
-from cypressbeam.frames.status import Ask, StandingBy, State
-from cypressbeam.frames.tree import Alive, Attach, Beat, Join, News, Place, Refer, Released, Servers, Update
-from cypressbeam.frames.validation import FrameError
+from cypressbeam.protocol.frames.health import Ailing, Leave, Suspect, Verdict
+from cypressbeam.protocol.frames.membership import Change, Level, Levelled, Progress
+from cypressbeam.protocol.frames.status import Ask, StandingBy, State
+from cypressbeam.protocol.frames.tree import Alive, Attach, Beat, Join, News, Place, Refer, Released, Servers, Update
+from cypressbeam.protocol.frames.validation import FrameError
 
 FRAMES: dict[int, type[Frame]] = {
     kind.KIND: kind
--- a/cypressbeam/frames/status.py
+++ b/cypressbeam/protocol/frames/status.py
@@ -1,10 +1,10 @@
-"""Messages of the status survey, by which any node tells an operator the state of the core (survey.py)."""
+"""Messages of the status survey, by which any node tells an operator the state of the core (state_query.py)."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from cypressbeam.frames.codec import Frame
+from cypressbeam.protocol.frames.codec import Frame
 
 #: Flags of a machine of the core: it holds a view that is active, its disk takes writes, it is the root.
 ACTIVE, DISK_WORKS, ROOT = 1, 2, 4
--- a/cypressbeam/frames/tree.py
+++ b/cypressbeam/protocol/frames/tree.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from cypressbeam.frames.codec import Frame
+from cypressbeam.protocol.frames.codec import Frame
 
 #: Flags of a node: it serves clients; it may be a member of the core; it is named to found one; its event loop is
 #: late, and it should have no children.
@@ -145,7 +145,7 @@
     whole: int
     """1: the rows are the whole list; 0: changes."""
     rows: bytes
-    """Rows of servers, as listing.py packs them."""
+    """Rows of servers, as endpoint_list.py packs them."""
     epoch: int = 0
 
 
--- a/cypressbeam/frames/validation.py
+++ b/cypressbeam/protocol/frames/validation.py
@@ -7,7 +7,7 @@
 
 #: Epochs as there can be any: none yet (0), or a proposer's place in the last eight bits below a count from one on.
 LEAST_EPOCH, MOST_EPOCH = 1 << 8, 1 << 48
-#: Members that a group may have by its messages. The rules allow fewer (members.py).
+#: Members that a group may have by its messages. The rules allow fewer (membership.py).
 MOST_NAMED = 64
 #: The highest number of an entry: numbers on disk are signed.
 MOST_NUMBER = (1 << 62) - 1
--- a/cypressbeam/settings.py
+++ b/cypressbeam/protocol/settings.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import TypeVar
 
-from mallowworks.discovery import Address, read_address
+from cypressbeam.standalone.discovery import Address, read_address
 
 VARIABLE = "CYPRESSBEAM_BOOT"
 T = TypeVar("T", int, float)
--- a/mallowworks/attempts.py
+++ b/cypressbeam/proxy/attempts.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from pepperrelay.interface import Ending, Group, Repeat, RequestClass
+from cypressbeam.balancing.interface import Ending, Group, Repeat, RequestClass
 
 #: Statuses that promise: the request has not run and never will (PROTOCOL.md, Answers).
 PROMISES = frozenset({408, 421, 429, 503})
--- a/mallowworks/frontend.py
+++ b/cypressbeam/proxy/frontend.py
@@ -9,8 +9,8 @@
 from itertools import islice
 from typing import Protocol, cast
 
-from mallowworks.http import BODILESS, Answer, Limits, readable
-from mallowworks.messages import BadRequest, Message, RequestReader, Store
+from cypressbeam.proxy.http_requests import BadRequest, Message, RequestReader, Store
+from cypressbeam.proxy.http_responses import BODILESS, Answer, Limits, readable
 
 log = logging.getLogger(__name__)
 
--- a/cypressbeam/gate.py
+++ b/cypressbeam/proxy/gateway.py
@@ -6,21 +6,21 @@
 import random
 from collections.abc import Callable, Iterable
 
-from cypressbeam import listing
-from cypressbeam.configuration import Channel, Configuration, Constraints
-from cypressbeam.routing import Route, Table, kind_of
-from cypressbeam.settings import Envelope, Settings
-from mallowworks.attempts import PROMISES
-from mallowworks.carrier import ANSWER_MARGIN_US, Carrier, Desk, Request
-from mallowworks.config import CLIENT_SHARE
-from mallowworks.dialect import GATE
-from mallowworks.evidence import Asked
-from mallowworks.frontend import ClientConnection
-from mallowworks.http import Answer, Limits
-from mallowworks.messages import BadRequest, Message, gather, pass_on
-from mallowworks.upstream import Attempt
-from pepperrelay import interface as it
-from pepperrelay.balancer import Balancer
+from cypressbeam.balancing import interface as it
+from cypressbeam.balancing.balancer import Balancer
+from cypressbeam.distribution import endpoint_list
+from cypressbeam.protocol.configuration import Channel, Configuration, Constraints
+from cypressbeam.protocol.settings import Envelope, Settings
+from cypressbeam.proxy.attempts import PROMISES
+from cypressbeam.proxy.frontend import ClientConnection
+from cypressbeam.proxy.http_requests import BadRequest, Message, gather, pass_on
+from cypressbeam.proxy.http_responses import Answer, Limits
+from cypressbeam.proxy.protocol_profile import GATE
+from cypressbeam.proxy.proxy_core import ANSWER_MARGIN_US, Carrier, Desk, Request
+from cypressbeam.proxy.response_validation import Asked
+from cypressbeam.proxy.routing import Route, Table, kind_of
+from cypressbeam.proxy.upstream import Attempt
+from cypressbeam.standalone.config import CLIENT_SHARE
 
 log = logging.getLogger(__name__)
 
@@ -131,7 +131,7 @@
         )
         self.desks: dict[str, Desk] = {}
         self.sizes = Sizes()
-        self.servers: dict[str, listing.Server] = {}
+        self.servers: dict[str, endpoint_list.Server] = {}
         self.started_us: dict[str, int] = {}
         self.listed = False
         self.version = 0
@@ -175,7 +175,7 @@
             elif desk.balancer.settings != settings:
                 desk.feed(it.SettingsChanged(settings))
 
-    def take_servers(self, servers: dict[str, listing.Server]) -> None:
+    def take_servers(self, servers: dict[str, endpoint_list.Server]) -> None:
         """The list as it is now; each service's balancer is told of what concerns it."""
         self.listed = True
         self.version += 1
@@ -190,7 +190,7 @@
                 warm_us = server.warmup_ms * 1000
                 self.started_us[server.ident] = now_us + warm_us - COLD_US if warm_us else 0
             self.upstream.place(
-                server.ident, server.address, self.started_us[server.ident], server.state == listing.IN_SERVICE
+                server.ident, server.address, self.started_us[server.ident], server.state == endpoint_list.IN_SERVICE
             )
         self.servers = dict(servers)
         for service in touched:
@@ -205,7 +205,7 @@
                 server.ident,
                 zone=server.zone,
                 weight=float(server.capacity),
-                state=(it.ServerState.ACTIVE if server.state == listing.IN_SERVICE else it.ServerState.DRAINING),
+                state=(it.ServerState.ACTIVE if server.state == endpoint_list.IN_SERVICE else it.ServerState.DRAINING),
                 started_us=self.started_us[server.ident],
             )
             for server in self.servers.values()
--- a/mallowworks/messages.py
+++ b/cypressbeam/proxy/http_requests.py
@@ -10,9 +10,9 @@
 
 import httptools
 
-from mallowworks.dialect import NODE, Dialect
-from mallowworks.http import MOST_FRAMED, Limits
-from pepperrelay.interface import Repeat, RequestArrived, RequestClass
+from cypressbeam.balancing.interface import Repeat, RequestArrived, RequestClass
+from cypressbeam.proxy.http_responses import MOST_FRAMED, Limits
+from cypressbeam.proxy.protocol_profile import NODE, Dialect
 
 #: Requests sent ahead on a connection, before the answer to the first.
 MOST_AHEAD = 4
--- a/mallowworks/dialect.py
+++ b/cypressbeam/proxy/protocol_profile.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from mallowworks import evidence
-from mallowworks.attempts import Reply
-from mallowworks.evidence import Asked
-from mallowworks.http import HOP_BY_HOP, Answer
-from pepperrelay.interface import Report
+from cypressbeam.balancing.interface import Report
+from cypressbeam.proxy import response_validation
+from cypressbeam.proxy.attempts import Reply
+from cypressbeam.proxy.http_responses import HOP_BY_HOP, Answer
+from cypressbeam.proxy.response_validation import Asked
 
 #: The names of load figures on sockets, with those that the settings use.
 LOAD_NAMES = {
@@ -125,5 +125,5 @@
     judge=judge_gate,
     address=lambda left_ms, server: b"Time-Left-Ms: %d\r\nTarget-Server: %s\r\n" % (left_ms, server.encode()),
     names_answers=True,
-    flaw=evidence.flaw,
+    flaw=response_validation.flaw,
 )
--- a/mallowworks/carrier.py
+++ b/cypressbeam/proxy/proxy_core.py
@@ -13,13 +13,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from mallowworks.attempts import Cause, may_tell
-from mallowworks.dialect import Dialect
-from mallowworks.evidence import Asked
-from mallowworks.http import MOST_ANSWER, Answer
-from mallowworks.upstream import WHOLE_BODY, Attempt, Upstream
-from pepperrelay import interface as it
-from pepperrelay.balancer import Balancer
+from cypressbeam.balancing import interface as it
+from cypressbeam.balancing.balancer import Balancer
+from cypressbeam.proxy.attempts import Cause, may_tell
+from cypressbeam.proxy.http_responses import MOST_ANSWER, Answer
+from cypressbeam.proxy.protocol_profile import Dialect
+from cypressbeam.proxy.response_validation import Asked
+from cypressbeam.proxy.upstream import WHOLE_BODY, Attempt, Upstream
 
 log = logging.getLogger(__name__)
 
--- a/mallowworks/evidence.py
+++ b/cypressbeam/proxy/response_validation.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from mallowworks.http import Answer
+from cypressbeam.proxy.http_responses import Answer
 
 #: What a server of this system puts into each of its heads; one of them tells a copied head from a quotation.
 MARKS = re.compile(rb"\r\n(?:attempt-id|server-seal)[ \t]*:", re.IGNORECASE)
--- a/cypressbeam/routing.py
+++ b/cypressbeam/proxy/routing.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-from cypressbeam.configuration import Channel, Configuration, host_name
+from cypressbeam.protocol.configuration import Channel, Configuration, host_name
 
 
 @dataclass(frozen=True, slots=True)
--- a/mallowworks/upstream.py
+++ b/cypressbeam/proxy/upstream.py
@@ -15,12 +15,12 @@
 
 import httptools
 
-from mallowworks.attempts import Cause, Outcome, Reply, Sent, outcome
-from mallowworks.dialect import NODE, Dialect
-from mallowworks.discovery import Address
-from mallowworks.evidence import Asked, begun_at_the_end
-from mallowworks.http import MOST_ANSWER, Answer, ResponseReader, keep_alive_s, readable
-from pepperrelay.interface import Ending, Report
+from cypressbeam.balancing.interface import Ending, Report
+from cypressbeam.proxy.attempts import Cause, Outcome, Reply, Sent, outcome
+from cypressbeam.proxy.http_responses import MOST_ANSWER, Answer, ResponseReader, keep_alive_s, readable
+from cypressbeam.proxy.protocol_profile import NODE, Dialect
+from cypressbeam.proxy.response_validation import Asked, begun_at_the_end
+from cypressbeam.standalone.discovery import Address
 
 log = logging.getLogger(__name__)
 
--- a/mallowworks/__main__.py
+++ b/cypressbeam/standalone/__main__.py
@@ -1,4 +1,4 @@
-"""Start and stop of a node: `python -m mallowworks`."""
+"""Start and stop of a node: `python -m cypressbeam.standalone`."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 import uvloop
 
-from mallowworks.config import OVERFLOW, Config, ConfigError, load, reload
-from mallowworks.frontend import Frontend
-from mallowworks.node import Node
+from cypressbeam.proxy.frontend import Frontend
+from cypressbeam.standalone.config import OVERFLOW, Config, ConfigError, load, reload
+from cypressbeam.standalone.node import Node
 
-log = logging.getLogger("mallowworks")
+log = logging.getLogger(__name__)
 
 #: New connections go on coming for up to 0.4 s after SIGTERM.
 ACCEPT_ON_S = 0.5
@@ -97,10 +97,10 @@
         config = load(os.environ)
         uvloop.run(serve(config))
     except ConfigError as err:
-        print(f"mallowworks: {err}", file=sys.stderr)
+        print(f"cypressbeam: {err}", file=sys.stderr)
         return 2
     except OSError as err:
-        print(f"mallowworks: {err}", file=sys.stderr)
+        print(f"cypressbeam: {err}", file=sys.stderr)
         return 1
     return 0
 
--- a/mallowworks/config.py
+++ b/cypressbeam/standalone/config.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, replace
 from pathlib import Path
 
-from mallowworks.discovery import Address, ServerList, read_address, read_list
-from pepperrelay.interface import Settings
-from pepperrelay.profile import Profile
+from cypressbeam.balancing.interface import Settings
+from cypressbeam.standalone.discovery import Address, ServerList, read_address, read_list
+from cypressbeam.standalone.profile import Profile
 
 log = logging.getLogger(__name__)
 
--- a/mallowworks/discovery.py
+++ b/cypressbeam/standalone/discovery.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from mallowworks.http import Answer, ResponseReader
-from pepperrelay.interface import ServerEntry, ServerState
-from pepperrelay.wire import STATES
+from cypressbeam.balancing.interface import ServerEntry, ServerState
+from cypressbeam.proxy.http_responses import Answer, ResponseReader
+from cypressbeam.standalone.simulator import STATES
 
 Address = tuple[str, int]
 
--- a/mallowworks/node.py
+++ b/cypressbeam/standalone/node.py
@@ -4,16 +4,16 @@
 
 import logging
 
-from mallowworks.attempts import repeatable
-from mallowworks.carrier import ANSWER_MARGIN_US, Carrier, Desk, Request
-from mallowworks.config import Config
-from mallowworks.dialect import NODE
-from mallowworks.discovery import Discovery, ServerList
-from mallowworks.frontend import ClientConnection, readiness
-from mallowworks.http import Answer
-from mallowworks.messages import BadRequest, Message, read_request
-from pepperrelay import interface as it
-from pepperrelay.balancer import Balancer
+from cypressbeam.balancing import interface as it
+from cypressbeam.balancing.balancer import Balancer
+from cypressbeam.proxy.attempts import repeatable
+from cypressbeam.proxy.frontend import ClientConnection, readiness
+from cypressbeam.proxy.http_requests import BadRequest, Message, read_request
+from cypressbeam.proxy.http_responses import Answer
+from cypressbeam.proxy.protocol_profile import NODE
+from cypressbeam.proxy.proxy_core import ANSWER_MARGIN_US, Carrier, Desk, Request
+from cypressbeam.standalone.config import Config
+from cypressbeam.standalone.discovery import Discovery, ServerList
 
 log = logging.getLogger(__name__)
 
--- a/pepperrelay/profile.py
+++ b/cypressbeam/standalone/profile.py
@@ -1,6 +1,7 @@
 """The settings that a proxy is told when it starts, read from paths and their text.
 
-One reading for all who give them: the simulator's wire (pepperrelay/wire.py) and a real node's configuration.
+One reading for all who give them: the simulator's wire (cypressbeam/standalone/simulator.py) and a real node's
+configuration.
 """
 
 from __future__ import annotations
@@ -8,7 +9,7 @@
 from collections.abc import Mapping
 from typing import TypeVar
 
-from pepperrelay import interface as it
+from cypressbeam.balancing import interface as it
 
 T = TypeVar("T")
 
--- a/pepperrelay/wire.py
+++ b/cypressbeam/standalone/simulator.py
@@ -1,6 +1,6 @@
 """The simulator's wire: parse batches, hand events to the instances, write their actions.
 
-This adapter decides nothing; see pepperrelay/balancer.py for every choice.
+This adapter decides nothing; see cypressbeam/balancing/balancer.py for every choice.
 """
 
 from __future__ import annotations
@@ -9,9 +9,9 @@
 from collections.abc import Callable, Iterator, Mapping
 from typing import Any, NoReturn, TextIO, TypeVar
 
-from pepperrelay import interface as it
-from pepperrelay.balancer import Balancer
-from pepperrelay.profile import BOOLS, Profile, ProfileError, read_choice, read_integer, read_number
+from cypressbeam.balancing import interface as it
+from cypressbeam.balancing.balancer import Balancer
+from cypressbeam.standalone.profile import BOOLS, Profile, ProfileError, read_choice, read_integer, read_number
 
 T = TypeVar("T")
 
@@ -318,7 +318,7 @@
     try:
         serve(sys.stdin, sys.stdout)
     except (WireError, UnicodeDecodeError) as err:
-        print(f"pepperrelay: {err}", file=sys.stderr)
+        print(f"cypressbeam: {err}", file=sys.stderr)
         return 1
     return 0
 
--- a/cypressbeam/store.py
+++ b/cypressbeam/storage/store.py
@@ -17,11 +17,11 @@
 from pathlib import Path
 from typing import Any, Protocol, TypeVar
 
-from cypressbeam import files
-from cypressbeam.chain import Entry, View
-from cypressbeam.configuration import digest
-from cypressbeam.marks import NO_MARKS, Marks, pack_marks, unpack_marks
-from cypressbeam.taken import KEPT
+from cypressbeam.consensus.chain import Entry, View
+from cypressbeam.consensus.deduplication import KEPT
+from cypressbeam.consensus.rollback_detection import NO_MARKS, Marks, pack_marks, unpack_marks
+from cypressbeam.protocol.configuration import digest
+from cypressbeam.storage import files
 
 log = logging.getLogger(__name__)
 
--- a/cypressbeam/blobs/fetcher.py
+++ b/cypressbeam/transport/blobs/fetcher.py
@@ -13,10 +13,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from cypressbeam import delta, frames
-from cypressbeam.blobs.link import WINDOW_S, Connection, Connections
-from cypressbeam.blobs.store import BlobStore
-from cypressbeam.configuration import digest
+from cypressbeam.protocol import delta, frames
+from cypressbeam.protocol.configuration import digest
+from cypressbeam.transport.blobs.link import WINDOW_S, Connection, Connections
+from cypressbeam.transport.blobs.store import BlobStore
 
 log = logging.getLogger(__name__)
 
--- a/cypressbeam/blobs/link.py
+++ b/cypressbeam/transport/blobs/link.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from cypressbeam import frames
+from cypressbeam.protocol import frames
 
 #: Slices and windows are what the node's own link carries in so long, within bounds: a frame waits behind one slice of
 #: each transfer, and a window covers the way there and back.
--- a/cypressbeam/blobs/server.py
+++ b/cypressbeam/transport/blobs/server.py
@@ -8,10 +8,10 @@
 import asyncio
 from dataclasses import dataclass
 
-from cypressbeam import frames
-from cypressbeam.blobs.fetcher import Fetcher
-from cypressbeam.blobs.link import Connection, LinkRate
-from cypressbeam.blobs.store import BlobStore
+from cypressbeam.protocol import frames
+from cypressbeam.transport.blobs.fetcher import Fetcher
+from cypressbeam.transport.blobs.link import Connection, LinkRate
+from cypressbeam.transport.blobs.store import BlobStore
 
 
 @dataclass(slots=True)
--- a/cypressbeam/blobs/store.py
+++ b/cypressbeam/transport/blobs/store.py
@@ -4,9 +4,9 @@
 
 from collections import OrderedDict
 
-from cypressbeam import delta
-from cypressbeam.blobs.link import SLICE_BYTES
-from cypressbeam.configuration import digest
+from cypressbeam.protocol import delta
+from cypressbeam.protocol.configuration import digest
+from cypressbeam.transport.blobs.link import SLICE_BYTES
 
 #: Bodies that are held, the newest (more where a machine has no clients: the core sees those of lost races too); and
 #: packed forms, of which children ask for one or two.
--- a/cypressbeam/blobs/transfer.py
+++ b/cypressbeam/transport/blobs/transfer.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from cypressbeam import frames
-from cypressbeam.blobs.fetcher import Fetcher
-from cypressbeam.blobs.link import Connection, Connections, LinkRate
-from cypressbeam.blobs.server import ChunkServer
-from cypressbeam.blobs.store import KEPT, KEPT_CORE, BlobStore
+from cypressbeam.protocol import frames
+from cypressbeam.transport.blobs.fetcher import Fetcher
+from cypressbeam.transport.blobs.link import Connection, Connections, LinkRate
+from cypressbeam.transport.blobs.server import ChunkServer
+from cypressbeam.transport.blobs.store import KEPT, KEPT_CORE, BlobStore
 
 
 class BlobTransfer:
--- a/cypressbeam/peers.py
+++ b/cypressbeam/transport/peers.py
@@ -9,8 +9,8 @@
 from dataclasses import replace
 from typing import Any, cast
 
-from cypressbeam import frames
-from cypressbeam.blobs.transfer import BlobTransfer
+from cypressbeam.protocol import frames
+from cypressbeam.transport.blobs.transfer import BlobTransfer
 
 log = logging.getLogger(__name__)
 
--- a/lab/worst.py
+++ b/lab/adversarial_servers.py
@@ -11,14 +11,14 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from cypressbeam import listing
-from cypressbeam.configuration import Channel, Configuration, Plant
-from cypressbeam.gate import Gate
-from cypressbeam.settings import parse
+from cypressbeam.distribution import endpoint_list
+from cypressbeam.protocol.configuration import Channel, Configuration, Plant
+from cypressbeam.protocol.settings import parse
+from cypressbeam.proxy.attempts import PROMISES
+from cypressbeam.proxy.frontend import ClientConnection, Frontend
+from cypressbeam.proxy.gateway import Gate
+from cypressbeam.proxy.upstream import Attempt, ServerConnection
 from lab.simulation import Loop, Net
-from mallowworks.attempts import PROMISES
-from mallowworks.frontend import ClientConnection, Frontend
-from mallowworks.upstream import Attempt, ServerConnection
 
 SETTINGS = """node=edge-1
 ip=10.1.0.13
@@ -250,14 +250,14 @@
                 (Plant("p"),),
             )
         )
-        self.states = {f"s{number}": listing.IN_SERVICE for number in range(SERVERS)}
+        self.states = {f"s{number}": endpoint_list.IN_SERVICE for number in range(SERVERS)}
         self.tell()
 
     def tell(self) -> None:
         """The list as it is now."""
         self.gate.take_servers(
             {
-                ident: listing.Server(ident, "p", ("10.9.0.1", 8000 + int(ident[1:])), "a", 4, state, 0)
+                ident: endpoint_list.Server(ident, "p", ("10.9.0.1", 8000 + int(ident[1:])), "a", 4, state, 0)
                 for ident, state in self.states.items()
             }
         )
--- a/lab/attempt_faults.py
+++ b/lab/attempt_faults.py
@@ -8,12 +8,19 @@
 from dataclasses import replace
 from typing import Any
 
-from cypressbeam import gate
-from lab.worst import SOON_S
-from mallowworks import attempts, carrier, dialect, evidence, http, upstream
-from mallowworks.attempts import Cause, Outcome, Reply, Sent
-from mallowworks.carrier import Carrier, Request
-from mallowworks.http import Answer, ResponseReader
+from cypressbeam.proxy import (
+    attempts,
+    gateway,
+    http_responses,
+    protocol_profile,
+    proxy_core,
+    response_validation,
+    upstream,
+)
+from cypressbeam.proxy.attempts import Cause, Outcome, Reply, Sent
+from cypressbeam.proxy.http_responses import Answer, ResponseReader
+from cypressbeam.proxy.proxy_core import Carrier, Request
+from lab.adversarial_servers import SOON_S
 
 Patch = Callable[[Any, str, Any], None]
 
@@ -25,7 +32,7 @@
 
 def let_heads_grow_together(patch: Patch) -> None:
     """The beginning of one answer's head goes on with the next one's."""
-    patch(http, "STATUS_LINE", re.compile(b"(?!)"))
+    patch(http_responses, "STATUS_LINE", re.compile(b"(?!)"))
 
 
 def leave_bytes_behind(patch: Patch) -> None:
@@ -78,9 +85,9 @@
 
 def believe_any_503(patch: Patch) -> None:
     def judge(answer: Answer) -> Reply:
-        return Reply.NOT_EXECUTED if answer.status == 503 else dialect.judge_gate(answer)
+        return Reply.NOT_EXECUTED if answer.status == 503 else protocol_profile.judge_gate(answer)
 
-    patch(gate, "GATE", replace(dialect.GATE, judge=judge))
+    patch(gateway, "GATE", replace(protocol_profile.GATE, judge=judge))
 
 
 def take_what_has_come(patch: Patch) -> None:
@@ -114,15 +121,16 @@
 def promise_at_the_end(patch: Patch) -> None:
     """Whoever fails is told to come again."""
     patch(Carrier, "failure", lambda self, request: Answer(503))
-    patch(gate.Gate, "failure", lambda self, request: Answer(503))
-    patch(carrier, "may_tell", lambda *_: True)
+    patch(gateway.Gate, "failure", lambda self, request: Answer(503))
+    patch(proxy_core, "may_tell", lambda *_: True)
 
 
 def leave_out(check: str) -> Callable[[Patch], None]:
     """One check of a success is not made."""
 
     def without(patch: Patch) -> None:
-        patch(evidence, "CHECKS", {name: fails for name, fails in evidence.CHECKS.items() if name != check})
+        others = {name: fails for name, fails in response_validation.CHECKS.items() if name != check}
+        patch(response_validation, "CHECKS", others)
 
     return without
 
@@ -171,7 +179,10 @@
     "take-any-close-for-the-end": take_any_close_for_the_end,
     "read-any-status": read_any_status,
     "read-two-codings": read_two_codings,
-    **{f"take-{name.lower().replace(',', '').replace(' ', '-')}": leave_out(name) for name in evidence.CHECKS},
+    **{
+        f"take-{name.lower().replace(',', '').replace(' ', '-')}": leave_out(name)
+        for name in response_validation.CHECKS
+    },
 }
 FAULTS = RULES_LEFT_OUT | CHECKS_LEFT_OUT
 
--- a/lab/attempt_search.py
+++ b/lab/attempt_search.py
@@ -5,10 +5,10 @@
 import logging
 import random
 
+from lab.adversarial_servers import Broken
 from lab.attempt_faults import fault
 from lab.attempt_storms import draw, storm
 from lab.attempts import states, walk
-from lab.worst import Broken
 
 
 def search_states() -> tuple[int, str] | None:
--- a/lab/attempt_storms.py
+++ b/lab/attempt_storms.py
@@ -4,9 +4,9 @@
 
 import random
 
-from cypressbeam import listing
+from cypressbeam.distribution import endpoint_list
+from lab.adversarial_servers import TO_THE_END_S, Asked, Sending, ServerWire, World, answer, play
 from lab.attempts import REPLIES, SPOILS, note, spoil
-from lab.worst import TO_THE_END_S, Asked, Sending, ServerWire, World, answer, play
 
 #: What is done, to which of those there are, and how.
 Step = tuple[str, int, int]
@@ -169,7 +169,7 @@
     # What the platform and time do.
 
     def tell(self, which: int, how: int) -> None:
-        self.world.states[f"s{which % 4}"] = listing.DRAINING if how % 2 else listing.IN_SERVICE
+        self.world.states[f"s{which % 4}"] = endpoint_list.DRAINING if how % 2 else endpoint_list.IN_SERVICE
         self.world.tell()
 
     async def wait(self, how: int) -> None:
--- a/lab/attempts.py
+++ b/lab/attempts.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cypressbeam import listing
-from lab.worst import SOON_S, TO_THE_END_S, Asked, Sending, World, answer, hold, play
-from mallowworks.attempts import Sent
+from cypressbeam.distribution import endpoint_list
+from cypressbeam.proxy.attempts import Sent
+from lab.adversarial_servers import SOON_S, TO_THE_END_S, Asked, Sending, World, answer, hold, play
 
 #: How much of an answer has come when the event does.
 PROGRESS = ("none", "interim", "part head", "head", "part body")
@@ -230,7 +230,8 @@
         if sending is not None and (event in ANSWERS or event in IDLE or event in UNFRAMED):
             if event == "alone":
                 world.states = {
-                    ident: listing.IN_SERVICE if ident == sending.server else listing.DRAINING for ident in world.states
+                    ident: endpoint_list.IN_SERVICE if ident == sending.server else endpoint_list.DRAINING
+                    for ident in world.states
                 }
                 world.tell()
             self.finish(sending)
@@ -239,7 +240,7 @@
         elif event in ("close", "reset") and sending is not None:
             sending.wire.lose(ConnectionResetError() if event == "reset" else None)
         elif event in ("drain", "restart"):
-            world.states[self.attempt.server] = listing.DRAINING
+            world.states[self.attempt.server] = endpoint_list.DRAINING
             if event == "restart":
                 world.gate.upstream.place(
                     self.attempt.server,
--- a/lab/calls.py
+++ b/lab/calls.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
+from cypressbeam.proxy.http_requests import Message
+from cypressbeam.standalone.discovery import Address
 from lab.clients import Population
 from lab.day import Kind
-from lab.ledger import Ledger, Wish
+from lab.invariant_checker import Ledger, Wish
 from lab.standins import Server, name_of
-from mallowworks.discovery import Address
-from mallowworks.messages import Message
 
 
 class Calls:
--- a/lab/chaos.py
+++ b/lab/chaos.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from cypressbeam.settings import Settings
+from cypressbeam.protocol.settings import Settings
 from lab.membership import CORES, Cluster
 from lab.simulation import Disk, Host
 
--- a/lab/clients.py
+++ b/lab/clients.py
@@ -16,10 +16,10 @@
 
 import httptools
 
+from cypressbeam.proxy.http_responses import Answer, ResponseReader
+from cypressbeam.standalone.discovery import Address
 from lab.day import Kind
-from lab.ledger import Ledger, Try, Wish
-from mallowworks.discovery import Address
-from mallowworks.http import Answer, ResponseReader
+from lab.invariant_checker import Ledger, Try, Wish
 
 MOST_ANSWER = 1 << 20
 CONNECT_S = 1.0
--- a/lab/commands/days.py
+++ b/lab/commands/days.py
@@ -54,7 +54,7 @@
 @click.option("--jobs", default=8, show_default=True, help="Processes at once.")
 def days(seeds: int, first: int, jobs: int) -> None:
     """Days drawn by chance from all troubles, to find broken rules; a find is shrunk. Exit code 3 if there is one."""
-    from lab.daily import search_with
+    from lab.random_days import search_with
 
     silence_simulated_nodes()
     found = first_failure(search_with, "", range(first, first + seeds), jobs)
--- a/lab/commands/histories.py
+++ b/lab/commands/histories.py
@@ -79,7 +79,7 @@
 @fault_option
 def turnover(seeds: int, first: int, jobs: int, fault: str | None) -> None:
     """Histories of a core whose members come and go. Exit code 3 if one fails; with --fault, if none does."""
-    from lab.turnover import FAULTS, search_with
+    from lab.membership_churn import FAULTS, search_with
 
     report_search(search_with, FAULTS, fault, range(first, first + seeds), jobs)
 
@@ -111,7 +111,7 @@
 
     Exit code 3 if a node holds the newest version too late, or tells an older one; with --fault, if none does.
     """
-    from lab.closing import FAULTS, search_with, table
+    from lab.power_loss_recovery import FAULTS, search_with, table
 
     silence_simulated_nodes()
     if times:
@@ -167,7 +167,7 @@
 
     Exit code 3 if a bound is broken, or a node acts on the word of an epoch that is over; with --fault, if none does.
     """
-    from lab.cuts import Report, search_with
+    from lab.partitions import Report, search_with
 
     silence_simulated_nodes()
     report = Report()
--- a/lab/commands/measurements.py
+++ b/lab/commands/measurements.py
@@ -42,13 +42,13 @@
     """
     import tempfile
 
-    from lab import disk_growth, powerloss
+    from lab import disk_growth, disk_power_loss
 
     silence_simulated_nodes()
     for row in disk_growth.rows(changes, [int(size) for size in sizes.split(",")]):
         click.echo(row)
     with tempfile.TemporaryDirectory(prefix="cypressbeam-life-") as folder:
-        found = powerloss.search(Path(folder), seeds)
+        found = disk_power_loss.search(Path(folder), seeds)
     click.echo(found)
     sys.exit(3 if "nothing lost" not in found else 0)
 
@@ -61,7 +61,7 @@
 @click.option("--seed", default=1, show_default=True, help="What comes by chance.")
 def news(edges: int, edge_mbps: float, core_mbps: float, routes: int, seed: int) -> None:
     """How long configurations and drains take over thin links, and what the links carry for them."""
-    from lab.news import measure, table
+    from lab.update_propagation import measure, table
 
     silence_simulated_nodes()
     click.echo(table(measure(edges, seed, edge_mbps, core_mbps, routes)))
--- a/lab/commands/up.py
+++ b/lab/commands/up.py
@@ -10,6 +10,6 @@
 @click.option("--edges", default=2, show_default=True, help="Nodes that carry traffic.")
 def up(edges: int) -> None:
     """Run a whole small system on loopback, with stand-in servers, and print the calls that it answers."""
-    from lab.up import up as run_up
+    from lab.local_cluster import up as run_up
 
     uvloop.run(run_up(edges))
--- a/lab/powerloss.py
+++ b/lab/disk_power_loss.py
@@ -27,10 +27,10 @@
 
 import apsw
 
-from cypressbeam import files
-from cypressbeam import store as stores
-from cypressbeam.chain import Entry, View
-from cypressbeam.store import Loaded, Store, StoreError
+from cypressbeam.consensus.chain import Entry, View
+from cypressbeam.storage import files
+from cypressbeam.storage import store as stores
+from cypressbeam.storage.store import Loaded, Store, StoreError
 
 #: A disk writes this much at once, or not.
 SECTOR = 512
--- a/lab/emulator.py
+++ b/lab/emulator.py
@@ -21,19 +21,19 @@
 
 import cbor2
 
-from cypressbeam.gate import Gate
-from cypressbeam.node import GatewayNode
-from cypressbeam.settings import Envelope, Settings
-from lab import troubles
+from cypressbeam.node.gateway_node import GatewayNode
+from cypressbeam.protocol.settings import Envelope, Settings
+from cypressbeam.proxy.gateway import Gate
+from cypressbeam.standalone.discovery import Address, ListConnection
+from lab import fault_injection
 from lab.calls import Calls
 from lab.clients import Population
 from lab.day import Day, Kind, Service, Trouble
-from lab.ledger import EVERYBODY, Breach, Ledger, Try
+from lab.invariant_checker import EVERYBODY, Breach, Ledger, Try
 from lab.membership import CONTROL, Cluster
 from lab.planned import Bounds
 from lab.simulation import Disk, EarlySocket, Host
 from lab.standins import Platform, Server
-from mallowworks.discovery import Address, ListConnection
 
 log = logging.getLogger(__name__)
 
@@ -426,7 +426,7 @@
     async def befall(self, trouble: Trouble) -> None:
         await asyncio.sleep(trouble.at)
         log.info("trouble: %s", trouble.kind)
-        await troubles.KINDS[trouble.kind](self, trouble)
+        await fault_injection.KINDS[trouble.kind](self, trouble)
 
     def outcome(self) -> Outcome:
         day, ledger = self.day, self.ledger
--- a/lab/experiment.py
+++ b/lab/experiment.py
@@ -15,13 +15,13 @@
 from functools import partial
 from types import ModuleType
 
-from cypressbeam import gate
+from cypressbeam.balancing import balancer
+from cypressbeam.balancing.balancer import Balancer, Request, Server
+from cypressbeam.proxy import gateway
 from lab.day import Day
 from lab.emulator import Outcome, play
-from pepperrelay import balancer
-from pepperrelay.balancer import Balancer, Request, Server
 
-MODULES: dict[str, ModuleType] = {"balancer": balancer, "gate": gate}
+MODULES: dict[str, ModuleType] = {"balancer": balancer, "gate": gateway}
 #: Two-sided 95% points of Student's t, by the degrees of freedom; beyond the last one the normal's.
 STUDENT = (
     12.71,
--- a/lab/troubles.py
+++ b/lab/fault_injection.py
@@ -13,8 +13,8 @@
 from lab.standins import Illness, Server
 
 if TYPE_CHECKING:
-    from cypressbeam.node import GatewayNode
-    from cypressbeam.settings import Settings
+    from cypressbeam.node.gateway_node import GatewayNode
+    from cypressbeam.protocol.settings import Settings
     from lab.emulator import World
 
 T = TypeVar("T")
--- a/lab/fetches.py
+++ b/lab/fetches.py
@@ -17,13 +17,13 @@
 
 import cbor2
 
-from cypressbeam import delta, frames
-from cypressbeam.blobs.fetcher import Fetcher
-from cypressbeam.node import GatewayNode
-from cypressbeam.peers import Link
+from cypressbeam.node.gateway_node import GatewayNode
+from cypressbeam.protocol import delta, frames
+from cypressbeam.transport.blobs.fetcher import Fetcher
+from cypressbeam.transport.peers import Link
+from lab.local_cluster import demo_configuration
 from lab.membership import Cluster
 from lab.simulation import Host
-from lab.up import demo_configuration
 
 EDGES, CORES, ROUTES, MORE_ROUTES = 40, 5, 400, 1200
 EDGE_MBPS, CORE_MBPS = 2.75, 30.0
--- a/lab/footprint.py
+++ b/lab/footprint.py
@@ -23,20 +23,21 @@
 
 import cbor2
 
-from cypressbeam import configuration, delta, frames, listing
-from cypressbeam.gate import Gate
-from cypressbeam.roster import RENEW_S, Roster
-from cypressbeam.routing import Table, make_route
-from lab import packed
+from cypressbeam.balancing.balancer import HOUSEKEEPING_US, Percentile
+from cypressbeam.distribution import endpoint_list
+from cypressbeam.distribution.node_registry import RENEW_S, Roster
+from cypressbeam.protocol import configuration, delta, frames
+from cypressbeam.proxy.frontend import Frontend
+from cypressbeam.proxy.gateway import Gate
+from cypressbeam.proxy.routing import Table, make_route
+from lab import packed_blobs
 from lab.hollow import seen
 from lab.hollow_nodes import Task, rss_kb, settings_of
+from lab.local_cluster import HOST, push_until_taken
 from lab.membership import many_routes
 from lab.scale import exponent
 from lab.standins import Platform, Server
 from lab.system import System
-from lab.up import HOST, push_until_taken
-from mallowworks.frontend import Frontend
-from pepperrelay.balancer import HOUSEKEEPING_US, Percentile
 
 T = TypeVar("T")
 Found = dict[str, float]
@@ -135,7 +136,7 @@
 
 
 def trial_routes(read: configuration.Configuration, table: Table) -> Found:
-    made, build_ms = timed(lambda: packed.Routes(read))
+    made, build_ms = timed(lambda: packed_blobs.Routes(read))
     wanted = [(channel.host, channel.prefix + "x") for channel in read.channels]
     one = read.channels[len(read.channels) // 2]
 
@@ -146,7 +147,7 @@
         return routes
 
     return {
-        "trial_packed_kb": held(lambda: packed.Routes(read))[1],
+        "trial_packed_kb": held(lambda: packed_blobs.Routes(read))[1],
         "trial_packed_build_ms": build_ms,
         "trial_packed_find_us": find_us(made, wanted),
         "trial_patch_ms": timed(patch)[1],
@@ -164,17 +165,17 @@
         "hosts_kb": own_kb - few_kb,
         "find_us": find_us(Table(own), [(channel.host, channel.prefix) for channel in own.channels]),
         "trial_limits_kb": limits_kb,
-        "trial_limits_packed_kb": held(lambda: packed.Buckets(size))[1],
-        "trial_packed_kb": held(lambda: packed.Routes(own))[1],
+        "trial_limits_packed_kb": held(lambda: packed_blobs.Buckets(size))[1],
+        "trial_packed_kb": held(lambda: packed_blobs.Routes(own))[1],
     }
 
 
 # -- servers and services ----------------------------------------------------------------------------------
 
 
-def server(number: int, services: int, state: int = listing.IN_SERVICE) -> listing.Server:
+def server(number: int, services: int, state: int = endpoint_list.IN_SERVICE) -> endpoint_list.Server:
     host = (f"10.{number // 62_500}.{number // 250 % 250}.{1 + number % 250}", 8080)
-    return listing.Server(
+    return endpoint_list.Server(
         f"i-{number:08x}", f"service-{number % services}", host, f"zone-{number // services % ZONES}", 8, state, 0
     )
 
@@ -183,12 +184,12 @@
     """So many servers in a 25th as many services: the list at the root and at a node, and the data plane's part."""
     services = max(size // EACH, 1)
     rows = [server(number, services) for number in range(size)]
-    root = listing.Listing(1)
+    root = endpoint_list.Listing(1)
     root.poll(rows)
     whole, pack_ms = timed(root.whole)
-    node = listing.Listing()
+    node = endpoint_list.Listing()
     _, apply_ms = timed(lambda: node.apply(whole))
-    drained = [server(0, services, listing.DRAINING), *rows[1:]]
+    drained = [server(0, services, endpoint_list.DRAINING), *rows[1:]]
     change, poll_ms = timed(lambda: root.poll(drained))
     assert change is not None and node.apply(change)
     pages = [
@@ -212,7 +213,7 @@
         )
         for at in range(0, size, 1000)
     ]
-    _, pages_ms = timed(lambda: [listing.read_page(page) for page in pages])
+    _, pages_ms = timed(lambda: [endpoint_list.read_page(page) for page in pages])
     found = {
         "list_bytes": float(len(whole.pack())),
         "change_bytes": float(len(change.pack())),
@@ -221,11 +222,11 @@
         "root_compare_ms": poll_ms,
         "pack_list_ms": pack_ms,
         "apply_list_ms": apply_ms,
-        "listing_kb": held(lambda: listing.unpack_rows(whole.rows))[1],
-        "trial_rows_packed_kb": len(listing.unpack_bytes(whole.rows)) / 1000,
+        "listing_kb": held(lambda: endpoint_list.unpack_rows(whole.rows))[1],
+        "trial_rows_packed_kb": len(endpoint_list.unpack_bytes(whole.rows)) / 1000,
     }
     # Of each service the servers that weigh most for this node.
-    few, subset_ms = timed(lambda: packed.subset("edge-1", rows, KEPT))
+    few, subset_ms = timed(lambda: packed_blobs.subset("edge-1", rows, KEPT))
     return (
         found
         | asyncio.run(planes(rows, services))
@@ -238,12 +239,12 @@
     )
 
 
-async def planes(rows: Sequence[listing.Server], services: int) -> Found:
+async def planes(rows: Sequence[endpoint_list.Server], services: int) -> Found:
     """A data plane with those servers and a route to each service: what it holds, and what its timers do while it is
     idle, as a share of a core: one after another, so less than in a process that wakes for each (`lab hollow`)."""
     body = many_routes(1, services, services=services)
     known = {row.ident: row for row in rows}
-    drained = known | {rows[0].ident: server(0, services, listing.DRAINING)}
+    drained = known | {rows[0].ident: server(0, services, endpoint_list.DRAINING)}
 
     def make() -> Gate:
         gate = Gate(settings_of("edge-1", "127.0.0.1", "zone-0", Task([], [], [1, 2])))
@@ -313,7 +314,7 @@
 def nodes(size: int) -> Found:
     """The root's roster of so many nodes: all join, renew, and one goes and comes back amid renewals."""
     found = roster_costs(Roster, size)
-    trial = roster_costs(packed.RingRoster, size)
+    trial = roster_costs(packed_blobs.RingRoster, size)
     return found | {
         f"trial_ring_{name}": trial[name] for name in ("all_join_ms", "renew_us", "root_renewals_share", "churn_ms")
     }
--- a/lab/golden_traces.py
+++ b/lab/golden_traces.py
@@ -26,25 +26,25 @@
 from typing import Any
 from unittest import mock
 
-from cypressbeam.frames import Frame
-from cypressbeam.peers import Link
+from cypressbeam.protocol.frames import Frame
+from cypressbeam.proxy.frontend import ClientConnection
+from cypressbeam.proxy.upstream import ServerConnection
+from cypressbeam.transport.peers import Link
 from lab import (
+    adversarial_servers,
     attempt_storms,
     attempts,
-    closing,
-    cuts,
-    daily,
     emulator,
     fetches,
     membership,
+    membership_churn,
+    partitions,
+    power_loss_recovery,
+    random_days,
     replacements,
-    turnover,
-    worst,
 )
 from lab.histories import disks, network, plans, runner
 from lab.simulation import connections, disk
-from mallowworks.frontend import ClientConnection
-from mallowworks.upstream import ServerConnection
 
 
 def canonical(value: object) -> str:
@@ -90,7 +90,7 @@
         return int(self.__dict__.setdefault("golden_number", next(numbers)))
 
     with contextlib.ExitStack() as patches:
-        for kind in (Link, ClientConnection, ServerConnection, worst.Sending):
+        for kind in (Link, ClientConnection, ServerConnection, adversarial_servers.Sending):
             patches.enter_context(mock.patch.object(kind, "__hash__", number_of))
         yield
 
@@ -103,7 +103,7 @@
     write = connections.End.write
     send_datagram = connections.DatagramSocket.sendto
     sync = disk.Disk.sync
-    write_wire = worst.Wire.write
+    write_wire = adversarial_servers.Wire.write
 
     def on_send(self: network.Network, origin: str, ip: str, frame: Frame) -> None:
         recorder.record("message", self.loop.now_s, origin, ip, frame)
@@ -126,7 +126,7 @@
         await sync(self)
         recorder.record("sync ends", self.kept)
 
-    def on_wire(self: worst.Wire, data: Any) -> None:
+    def on_wire(self: adversarial_servers.Wire, data: Any) -> None:
         recorder.record("bytes", self.world.loop.time(), data)
         write_wire(self, data)
 
@@ -136,7 +136,7 @@
         mock.patch.object(connections.End, "write", on_write),
         mock.patch.object(connections.DatagramSocket, "sendto", on_datagram),
         mock.patch.object(disk.Disk, "sync", on_sync),
-        mock.patch.object(worst.Wire, "write", on_wire),
+        mock.patch.object(adversarial_servers.Wire, "write", on_wire),
     ):
         yield
 
@@ -153,7 +153,7 @@
 def play_turnover(seeds: range) -> None:
     """The consensus while members come and go."""
     for seed in seeds:
-        turnover.play(seed, turnover.make_plan(seed))
+        membership_churn.play(seed, membership_churn.make_plan(seed))
 
 
 def play_replacements(seeds: range) -> None:
@@ -165,13 +165,13 @@
 def play_cuts(seeds: range) -> None:
     """Network partitions of the core; whole nodes."""
     for seed in seeds:
-        cuts.play(seed)
+        partitions.play(seed)
 
 
 def play_power_loss(seeds: range) -> None:
     """A loss of all power; whole nodes."""
     for seed in seeds:
-        closing.play(seed)
+        power_loss_recovery.play(seed)
 
 
 def play_membership(seeds: range) -> None:
@@ -201,7 +201,7 @@
 def play_days(seeds: range) -> None:
     """Whole days with clients, servers, platform and operator."""
     for seed in seeds:
-        emulator.play(daily.drawn(seed), seed)
+        emulator.play(random_days.drawn(seed), seed)
 
 
 SIMULATIONS: dict[str, Callable[[], None]] = {
--- a/lab/histories/callers.py
+++ b/lab/histories/callers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cypressbeam import frames
+from cypressbeam.protocol import frames
 from lab.histories.invariants import Call, revision
 from lab.histories.network import CLIENT
 from lab.histories.plans import OPERATORS
--- a/lab/histories/disks.py
+++ b/lab/histories/disks.py
@@ -13,10 +13,10 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from cypressbeam import taken
-from cypressbeam.agreement import Keeper, SavePromise, SaveView
-from cypressbeam.chain import Entry, Sync, View
-from cypressbeam.marks import Marks
+from cypressbeam.consensus import deduplication
+from cypressbeam.consensus.chain import Entry, Sync, View
+from cypressbeam.consensus.replica import Keeper, SavePromise, SaveView
+from cypressbeam.consensus.rollback_detection import Marks
 from lab.histories.invariants import digest
 
 #: Copies of each disk that a history keeps at most.
@@ -42,7 +42,7 @@
             self.own, self.marks = keeper.raised, dict(keeper.marks)
         if isinstance(action, Sync):
             self.last = action.entry
-            taken.note(self.taken, action.entry.revision, action.entry.base, digest(action.entry.body))
+            deduplication.note(self.taken, action.entry.revision, action.entry.base, digest(action.entry.body))
         elif isinstance(action, SavePromise):
             self.promised = max(self.promised, action.epoch)
         elif isinstance(action, SaveView):
--- a/lab/histories/faults.py
+++ b/lab/histories/faults.py
@@ -9,9 +9,10 @@
 from contextlib import contextmanager
 from typing import Any
 
-from cypressbeam import agreement, frames, taken
-from cypressbeam.agreement import Keeper
-from cypressbeam.chain import Action, Entry, Member, Tell, View, answer
+from cypressbeam.consensus import deduplication, replica
+from cypressbeam.consensus.chain import Action, Entry, Member, Tell, View, answer
+from cypressbeam.consensus.replica import Keeper
+from cypressbeam.protocol import frames
 from lab.histories.downstream import DownstreamNode
 
 #: Puts something new in the place of an attribute.
@@ -63,7 +64,7 @@
 def begin_with_the_oldest(patch: Patch) -> None:
     """A new chain begins with the oldest entry that a majority tells."""
     patch(
-        agreement,
+        replica,
         "newest_of",
         lambda promises: min(promises.values(), key=lambda promise: (promise.entry_epoch, promise.number)),
     )
@@ -95,7 +96,7 @@
 
 def stay_the_root(patch: Patch) -> None:
     """A root that is in contact with no majority stays it."""
-    patch(agreement, "ROOT_ALONE_S", 60.0)
+    patch(replica, "ROOT_ALONE_S", 60.0)
 
 
 def lead_alone(patch: Patch) -> None:
@@ -131,8 +132,8 @@
 
 def keep_a_refused_write(patch: Patch) -> None:
     """What a disk refused and kept all the same counts as taken after the next start."""
-    real = taken.note
-    patch(taken, "note", lambda kept, revision, base, mark: real(kept, revision, revision, mark))
+    real = deduplication.note
+    patch(deduplication, "note", lambda kept, revision, base, mark: real(kept, revision, revision, mark))
 
 
 def join_by_number(patch: Patch) -> None:
--- a/lab/histories/network.py
+++ b/lab/histories/network.py
@@ -5,7 +5,7 @@
 import random
 from typing import Any
 
-from cypressbeam import frames
+from cypressbeam.protocol import frames
 from lab.histories.events import EventLoop
 from lab.histories.plans import Step
 from lab.histories.vector_clocks import VectorClocks
--- a/lab/histories/observer.py
+++ b/lab/histories/observer.py
@@ -5,8 +5,8 @@
 
 from collections.abc import Iterable
 
-from cypressbeam.agreement import Keeper
-from cypressbeam.chain import Entry
+from cypressbeam.consensus.chain import Entry
+from cypressbeam.consensus.replica import Keeper
 from lab.histories.downstream import Announcement, DownstreamNode
 from lab.histories.invariants import Violation, demand
 
--- a/lab/histories/operators.py
+++ b/lab/histories/operators.py
@@ -15,7 +15,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from cypressbeam import frames, taken
+from cypressbeam.consensus import deduplication
+from cypressbeam.protocol import frames
 from lab.histories.invariants import Call, Violation, demand, revision
 from lab.histories.network import CLIENT
 from lab.histories.plans import Step, shape_of
@@ -222,8 +223,8 @@
 @contextmanager
 def few_kept() -> Iterator[None]:
     """While few digests are kept."""
-    before, taken.KEPT = taken.KEPT, KEPT
+    before, deduplication.KEPT = deduplication.KEPT, KEPT
     try:
         yield
     finally:
-        taken.KEPT = before
+        deduplication.KEPT = before
--- a/lab/histories/simulated_core.py
+++ b/lab/histories/simulated_core.py
@@ -9,10 +9,11 @@
 from collections.abc import Iterable
 from typing import Any
 
-from cypressbeam import agreement, frames
-from cypressbeam.agreement import Keeper, Lead, SavePromise, SaveView, StartAnew, TryDisk
-from cypressbeam.chain import Entry, Publish, Sync, Tell, View, ip_of
-from cypressbeam.marks import Marks
+from cypressbeam.consensus import replica
+from cypressbeam.consensus.chain import Entry, Publish, Sync, Tell, View, ip_of
+from cypressbeam.consensus.replica import Keeper, Lead, SavePromise, SaveView, StartAnew, TryDisk
+from cypressbeam.consensus.rollback_detection import Marks
+from cypressbeam.protocol import frames
 from lab.histories.disks import Copies, Disk
 from lab.histories.downstream import Announcement
 from lab.histories.events import EventLoop
@@ -30,8 +31,8 @@
 STALLED_S = 0.2
 #: A root speaks only so long after it was in contact with a majority; who reads, or is refused, is told only so long
 #: after one was asked.
-ROOT_BOUND_S = agreement.DEAD_S + agreement.ROOT_ALONE_S
-ANSWER_BOUND_S = agreement.CONFIRM_S
+ROOT_BOUND_S = replica.DEAD_S + replica.ROOT_ALONE_S
+ANSWER_BOUND_S = replica.CONFIRM_S
 #: For sums of times that are compared.
 LEEWAY_S = 1e-6
 #: The view that all machines of the group begin with.
@@ -251,7 +252,7 @@
     def may_answer(self, ip: str, frame: frames.Frame) -> None:
         """What is in force is told only by a machine in contact with a majority."""
         if isinstance(frame, frames.Reading) or (
-            isinstance(frame, frames.Outcome) and frame.status in agreement.REFUSALS
+            isinstance(frame, frames.Outcome) and frame.status in replica.REFUSALS
         ):
             demand(self.alone_s(ip) <= ANSWER_BOUND_S + LEEWAY_S, f"{ip} answers after {self.alone_s(ip):.3f} s alone")
 
--- a/lab/histories/world.py
+++ b/lab/histories/world.py
@@ -5,12 +5,12 @@
 import random
 from typing import Any, Protocol
 
-from cypressbeam import frames
-from cypressbeam.chain import Entry
+from cypressbeam.consensus.chain import Entry
+from cypressbeam.protocol import frames
 from lab.histories.callers import Callers
+from lab.histories.fault_injection import KINDS
 from lab.histories.plans import Step
 from lab.histories.simulated_core import SimulatedCore
-from lab.histories.troubles import KINDS
 
 #: With a crowd: the share of refused writes that are on the disk all the same.
 KEPT_THOUGH_REFUSED = 0.5
--- a/lab/hollow.py
+++ b/lab/hollow.py
@@ -24,11 +24,11 @@
 from pathlib import Path
 
 from lab.hollow_nodes import MOST_LINE, Counts, Look, Task, read_io
+from lab.local_cluster import push, push_until_taken
 from lab.loopback_network import HOLLOW_NETWORKS, LoopbackNetwork
 from lab.membership import many_routes
 from lab.standins import Platform, Server
 from lab.system import CONTROL, PEERS, Machine, System
-from lab.up import push, push_until_taken
 
 ZONES = ("za", "zb", "zc", "zd")
 MOST_NODES, MOST_PROCESSES, MOST_REAL = 600, 32, 60
--- a/lab/hollow_nodes.py
+++ b/lab/hollow_nodes.py
@@ -20,12 +20,12 @@
 
 import uvloop
 
-from cypressbeam import peers
-from cypressbeam.settings import Envelope, Settings
-from cypressbeam.watch import PACKET, Watch
+from cypressbeam.distribution.failure_detector import PACKET, Watch
+from cypressbeam.protocol.settings import Envelope, Settings
+from cypressbeam.standalone.__main__ import GC_THRESHOLDS
+from cypressbeam.standalone.discovery import Address
+from cypressbeam.transport import peers
 from lab.membership import SimulatedNode
-from mallowworks.__main__ import GC_THRESHOLDS
-from mallowworks.discovery import Address
 
 #: Bytes of a line of JSON, at most.
 MOST_LINE = 8 * 1024 * 1024
--- a/lab/up.py
+++ b/lab/local_cluster.py
@@ -8,9 +8,9 @@
 
 import cbor2
 
+from cypressbeam.standalone.discovery import ListConnection
 from lab.standins import Platform, Server
 from lab.system import Machine, System
-from mallowworks.discovery import ListConnection
 
 HOST = "demo.example"
 
--- a/lab/membership.py
+++ b/lab/membership.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import math
 import random
 import statistics
@@ -14,12 +13,13 @@
 
 import cbor2
 
-from cypressbeam import frames, listing
-from cypressbeam.gate import Gate
-from cypressbeam.node import GatewayNode
-from cypressbeam.settings import Envelope, Settings
+from cypressbeam.distribution import endpoint_list
+from cypressbeam.node.gateway_node import GatewayNode
+from cypressbeam.protocol import frames
+from cypressbeam.protocol.settings import Envelope, Settings
+from cypressbeam.proxy.gateway import Gate
+from lab.local_cluster import demo_configuration
 from lab.simulation import Disk, Host, Net
-from lab.up import demo_configuration
 
 CORES, ZONES, PORTS = 3, ("a", "b", "c", "d"), (7620, 7635)
 CONTROL = 8649
@@ -187,13 +187,13 @@
             root,
             root.core.take_list,
             [
-                listing.Server(
+                endpoint_list.Server(
                     f"i-{number}",
                     "finder",
                     (f"10.9.{number // 250}.{number % 250}", 80),
                     "a",
                     8,
-                    listing.DRAINING if number < drained else listing.IN_SERVICE,
+                    endpoint_list.DRAINING if number < drained else endpoint_list.IN_SERVICE,
                     0,
                 )
                 for number in range(servers)
@@ -238,12 +238,7 @@
         for task in asyncio.all_tasks(self.loop):
             task.cancel()
         self.run(asyncio.sleep(TICK_S))
-        for task in asyncio.all_tasks(self.loop):  # those of machines without power never wake
-            with contextlib.suppress(RuntimeError):
-                task.get_coro().close()
-        for host in self.net.hosts.values():
-            self.net.stop(host)
-        self.loop.close()
+        self.net.close()
 
 
 @dataclass
--- a/lab/turnover.py
+++ b/lab/membership_churn.py
@@ -15,11 +15,12 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from cypressbeam import frames, members
-from cypressbeam.agreement import COUNTED, Keeper
-from cypressbeam.chain import View, ip_of
-from cypressbeam.members import ADD, REMOVE, REPLACE, Members
-from cypressbeam.replacement import Replacement
+from cypressbeam.consensus import membership
+from cypressbeam.consensus.chain import View, ip_of
+from cypressbeam.consensus.membership import ADD, REMOVE, REPLACE, Members
+from cypressbeam.consensus.replacement import Replacement
+from cypressbeam.consensus.replica import COUNTED, Keeper
+from cypressbeam.protocol import frames
 from lab.histories import faults, plans, runner
 from lab.histories.callers import AGAIN_S
 from lab.histories.faults import Patch
@@ -82,7 +83,7 @@
     def answer(self, frame: frames.Frame) -> None:
         if not isinstance(frame, frames.Progress):
             super().answer(frame)
-        elif frame.status != members.WAITS:
+        elif frame.status != membership.WAITS:
             self.asked[frame.ident].status = frame.status
 
     def step(self) -> None:
@@ -208,20 +209,20 @@
 def two_at_once(patch: Patch) -> None:
     """A replacement is one step: the majorities of the two groups need not meet."""
 
-    def steps(self: members.Change) -> list[frozenset[str]]:
+    def steps(self: membership.Change) -> list[frozenset[str]]:
         return [self.base, frozenset((self.base | {self.new}) - {self.old, ""})]
 
-    def judge(change: members.Change, known: members.Known) -> members.Verdict:
+    def judge(change: membership.Change, known: membership.Known) -> membership.Verdict:
         now = frozenset(ip_of(name) for name in known.view.group)
         new = known.standing_by.get(change.new)
         if change.kind != REPLACE or now != change.base or new is None:
             return real(change, known)
         kept = tuple(name for name in known.view.group if ip_of(name) != change.old)
-        return members.Verdict(members.WAITS, "at once", (*kept, new))
+        return membership.Verdict(membership.WAITS, "at once", (*kept, new))
 
-    real = members.judge
-    patch(members.Change, "steps", steps)
-    patch(members, "judge", judge)
+    real = membership.judge
+    patch(membership.Change, "steps", steps)
+    patch(membership, "judge", judge)
 
 
 def count_before_level(patch: Patch) -> None:
--- a/lab/mutation.py
+++ b/lab/mutation.py
@@ -30,7 +30,7 @@
 RULES = (*FENCING_RULES, *MEMBERS_RULES, *REPLACEMENT_RULES, *ORDERS_RULES, *CORE_RULES, *DISK_RULES)
 ROOT = Path(__file__).resolve().parent.parent
 #: What the tests need of a checkout.
-COPIED = ("cypressbeam", "mallowworks", "pepperrelay", "lab", "tests", "docs", "deploy", "pyproject.toml", "README.md")
+COPIED = ("cypressbeam", "lab", "tests", "docs", "deploy", "pyproject.toml", "README.md")
 #: The named tests take seconds; a rule without which they stand still is told as such.
 MOST_S = 240.0
 #: How pytest ends: all passed; some failed. Anything else says nothing of the rule.
--- a/lab/packed.py
+++ b/lab/packed_blobs.py
@@ -8,11 +8,11 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable
 
-from cypressbeam import frames
-from cypressbeam.configuration import Configuration
-from cypressbeam.listing import Server
-from cypressbeam.roster import WATCHED, Known, Roster, feeders, weight
-from cypressbeam.routing import kind_of
+from cypressbeam.distribution.endpoint_list import Server
+from cypressbeam.distribution.node_registry import WATCHED, Known, Roster, feeders, weight
+from cypressbeam.protocol import frames
+from cypressbeam.protocol.configuration import Configuration
+from cypressbeam.proxy.routing import kind_of
 
 #: A slot of the index that holds no route.
 FREE = 0xFFFFFFFF
--- a/lab/cuts.py
+++ b/lab/partitions.py
@@ -15,12 +15,14 @@
 from typing import Any
 from unittest import mock
 
-from cypressbeam import agreement, core, frames
+from cypressbeam.consensus import replica
 from cypressbeam.distribution.fencing import EpochFence
 from cypressbeam.distribution.subscription import HOLD_S
-from cypressbeam.node import GatewayNode
-from cypressbeam.peers import Link
-from cypressbeam.settings import Settings
+from cypressbeam.node import core_machine
+from cypressbeam.node.gateway_node import GatewayNode
+from cypressbeam.protocol import frames
+from cypressbeam.protocol.settings import Settings
+from cypressbeam.transport.peers import Link
 from lab.membership import CONTROL, Cluster, SimulatedNode, span
 from lab.simulation import Disk, Host
 
@@ -31,7 +33,7 @@
 #: Bounds, seconds: until all are under the root that leads; until all hold what was confirmed (convergeMs).
 UNDER_S, NEWEST_S = 2.0, 3.0
 #: A machine knows so long after a majority's last pulses that it hears none; then it names no root and has no news.
-KNOWS_S = agreement.DEAD_S + 0.2
+KNOWS_S = replica.DEAD_S + 0.2
 TICK_S, ORDER_S, RESTART_S, SETTLE_S = 0.02, 0.4, 0.3, 6.0
 
 Machine = tuple[Host, Settings]
@@ -354,10 +356,10 @@
 def names_itself() -> Iterator[None]:
     """A machine of the core names the last of the chain that it holds, whomever it hears."""
 
-    def vouched(self: core.Core) -> str:
+    def vouched(self: core_machine.Core) -> str:
         return self.view.members[-1] if self.view is not None else ""
 
-    with mock.patch.object(core.Core, "vouched", vouched):
+    with mock.patch.object(core_machine.Core, "vouched", vouched):
         yield
 
 
--- a/lab/repair.py
+++ b/lab/repair.py
@@ -12,10 +12,10 @@
 
 import cbor2
 
-from cypressbeam import frames
-from cypressbeam.members import ADD, REMOVE, REPLACE
-from cypressbeam.node import GatewayNode
-from cypressbeam.settings import Settings
+from cypressbeam.consensus.membership import ADD, REMOVE, REPLACE
+from cypressbeam.node.gateway_node import GatewayNode
+from cypressbeam.protocol import frames
+from cypressbeam.protocol.settings import Settings
 from lab.membership import Cluster
 from lab.simulation import Disk, Host
 
--- a/lab/replacements.py
+++ b/lab/replacements.py
@@ -24,12 +24,12 @@
 from typing import Any
 from unittest import mock
 
-from cypressbeam import node as nodes
-from cypressbeam.agreement import COUNTED
-from cypressbeam.chain import View, ip_of
-from cypressbeam.members import REPLACE, Change
-from cypressbeam.replacement import Replacement
-from cypressbeam.settings import REPLACE_SHARE, Settings
+from cypressbeam.consensus.chain import View, ip_of
+from cypressbeam.consensus.membership import REPLACE, Change
+from cypressbeam.consensus.replacement import Replacement
+from cypressbeam.consensus.replica import COUNTED
+from cypressbeam.node import gateway_node as nodes
+from cypressbeam.protocol.settings import REPLACE_SHARE, Settings
 from lab.repair import CORE_MBPS, ROUTES, THIN_MBPS, Core, begin
 from lab.seeds import first_broken
 from lab.simulation import Disk, Host
--- a/lab/rules_core.py
+++ b/lab/rules_core.py
@@ -4,10 +4,10 @@
 
 from lab.rules import Rule
 
-AGREEMENT = "cypressbeam/agreement.py"
-CHAIN = "cypressbeam/chain.py"
-MARKS = "cypressbeam/marks.py"
-STORE = "cypressbeam/store.py"
+AGREEMENT = "cypressbeam/consensus/replica.py"
+CHAIN = "cypressbeam/consensus/chain.py"
+MARKS = "cypressbeam/consensus/rollback_detection.py"
+STORE = "cypressbeam/storage/store.py"
 CORE = (
     "tests/test_core_rules.py",
     "tests/test_chain_rules.py",
--- a/lab/rules_fencing.py
+++ b/lab/rules_fencing.py
@@ -4,23 +4,23 @@
 
 from lab.rules import Rule
 
-AGREEMENT = "cypressbeam/agreement.py"
-CONTROL = "cypressbeam/control.py"
-CODEC = "cypressbeam/frames/codec.py"
+AGREEMENT = "cypressbeam/consensus/replica.py"
+CONTROL = "cypressbeam/node/control_api.py"
+CODEC = "cypressbeam/protocol/frames/codec.py"
 FEED = "cypressbeam/distribution/feed.py"
 FENCE = "cypressbeam/distribution/fencing.py"
 LOCATOR = "cypressbeam/distribution/root_locator.py"
-MACHINE = "cypressbeam/core.py"
-MEMBERS = "cypressbeam/members.py"
-NODE = "cypressbeam/node.py"
+MACHINE = "cypressbeam/node/core_machine.py"
+MEMBERS = "cypressbeam/consensus/membership.py"
+NODE = "cypressbeam/node/gateway_node.py"
 OUTLIERS = "cypressbeam/distribution/outlier_reports.py"
 POSITION = "cypressbeam/distribution/position.py"
 REGISTRATION = "cypressbeam/distribution/registration.py"
-RELAY = "cypressbeam/relay.py"
+RELAY = "cypressbeam/distribution/relay.py"
 REPLICA = "cypressbeam/distribution/configuration_replica.py"
-ROSTER = "cypressbeam/roster.py"
-SEARCH = "cypressbeam/search.py"
-SERVER_LIST = "cypressbeam/distribution/server_list_replica.py"
+ROSTER = "cypressbeam/distribution/node_registry.py"
+SEARCH = "cypressbeam/distribution/root_search.py"
+SERVER_LIST = "cypressbeam/distribution/endpoint_list_replica.py"
 SUBSCRIPTION = "cypressbeam/distribution/subscription.py"
 FENCING = ("tests/test_fencing_rules.py", "tests/test_word_rules.py")
 SEARCHES = (
--- a/lab/rules_orders.py
+++ b/lab/rules_orders.py
@@ -5,15 +5,15 @@
 
 from lab.rules import Rule
 
-AGREEMENT = "cypressbeam/agreement.py"
-CHAIN = "cypressbeam/chain.py"
-CONFIGURATION = "cypressbeam/configuration.py"
-CONTROL = "cypressbeam/control.py"
-GATE = "cypressbeam/gate.py"
+AGREEMENT = "cypressbeam/consensus/replica.py"
+CHAIN = "cypressbeam/consensus/chain.py"
+CONFIGURATION = "cypressbeam/protocol/configuration.py"
+CONTROL = "cypressbeam/node/control_api.py"
+GATE = "cypressbeam/proxy/gateway.py"
 REPLICA = "cypressbeam/distribution/configuration_replica.py"
-ROUTING = "cypressbeam/routing.py"
-STORE = "cypressbeam/store.py"
-TAKEN = "cypressbeam/taken.py"
+ROUTING = "cypressbeam/proxy/routing.py"
+STORE = "cypressbeam/storage/store.py"
+TAKEN = "cypressbeam/consensus/deduplication.py"
 ORDERS = (
     "tests/test_validity.py",
     "tests/test_order_rules.py",
@@ -44,13 +44,13 @@
     orders(
         "an order on an older base is refused unread",
         CHAIN,
-        "if taken.forgotten(self.taken, self.number) <= order.base < self.revision:",
+        "if deduplication.forgotten(self.taken, self.number) <= order.base < self.revision:",
         "if False:",
     ),
     orders(
         "not where its digest may have gone",
         CHAIN,
-        "if taken.forgotten(self.taken, self.number) <= order.base < self.revision:",
+        "if deduplication.forgotten(self.taken, self.number) <= order.base < self.revision:",
         "if order.base < self.revision:",
     ),
     orders(
@@ -77,7 +77,7 @@
     orders(
         "it is one only if its base is below its number",
         CHAIN,
-        "return base < revision <= taken",
+        "return base < revision <= deduplication",
         "return revision <= taken",
     ),
     orders("the base must be the version in force", CHAIN, "if order.base != self.revision:", "if False:"),
--- a/lab/rules_replacement.py
+++ b/lab/rules_replacement.py
@@ -4,8 +4,8 @@
 
 from lab.rules import Rule
 
-AGREEMENT = "cypressbeam/agreement.py"
-REPLACEMENT = "cypressbeam/replacement.py"
+AGREEMENT = "cypressbeam/consensus/replica.py"
+REPLACEMENT = "cypressbeam/consensus/replacement.py"
 REPLACEMENTS = (
     "tests/test_replacement_rules.py",
     "tests/test_replacement.py::test_silence_counts_only_while_the_process_runs",
--- a/lab/scale.py
+++ b/lab/scale.py
@@ -16,8 +16,8 @@
 from dataclasses import asdict, dataclass, fields
 
 from lab.membership import Cluster
-from lab.news import BACK_S
 from lab.simulation import Host
+from lab.update_propagation import BACK_S
 
 QUIET_S = 6.0
 LATE = 0.1
--- a/lab/simulation/disk.py
+++ b/lab/simulation/disk.py
@@ -5,10 +5,10 @@
 import asyncio
 from dataclasses import replace
 
-from cypressbeam.chain import Entry, View
-from cypressbeam.configuration import digest
-from cypressbeam.marks import Marks
-from cypressbeam.store import Loaded
+from cypressbeam.consensus.chain import Entry, View
+from cypressbeam.consensus.rollback_detection import Marks
+from cypressbeam.protocol.configuration import digest
+from cypressbeam.storage.store import Loaded
 
 
 class Disk:
--- a/lab/simulation/network.py
+++ b/lab/simulation/network.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import contextvars
 import random
 from collections import Counter
@@ -38,6 +39,16 @@
         if "exception" in context or "pending" not in message:  # without power a machine leaves its tasks as they are
             self.faults[f"{message}: {context.get('exception')!r}"] += 1
 
+    def close(self) -> None:
+        """End all tasks and close the loop. Those of machines without power never wake, so their coroutines are closed
+        where they wait: left alone, they would end after the loop, which they still use as they do."""
+        for task in asyncio.all_tasks(self.loop):
+            with contextlib.suppress(RuntimeError):
+                task.get_coro().close()
+        for host in self.hosts.values():
+            self.stop(host)
+        self.loop.close()
+
     def add(self, ip: str, zone: str) -> Host:
         """One more host, without power yet."""
         host = self.hosts[ip] = Host(ip, zone)
--- a/lab/standins.py
+++ b/lab/standins.py
@@ -16,12 +16,12 @@
 
 import cbor2
 
-from lab.ledger import Ledger, Run
-from mallowworks.carrier import Clock
-from mallowworks.discovery import Address
-from mallowworks.frontend import ClientConnection, Frontend
-from mallowworks.http import Answer, Limits
-from mallowworks.messages import BadRequest, Message
+from cypressbeam.proxy.frontend import ClientConnection, Frontend
+from cypressbeam.proxy.http_requests import BadRequest, Message
+from cypressbeam.proxy.http_responses import Answer, Limits
+from cypressbeam.proxy.proxy_core import Clock
+from cypressbeam.standalone.discovery import Address
+from lab.invariant_checker import Ledger, Run
 
 LIMITS = Limits(body_bytes=64 * 1024 * 1024, ask_s=5.0, body_s=5.0, idle_s=30.0, body_renews=True)
 #: How unlike the work of two requests is: the deviation of its logarithm.
--- a/lab/system.py
+++ b/lab/system.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from cypressbeam.settings import VARIABLE
+from cypressbeam.protocol.settings import VARIABLE
+from cypressbeam.standalone.discovery import Address, ListConnection
 from lab.loopback_network import SYSTEM_NETWORKS, LoopbackNetwork
-from mallowworks.discovery import Address, ListConnection
 
 #: Ports of a system's machines; each system draws its own network, so several run side by side.
 FRONT, READY, CONTROL, PEERS = 8641, 8640, 8649, (7620, 7635)
--- a/lab/news.py
+++ b/lab/update_propagation.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from cypressbeam import listing
+from cypressbeam.distribution import endpoint_list
 from lab.membership import CORES, Cluster
 
 SERVERS = 112
@@ -52,7 +52,7 @@
         names = {f"i-{number}" for number in range(self.drained)}
         return all(
             names <= node.relay.listing.servers.keys()
-            and all(node.relay.listing.servers[name].state == listing.DRAINING for name in names)
+            and all(node.relay.listing.servers[name].state == endpoint_list.DRAINING for name in names)
             for node in self.cluster.edges
         )
 
--- a/tests/core_parts.py
+++ b/tests/core_parts.py
@@ -5,9 +5,9 @@
 from dataclasses import replace
 from typing import Any
 
-from cypressbeam import frames
-from cypressbeam.agreement import Keeper
-from cypressbeam.chain import Entry, Member, Tell, View
+from cypressbeam.consensus.chain import Entry, Member, Tell, View
+from cypressbeam.consensus.replica import Keeper
+from cypressbeam.protocol import frames
 from lab.histories import invariants
 from lab.histories.network import CLIENT
 from lab.histories.world import World
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-import pepperrelay as pr
+from cypressbeam import balancing as pr
 
 MS = 1000
 S = 1_000_000
--- a/tests/golden_answers.py
+++ b/tests/golden_answers.py
@@ -20,8 +20,8 @@
 from cypressbeam.admin import config_file, membership, status
 from lab.day import Day
 from lab.emulator import FRONT, READY, World
+from lab.local_cluster import demo_configuration
 from lab.membership import CONTROL
-from lab.up import demo_configuration
 
 DATA = Path(__file__).with_name("data")
 #: How long an answer is waited for, in simulated seconds.
--- a/tests/golden_state.py
+++ b/tests/golden_state.py
@@ -12,9 +12,9 @@
 from dataclasses import replace
 from pathlib import Path
 
-from cypressbeam.chain import Entry, View
-from cypressbeam.marks import Marks
-from cypressbeam.store import Loaded, Store
+from cypressbeam.consensus.chain import Entry, View
+from cypressbeam.consensus.rollback_detection import Marks
+from cypressbeam.storage.store import Loaded, Store
 from lab.golden_traces import canonical
 from lab.membership import many_routes
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -12,10 +12,10 @@
 import httptools
 import uvloop
 
-from mallowworks.config import Config, read_config
-from mallowworks.frontend import Frontend
-from mallowworks.http import Answer, Headers, ResponseReader
-from mallowworks.node import Node
+from cypressbeam.proxy.frontend import Frontend
+from cypressbeam.proxy.http_responses import Answer, Headers, ResponseReader
+from cypressbeam.standalone.config import Config, read_config
+from cypressbeam.standalone.node import Node
 
 T = TypeVar("T")
 
--- a/tests/parts.py
+++ b/tests/parts.py
@@ -5,10 +5,10 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from cypressbeam import frames
-from cypressbeam.peers import SMALL, Link, Peers
-from cypressbeam.relay import Relay
-from cypressbeam.settings import Settings, parse
+from cypressbeam.distribution.relay import Relay
+from cypressbeam.protocol import frames
+from cypressbeam.protocol.settings import Settings, parse
+from cypressbeam.transport.peers import SMALL, Link, Peers
 
 ME, ROOT, OTHER = "10.0.0.1", "10.0.0.9", "10.0.0.8"
 SETTINGS: Settings = parse(
--- a/tests/test_added_routes.py
+++ b/tests/test_added_routes.py
@@ -9,14 +9,15 @@
 import cbor2
 import pytest
 
-from cypressbeam import configuration, frames, listing
-from cypressbeam.configuration import digest
-from cypressbeam.gate import Gate
-from cypressbeam.peers import Link, Peers
-from cypressbeam.relay import Relay
-from cypressbeam.settings import parse
-from lab.up import HOST, demo_configuration
-from mallowworks.messages import BadRequest, Message
+from cypressbeam.distribution import endpoint_list
+from cypressbeam.distribution.relay import Relay
+from cypressbeam.protocol import configuration, frames
+from cypressbeam.protocol.configuration import digest
+from cypressbeam.protocol.settings import parse
+from cypressbeam.proxy.gateway import Gate
+from cypressbeam.proxy.http_requests import BadRequest, Message
+from cypressbeam.transport.peers import Link, Peers
+from lab.local_cluster import HOST, demo_configuration
 from tests.loopback import run
 
 BOOT = parse(
@@ -36,9 +37,11 @@
     return cbor2.dumps(made)
 
 
-def servers(*plants: str) -> dict[str, listing.Server]:
+def servers(*plants: str) -> dict[str, endpoint_list.Server]:
     return {
-        f"{plant}-{number}": listing.Server(f"{plant}-{number}", plant, ("127.0.0.1", 9), "a", 4, listing.IN_SERVICE, 0)
+        f"{plant}-{number}": endpoint_list.Server(
+            f"{plant}-{number}", plant, ("127.0.0.1", 9), "a", 4, endpoint_list.IN_SERVICE, 0
+        )
         for plant in plants
         for number in range(3)
     }
@@ -99,7 +102,11 @@
         gate.take_servers(servers("finder", "booker"))  # its servers go meanwhile, and others come
         gate.take_servers(
             servers("finder", "booker")
-            | {"added-9": listing.Server("added-9", "added", ("127.0.0.1", 9), "a", 4, listing.IN_SERVICE, 0)}
+            | {
+                "added-9": endpoint_list.Server(
+                    "added-9", "added", ("127.0.0.1", 9), "a", 4, endpoint_list.IN_SERVICE, 0
+                )
+            }
         )
         gate.take_configuration(configuration.read(document(4, "added")))
         assert asked(gate, "/added/1", "y") == "added"
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -6,9 +6,10 @@
 
 import pytest
 
-from cypressbeam import agreement, frames
-from cypressbeam.agreement import Keeper
-from cypressbeam.chain import Tell, View, ip_of
+from cypressbeam.consensus import replica
+from cypressbeam.consensus.chain import Tell, View, ip_of
+from cypressbeam.consensus.replica import Keeper
+from cypressbeam.protocol import frames
 from lab.histories import callers, faults, runner
 from lab.histories.invariants import Call, Violation, linearizable
 from lab.histories.network import CLIENT
@@ -58,7 +59,7 @@
     group = keeper.view.group
     keeper.on_view(frames.ViewIs(keeper.view.epoch + 512, group[1:], group), world.now_s)
     (saved,) = keeper.on_prepare(frames.Prepare(keeper.promised + 2048, group[1]), world.now_s)
-    assert isinstance(saved, agreement.SavePromise)
+    assert isinstance(saved, replica.SavePromise)
     (told,) = keeper.promise_saved(saved.epoch, saved.proposer, world.now_s)
     assert isinstance(told, Tell) and isinstance(told.frame, frames.Promise)
     assert (told.frame.body, told.frame.number) == (body, 1) and told.frame.taken
@@ -80,7 +81,7 @@
     world.run(world.now_s + 6.0)
     assert keeper.view is not None and keeper.name in keeper.view.group  # the others have taken it in
     (saved,) = keeper.on_prepare(frames.Prepare(keeper.promised + 256, "b/0"), world.now_s)
-    assert isinstance(saved, agreement.SavePromise)
+    assert isinstance(saved, replica.SavePromise)
     assert runner.fails(3165, make_plan(3165)) is None
 
 
@@ -231,7 +232,7 @@
         if not told:
             break
         ip, frame, passed = told[0].ip, told[0].frame, passed + 1
-    assert passed == agreement.MOST_HOPS
+    assert passed == replica.MOST_HOPS
 
 
 def test_the_state_tells_which_machine_lags() -> None:
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -12,11 +12,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mallowworks.dialect import GATE
-from mallowworks.evidence import Asked
-from mallowworks.http import Answer, ResponseReader
-from mallowworks.upstream import Attempt, Upstream
-from pepperrelay.interface import Ending, Report
+from cypressbeam.balancing.interface import Ending, Report
+from cypressbeam.proxy.http_responses import Answer, ResponseReader
+from cypressbeam.proxy.protocol_profile import GATE
+from cypressbeam.proxy.response_validation import Asked
+from cypressbeam.proxy.upstream import Attempt, Upstream
 from tests.loopback import Exchange, StubServer, run, soon
 
 NAME = b"attempt-id"
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -10,14 +10,14 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from cypressbeam.gate import Gate
+from cypressbeam.balancing.interface import NEVER_RAN, Ending, Group, Repeat, RequestClass
+from cypressbeam.proxy.attempts import Cause, Outcome, Reply, Sent, may_tell, outcome, repeatable
+from cypressbeam.proxy.gateway import Gate
+from cypressbeam.proxy.http_responses import Answer
 from lab.attempt_faults import CHECKS_LEFT_OUT, FAULTS, fault
 from lab.attempt_search import search_states, search_with
 from lab.attempt_storms import STEPS, Step, storm
 from lab.attempts import State, states, walk
-from mallowworks.attempts import Cause, Outcome, Reply, Sent, may_tell, outcome, repeatable
-from mallowworks.http import Answer
-from pepperrelay.interface import NEVER_RAN, Ending, Group, Repeat, RequestClass
 
 pytestmark = pytest.mark.usefixtures("quiet")
 
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -13,12 +13,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-import pepperrelay as pr
-from cypressbeam import configuration
-from cypressbeam.gate import balancer_settings
-from cypressbeam.settings import Envelope, parse
-from lab.up import demo_configuration
-from pepperrelay.balancer import Balancer
+from cypressbeam import balancing as pr
+from cypressbeam.balancing.balancer import Balancer
+from cypressbeam.protocol import configuration
+from cypressbeam.protocol.settings import Envelope, parse
+from cypressbeam.proxy.gateway import balancer_settings
+from lab.local_cluster import demo_configuration
 from tests.test_gateway_parts import BOOT
 
 SETTINGS = parse(BOOT, "boot.conf")
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -23,7 +23,7 @@
         *(cost.command.removeprefix("cypressbeam ") for cost in COSTS if cost.command.startswith("cypressbeam ")),
     }
 )
-FOLDERS = "cypressbeam|lab|mallowworks|pepperrelay|docs|tests|deploy"
+FOLDERS = "cypressbeam|lab|docs|tests|deploy"
 
 
 @pytest.mark.parametrize("line", COMMANDS)
--- a/tests/test_chain.py
+++ b/tests/test_chain.py
@@ -5,8 +5,8 @@
 import random
 from collections import deque
 
-from cypressbeam import frames
-from cypressbeam.chain import Action, Entry, Member, Publish, Sync, Tell, View
+from cypressbeam.consensus.chain import Action, Entry, Member, Publish, Sync, Tell, View
+from cypressbeam.protocol import frames
 
 VIEW = View(1, ("a", "b", "c"), ("a", "b", "c"))
 
--- a/tests/test_chain_rules.py
+++ b/tests/test_chain_rules.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from cypressbeam import frames
-from cypressbeam.chain import RESEND_S, Entry, Publish, Sync
+from cypressbeam.consensus.chain import RESEND_S, Entry, Publish, Sync
+from cypressbeam.protocol import frames
 from tests.core_parts import ONE, TWO, VIEW, forward, member, told
 
 
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -14,7 +14,7 @@
 from cypressbeam.cli.program import COMMANDS_GROUP, added_commands, main
 
 ROOT = Path(__file__).resolve().parent.parent
-GATEWAY = ("cypressbeam", "mallowworks", "pepperrelay")
+GATEWAY = ("cypressbeam",)
 #: A module of commands holds no more lines.
 MOST_LINES = 300
 
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -6,9 +6,10 @@
 
 import pytest
 
-from cypressbeam import agreement, frames
-from cypressbeam.agreement import DEAD_S, ROOT_ALONE_S, STALL_S, Keeper, Lead, SavePromise
-from cypressbeam.chain import Tell, View
+from cypressbeam.consensus import replica
+from cypressbeam.consensus.chain import Tell, View
+from cypressbeam.consensus.replica import DEAD_S, ROOT_ALONE_S, STALL_S, Keeper, Lead, SavePromise
+from cypressbeam.protocol import frames
 from lab.histories import faults, invariants, runner, simulated_core
 from lab.histories.downstream import Announcement, DownstreamNode
 from lab.histories.network import CLIENT
@@ -28,7 +29,7 @@
     return frames.Pulse(name, 256, 256, 1, number=number, echo=echo, kept=256, held=256)
 
 
-def asked(actions: list[agreement.Action]) -> int:
+def asked(actions: list[replica.Action]) -> int:
     """The number of the pulse among what a machine wants done."""
     (number,) = {
         action.frame.number
@@ -118,7 +119,7 @@
     world = quiet_world()
     cut_s = world.now_s
     world.begin(Step(cut_s, "tail", "", 5.0))
-    world.run(cut_s + DEAD_S - agreement.PULSE_S - 2 * simulated_core.TICK_S)
+    world.run(cut_s + DEAD_S - replica.PULSE_S - 2 * simulated_core.TICK_S)
     assert world.keepers["c"].root and world.keepers["a"].present("c/0", world.now_s)  # no alarm before its time
     world.run(cut_s + DEAD_S + ROOT_ALONE_S + simulated_core.TICK_S)
     assert not world.keepers["c"].root and not world.keepers["a"].present("c/0", world.now_s)
@@ -168,7 +169,7 @@
     for empty in (True, False):
         keeper = Keeper("a/0", 2, invariants.revision, invariants.digest, lambda: 0.5)
         keeper.load(view, 256, None, {}, 0.0)
-        told: list[agreement.Action] = []
+        told: list[replica.Action] = []
         for tick in range(1, 30):
             number = asked(keeper.pulse(0.1 * tick))
             for name in view.group[1:]:
@@ -212,7 +213,7 @@
     assert keeper.wrong_since_s is None
 
 
-def echo(keeper: Keeper, names: tuple[str, ...], now_s: float) -> list[agreement.Action]:
+def echo(keeper: Keeper, names: tuple[str, ...], now_s: float) -> list[replica.Action]:
     """A pulse that these answer, and then the timer."""
     number = asked(keeper.pulse(now_s))
     for name in names:
@@ -220,7 +221,7 @@
     return keeper.tick(now_s)
 
 
-def proposes(actions: list[agreement.Action]) -> bool:
+def proposes(actions: list[replica.Action]) -> bool:
     return any(isinstance(one, Tell) and isinstance(one.frame, frames.Prepare) for one in actions)
 
 
@@ -248,7 +249,7 @@
     clocks.on_read("b", "a", sent)
     clocks.on_read("a", "b", clocks.on_send("b", 1.1))
     assert clocks.contact_s("a", ("a", "b", "c"), 21.0) == 1.0
-    assert clocks.contact_s("b", ("a", "b", "c"), 21.0) == agreement.NEVER_S
+    assert clocks.contact_s("b", ("a", "b", "c"), 21.0) == replica.NEVER_S
 
 
 def test_five_machines_work_on_without_two() -> None:
--- a/tests/test_core_rules.py
+++ b/tests/test_core_rules.py
@@ -7,9 +7,10 @@
 
 import pytest
 
-from cypressbeam import agreement, frames
-from cypressbeam.agreement import CONFIRM_S, GATHER_S, PROPOSAL_S, Keeper, SavePromise, SaveView, TryDisk
-from cypressbeam.chain import Entry, View
+from cypressbeam.consensus import replica
+from cypressbeam.consensus.chain import Entry, View
+from cypressbeam.consensus.replica import CONFIRM_S, GATHER_S, PROPOSAL_S, Keeper, SavePromise, SaveView, TryDisk
+from cypressbeam.protocol import frames
 from lab.histories import invariants
 from lab.histories.network import CLIENT
 from tests.core_parts import GROUP, ONE, VIEW, accept, echo, promise, pulse, quiet_world, told
@@ -89,7 +90,7 @@
     world = quiet_world()
     keeper, now_s = world.keepers["a"], world.now_s
     echo(keeper, now_s, pulse("c/7", epoch=0, promised=0, held=0, entry=0, standing=0))
-    keeper.heard["b"].at_s = agreement.NEVER_S
+    keeper.heard["b"].at_s = replica.NEVER_S
     keeper.propose(now_s)
     assert keeper.proposal is not None and keeper.proposal.wanted == ("a/0", "b/0", "c/7")
     assert keeper.on_promise(promise("a/0", keeper.proposal.epoch), now_s) == []
@@ -172,7 +173,7 @@
             actions = echo(keeper, tick / 10, *(pulse(other, entry=0) for other in others))
             if told([*actions, *keeper.tick(tick / 10)], frames.Prepare):
                 proposed.append(tick / 10)
-        assert bool(proposed) is mends and (not mends or proposed[0] > 0.1 + agreement.WRONG_S)
+        assert bool(proposed) is mends and (not mends or proposed[0] > 0.1 + replica.WRONG_S)
 
 
 def test_a_lost_disk_makes_a_view_wrong_though_all_are_there() -> None:
@@ -232,7 +233,7 @@
 
 def test_who_leads_no_more_answers_no_read_and_takes_no_order() -> None:
     world = quiet_world()
-    now_s = world.now_s + agreement.DEAD_S + 0.5
+    now_s = world.now_s + replica.DEAD_S + 0.5
     assert world.keepers["c"].read(frames.Read(7, CLIENT), now_s) == []
     head = world.keepers["a"]
     assert head.order(frames.Order(8, CLIENT, 10, b"20:x"), now_s) == [] and not head.writes
@@ -258,7 +259,7 @@
     keeper.heard["b"].name = "b/9"
     assert keeper.contact_s(20.0) == 5.0
     keeper.heard["c"].name = "c/9"
-    assert keeper.contact_s(20.0) == agreement.NEVER_S
+    assert keeper.contact_s(20.0) == replica.NEVER_S
 
 
 def test_a_root_whose_view_is_not_active_stays_it_for_a_while_only() -> None:
@@ -268,8 +269,8 @@
     keeper.member.active, keeper.root_s = False, world.now_s
     assert keeper.holds_root(world.now_s)
     for at_s, holds in (
-        (world.now_s + agreement.ROOT_GRACE_S - 0.1, True),
-        (world.now_s + agreement.ROOT_GRACE_S + 0.1, False),
+        (world.now_s + replica.ROOT_GRACE_S - 0.1, True),
+        (world.now_s + replica.ROOT_GRACE_S + 0.1, False),
     ):
         for heard in keeper.heard.values():
             heard.at_s = at_s
@@ -289,10 +290,10 @@
     assert isinstance(write, SaveView)
     keeper.write_failed(write, now_s)
     assert not keeper.disk_works(now_s) and keeper.accepting is None
-    assert TryDisk() not in keeper.tick(now_s + agreement.TRY_DISK_S - 0.1)
-    assert TryDisk() in keeper.tick(now_s + agreement.TRY_DISK_S + 0.1)
-    keeper.disk_tried(now_s + agreement.TRY_DISK_S + 0.2)
-    assert keeper.disk_works(now_s + agreement.TRY_DISK_S + 0.2)
+    assert TryDisk() not in keeper.tick(now_s + replica.TRY_DISK_S - 0.1)
+    assert TryDisk() in keeper.tick(now_s + replica.TRY_DISK_S + 0.1)
+    keeper.disk_tried(now_s + replica.TRY_DISK_S + 0.2)
+    assert keeper.disk_works(now_s + replica.TRY_DISK_S + 0.2)
 
 
 def test_a_write_of_an_epoch_that_is_over_counts_for_nothing() -> None:
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -8,32 +8,32 @@
 
 import pytest
 
-from cypressbeam import frames
-from cypressbeam.agreement import DEAD_S
-from cypressbeam.search import PAUSE_S, STEP_S, Search
-from lab import cuts
+from cypressbeam.consensus.replica import DEAD_S
+from cypressbeam.distribution.root_search import PAUSE_S, STEP_S, Search
+from cypressbeam.protocol import frames
+from cypressbeam.proxy.frontend import ClientConnection
+from lab import partitions
 from lab.membership import Cluster
-from mallowworks.frontend import ClientConnection
 from tests.simulated import run_nodes
 
 pytestmark = pytest.mark.usefixtures("quiet")
 
 CASES = [
-    cuts.Case("root", "both", "silent", 8.0, "edges", 3),  # and restarted nodes know nobody else
-    cuts.Case("root", "both", "refuse", 4.0, "cut off", 3),
-    cuts.Case("root", "both", "silent", 4.0, "both", 5),
-    cuts.Case("root", "in", "silent", 4.0, "", 5),
-    cuts.Case("root", "out", "silent", 4.0, "", 3),
-    cuts.Case("head", "both", "silent", 4.0, "others", 5),
-    cuts.Case("two", "both", "refuse", 4.0, "edges", 5),
-    cuts.Case("seed", "out", "silent", 2.0, "edges", 3),
-    cuts.Case("root", "both", "silent", 0.5, "", 3),
+    partitions.Case("root", "both", "silent", 8.0, "edges", 3),  # and restarted nodes know nobody else
+    partitions.Case("root", "both", "refuse", 4.0, "cut off", 3),
+    partitions.Case("root", "both", "silent", 4.0, "both", 5),
+    partitions.Case("root", "in", "silent", 4.0, "", 5),
+    partitions.Case("root", "out", "silent", 4.0, "", 3),
+    partitions.Case("head", "both", "silent", 4.0, "others", 5),
+    partitions.Case("two", "both", "refuse", 4.0, "edges", 5),
+    partitions.Case("seed", "out", "silent", 2.0, "edges", 3),
+    partitions.Case("root", "both", "silent", 0.5, "", 3),
 ]
 
 
 @pytest.mark.parametrize("case", CASES, ids=lambda case: "-".join(map(str, vars(case).values())))
-def test_all_nodes_follow_the_side_that_leads_and_nobody_the_other(case: cuts.Case) -> None:
-    _, found = cuts.play(7, case, edges=12)
+def test_all_nodes_follow_the_side_that_leads_and_nobody_the_other(case: partitions.Case) -> None:
+    _, found = partitions.play(7, case, edges=12)
     assert found.breaches == []
     if case.way == "both" and case.who == "root" and case.lasts_s > DEAD_S:
         assert found.root_s and found.under_s and found.newest_s
@@ -42,13 +42,13 @@
 def test_a_node_whose_parent_is_cut_off_from_the_root_tells_the_root_though_that_parent_fed_it_before() -> None:
     """A new view came before the node had given its parent up: it was released, placed there again and released again
     for eight seconds, with a version that was confirmed meanwhile not in force (incident 021)."""
-    _, found = cuts.play(0, cuts.Case("head", "both", "silent", 12.0, "none", 3), edges=10)
+    _, found = partitions.play(0, partitions.Case("head", "both", "silent", 12.0, "none", 3), edges=10)
     assert found.breaches == []
 
 
-@pytest.mark.parametrize("fault", cuts.FAULTS)
+@pytest.mark.parametrize("fault", partitions.FAULTS)
 def test_a_rule_that_is_left_out_is_noticed(fault: str) -> None:
-    assert cuts.search(range(40), fault, edges=8).broken
+    assert partitions.search(range(40), fault, edges=8).broken
 
 
 @pytest.mark.parametrize(
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from mallowworks.discovery import read_list
+from cypressbeam.standalone.discovery import read_list
 from tests.loopback import Exchange, StubServer, listing, rig, row, run, soon
 
 
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -6,8 +6,9 @@
 
 import pytest
 
-from cypressbeam import frames, taken
-from cypressbeam.marks import Marks, pack_marks, unpack_marks
+from cypressbeam.consensus import deduplication
+from cypressbeam.consensus.rollback_detection import Marks, pack_marks, unpack_marks
+from cypressbeam.protocol import frames
 from lab.histories import faults, runner
 from lab.histories.disks import Disk
 from lab.histories.plans import IPS, Step, make_plan
@@ -159,7 +160,9 @@
         assert (world.disks["c"].name == "c/0") is (how == "its disk")
         (read,) = (call for call in world.callers.calls.values() if call.operator == "y")
         assert read.seen == world.observer.committed[newest].revision
-    assert weights[2] < 4000 + 1.1 * 2000 * taken.RECORD.size < 2 * taken.KEPT * taken.RECORD.size
+    assert (
+        weights[2] < 4000 + 1.1 * 2000 * deduplication.RECORD.size < 2 * deduplication.KEPT * deduplication.RECORD.size
+    )
 
 
 def test_rules_that_trust_every_disk_show_in_some_history() -> None:
--- a/tests/test_disk_rules.py
+++ b/tests/test_disk_rules.py
@@ -11,11 +11,12 @@
 
 import pytest
 
-from cypressbeam import files, frames
-from cypressbeam.agreement import Keeper, StartAnew
-from cypressbeam.chain import Entry, View
-from cypressbeam.marks import Marks
-from cypressbeam.store import FILE, Store, StoreError
+from cypressbeam.consensus.chain import Entry, View
+from cypressbeam.consensus.replica import Keeper, StartAnew
+from cypressbeam.consensus.rollback_detection import Marks
+from cypressbeam.protocol import frames
+from cypressbeam.storage import files
+from cypressbeam.storage.store import FILE, Store, StoreError
 from lab.histories import invariants
 from lab.histories.network import CLIENT
 from tests.core_parts import GROUP, VIEW, accept, echo, promise, pulse, quiet_world, told
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -4,10 +4,10 @@
 
 from pathlib import Path
 
-from cypressbeam import frames
-from cypressbeam.dispatch import HANDLERS
-from cypressbeam.node import GatewayNode
-from cypressbeam.settings import parse
+from cypressbeam.consensus.dispatch import HANDLERS
+from cypressbeam.node.gateway_node import GatewayNode
+from cypressbeam.protocol import frames
+from cypressbeam.protocol.settings import parse
 from tests.loopback import run
 from tests.test_gateway_parts import BOOT
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -7,13 +7,13 @@
 
 import pytest
 
-from cypressbeam.settings import Settings
-from lab import daily, experiment
+from cypressbeam.balancing import balancer
+from cypressbeam.protocol.settings import Settings
+from cypressbeam.proxy.http_responses import ResponseReader
+from lab import experiment, random_days
 from lab.day import Day, DayError, Kind, Service, Trouble, load, read
 from lab.emulator import Outcome, World, play
-from lab.ledger import Breach, Ledger, Run, Try, Wish
-from mallowworks.http import ResponseReader
-from pepperrelay import balancer
+from lab.invariant_checker import Breach, Ledger, Run, Try, Wish
 
 pytestmark = pytest.mark.usefixtures("quiet")
 
@@ -118,8 +118,8 @@
 
 
 def test_days_that_are_drawn_keep_the_rules_and_a_find_is_shrunk(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert daily.search_with(("", range(3))) is None
-    assert daily.drawn(7) == daily.drawn(7) != daily.drawn(8)
+    assert random_days.search_with(("", range(3))) is None
+    assert random_days.drawn(7) == random_days.drawn(7) != random_days.drawn(8)
     needed = Trouble(kind="surplus", at=1.0, for_s=9.0, share=1.0, x=0.3)
     day = small(Trouble(kind="scale_out", at=1.0), needed, Trouble(kind="burst", at=2.0, x=1.5))
 
@@ -127,8 +127,8 @@
         """Whatever it is called, it is taken."""
 
     monkeypatch.setattr(ResponseReader, "check_name", any_name)
-    monkeypatch.setattr(daily, "drawn", lambda seed: day)
-    found = daily.search_with(("", range(1, 2)))
+    monkeypatch.setattr(random_days, "drawn", lambda seed: day)
+    found = random_days.search_with(("", range(1, 2)))
     assert found is not None and found[0] == 1
     told, *left = found[1].splitlines()
     assert "MIXED" in told and left == [repr(needed)]
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -10,11 +10,11 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from lab.worst import FRAMINGS, Asked, Sending, World, answer, play
-from mallowworks.evidence import CHECKS, begins_an_answer, begun_at_the_end, flaw, holds_an_answer
-from mallowworks.evidence import Asked as Wanted
-from mallowworks.http import Answer
-from mallowworks.upstream import DOUBT_S
+from cypressbeam.proxy.http_responses import Answer
+from cypressbeam.proxy.response_validation import CHECKS, begins_an_answer, begun_at_the_end, flaw, holds_an_answer
+from cypressbeam.proxy.response_validation import Asked as Wanted
+from cypressbeam.proxy.upstream import DOUBT_S
+from lab.adversarial_servers import FRAMINGS, Asked, Sending, World, answer, play
 
 pytestmark = pytest.mark.usefixtures("quiet")
 
--- a/tests/test_fencing_rules.py
+++ b/tests/test_fencing_rules.py
@@ -8,15 +8,15 @@
 
 import pytest
 
-from cypressbeam import frames
-from cypressbeam.configuration import digest
+from cypressbeam.distribution.endpoint_list import Listing
 from cypressbeam.distribution.heartbeats import FRESH_S
+from cypressbeam.distribution.node_registry import DEAF_S, Roster
 from cypressbeam.distribution.outlier_reports import OutlierReports
 from cypressbeam.distribution.registration import JOIN_S
 from cypressbeam.distribution.subscription import HOLD_S, SEEK_S
-from cypressbeam.listing import Listing
-from cypressbeam.node import GatewayNode
-from cypressbeam.roster import DEAF_S, Roster
+from cypressbeam.node.gateway_node import GatewayNode
+from cypressbeam.protocol import frames
+from cypressbeam.protocol.configuration import digest
 from tests.loopback import run
 from tests.parts import FIRST, FOURTH, ME, OTHER, ROOT, SECOND, THIRD, Part, Wire
 
--- a/tests/test_fetches.py
+++ b/tests/test_fetches.py
@@ -9,11 +9,12 @@
 import pytest
 import uvloop
 
-from cypressbeam import delta, frames, peers
-from cypressbeam.blobs import fetcher
-from cypressbeam.blobs.fetcher import Fetcher
-from cypressbeam.configuration import digest
-from cypressbeam.peers import BULK, Peers
+from cypressbeam.protocol import delta, frames
+from cypressbeam.protocol.configuration import digest
+from cypressbeam.transport import peers
+from cypressbeam.transport.blobs import fetcher
+from cypressbeam.transport.blobs.fetcher import Fetcher
+from cypressbeam.transport.peers import BULK, Peers
 from lab import fetches
 from lab.membership import Cluster
 from tests.test_news import Line
--- a/tests/test_footprint.py
+++ b/tests/test_footprint.py
@@ -9,11 +9,11 @@
 import pytest
 from click.testing import CliRunner
 
-from cypressbeam import configuration
 from cypressbeam.cli.program import main
-from cypressbeam.roster import Roster
-from cypressbeam.routing import Table
-from lab import footprint, packed
+from cypressbeam.distribution.node_registry import Roster
+from cypressbeam.protocol import configuration
+from cypressbeam.proxy.routing import Table
+from lab import footprint, packed_blobs
 from lab.membership import many_routes
 
 SMALL = 60
@@ -38,7 +38,7 @@
 
 def test_packed_routes_find_what_the_table_finds_in_a_fraction_of_its_bytes() -> None:
     read = configuration.read_committed(many_routes(1, 2000, hosts=50, services=20))
-    table, trial = Table(read), packed.Routes(read)
+    table, trial = Table(read), packed_blobs.Routes(read)
     chance = random.Random(1)
     asked = [(channel.host, channel.prefix) for channel in chance.sample(read.channels, 200)]
     paths = [path + more for _, path in asked for more in ("", "x", "x/y/", "../")] + ["/", "", "/none/", "none"]
@@ -51,17 +51,17 @@
                 tuple((share.plant, share.gain) for share in route.channel.shares()),
             )
     _, table_kb = footprint.held(lambda: Table(read))
-    _, trial_kb = footprint.held(lambda: packed.Routes(read))
+    _, trial_kb = footprint.held(lambda: packed_blobs.Routes(read))
     assert trial_kb < table_kb / 3
 
 
 def test_packed_routes_tell_keys_apart_that_share_a_slot(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(packed, "hash", lambda key: 0, raising=False)
+    monkeypatch.setattr(packed_blobs, "hash", lambda key: 0, raising=False)
     shape = configuration.read_committed(many_routes(1, 0)).channels[0]
     hosts = ["b.example", "ab.example", "example", "cab.example"]  # each the end of another
     channels = tuple(msgspec.structs.replace(shape, host=host, rank=rank) for rank, host in enumerate(hosts))
     read = configuration.Configuration(1, channels, ())
-    table, trial = Table(read), packed.Routes(read)
+    table, trial = Table(read), packed_blobs.Routes(read)
     for host in [*hosts, "dcab.example", "le"]:
         route, shared = table.find(host, "/find/x"), trial.find(host, "/find/x")
         assert (shared[0] if shared else None) == (route.kind if route else None), host
@@ -69,18 +69,18 @@
 
 def test_a_subset_keeps_some_of_each_service_and_moves_little() -> None:
     rows = [footprint.server(number, 10) for number in range(250)]
-    chosen = packed.subset("edge-1", rows, 8)
+    chosen = packed_blobs.subset("edge-1", rows, 8)
     assert sorted({row.plant for row in chosen}) == sorted({row.plant for row in rows}) and len(chosen) == 80
     gone = chosen[0]
-    after = packed.subset("edge-1", [row for row in rows if row != gone], 8)
+    after = packed_blobs.subset("edge-1", [row for row in rows if row != gone], 8)
     assert len(set(chosen) - set(after)) == len(set(after) - set(chosen)) == 1
-    assert packed.subset("edge-2", rows, 8) != chosen
+    assert packed_blobs.subset("edge-2", rows, 8) != chosen
 
 
 def test_the_ring_roster_gives_the_same_tree_and_each_is_watched_twice() -> None:
     """Through joins, departures, renewals, and parents that somebody has lost."""
     chance = random.Random(2)
-    usual, ring = Roster("edge-0"), packed.RingRoster("edge-0")
+    usual, ring = Roster("edge-0"), packed_blobs.RingRoster("edge-0")
     for step in range(400):
         number = chance.randrange(60)
         if chance.random() < 0.2 and number:
--- a/tests/test_four_rules.py
+++ b/tests/test_four_rules.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-import pepperrelay as pr
-from pepperrelay import balancer
+from cypressbeam import balancing as pr
+from cypressbeam.balancing import balancer
 from tests.driver import ANYWHERE, CELLED, MS, SAFE, UNSAFE, ZONED, Driver, S, entry, settings
 
 
--- a/tests/test_frame_bytes.py
+++ b/tests/test_frame_bytes.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from cypressbeam import frames
-from cypressbeam.configuration import digest
+from cypressbeam.protocol import frames
+from cypressbeam.protocol.configuration import digest
 
 #: One message a line: its class, and the whole frame in hex.
 GOLDEN = dict(line.split() for line in Path(__file__).with_name("frame_bytes.txt").read_text().splitlines())
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from mallowworks.http import ResponseReader
-from mallowworks.messages import read_key
-from pepperrelay.interface import Action, Event, Refuse, RequestArrived
+from cypressbeam.balancing.interface import Action, Event, Refuse, RequestArrived
+from cypressbeam.proxy.http_requests import read_key
+from cypressbeam.proxy.http_responses import ResponseReader
 from tests.loopback import SETTINGS, Client, rig, run, soon
 
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -14,16 +14,17 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from cypressbeam import configuration, frames, listing
-from cypressbeam.gate import balancer_settings
-from cypressbeam.routing import Table
-from cypressbeam.settings import Envelope, Settings, SettingsError, parse
+from cypressbeam.distribution import endpoint_list
+from cypressbeam.protocol import configuration, frames
+from cypressbeam.protocol.settings import Envelope, Settings, SettingsError, parse
+from cypressbeam.proxy.gateway import balancer_settings
+from cypressbeam.proxy.http_requests import BadRequest, Message, RequestReader, Store, gather
+from cypressbeam.proxy.http_responses import Limits
+from cypressbeam.proxy.protocol_profile import GATE
+from cypressbeam.proxy.routing import Table
+from lab.adversarial_servers import Asked, World, answer, play
 from lab.day import DayError, read
-from lab.up import demo_configuration
-from lab.worst import Asked, World, answer, play
-from mallowworks.dialect import GATE
-from mallowworks.http import Limits
-from mallowworks.messages import BadRequest, Message, RequestReader, Store, gather
+from lab.local_cluster import demo_configuration
 
 REVISION_MOST = 2**63 - 1
 
@@ -43,7 +44,7 @@
 @given(st.binary(max_size=300))
 def test_any_rows_are_a_list_or_are_refused(data: bytes) -> None:
     with contextlib.suppress(frames.FrameError):
-        listing.unpack_rows(data)
+        endpoint_list.unpack_rows(data)
 
 
 # -- configurations ------------------------------------------------------------------------------------------
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -15,11 +15,11 @@
 import cbor2
 
 from cypressbeam.admin import config_calls
+from cypressbeam.proxy.http_responses import Answer
+from cypressbeam.standalone.discovery import Address, ListConnection
+from lab.local_cluster import HOST, demo_configuration, push, push_until_taken
 from lab.standins import Platform, Server
 from lab.system import Machine, System, status_of
-from lab.up import HOST, demo_configuration, push, push_until_taken
-from mallowworks.discovery import Address, ListConnection
-from mallowworks.http import Answer
 from tests.loopback import run, soon
 
 DEMO = cbor2.dumps(demo_configuration())
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -17,19 +17,21 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-import pepperrelay as pr
-from cypressbeam import configuration, early, frames, listing
-from cypressbeam.gate import CROSSING_BYTES, MOST_CROSSING, Sizes, balancer_settings, request_class
-from cypressbeam.peers import Link, Peers
-from cypressbeam.relay import Relay
-from cypressbeam.roster import FAN_OUT, MOST_FAN_OUT, Roster
-from cypressbeam.routing import Table
-from cypressbeam.settings import SettingsError, load, parse
-from lab.up import demo_configuration
-from mallowworks.attempts import Reply
-from mallowworks.dialect import judge_gate, read_load
-from mallowworks.http import Answer
-from pepperrelay.balancer import Balancer
+from cypressbeam import balancing as pr
+from cypressbeam.balancing.balancer import Balancer
+from cypressbeam.distribution import endpoint_list
+from cypressbeam.distribution.node_registry import FAN_OUT, MOST_FAN_OUT, Roster
+from cypressbeam.distribution.relay import Relay
+from cypressbeam.node import early_listener
+from cypressbeam.protocol import configuration, frames
+from cypressbeam.protocol.settings import SettingsError, load, parse
+from cypressbeam.proxy.attempts import Reply
+from cypressbeam.proxy.gateway import CROSSING_BYTES, MOST_CROSSING, Sizes, balancer_settings, request_class
+from cypressbeam.proxy.http_responses import Answer
+from cypressbeam.proxy.protocol_profile import judge_gate, read_load
+from cypressbeam.proxy.routing import Table
+from cypressbeam.transport.peers import Link, Peers
+from lab.local_cluster import demo_configuration
 from tests.loopback import run
 
 BOOT = """node=edge-1
@@ -78,13 +80,13 @@
 def test_the_front_listens_before_the_settings_are_read_in_full(tmp_path: Path) -> None:
     boot = tmp_path / "boot.conf"
     environ = {"CYPRESSBEAM_BOOT": str(boot)}
-    assert early.open_front({}) is None and early.open_front(environ) is None
+    assert early_listener.open_front({}) is None and early_listener.open_front(environ) is None
     boot.write_text("node=n\nlisteners.control=127.0.0.1:1\n", encoding="utf-8")
-    assert early.open_front(environ) is None
+    assert early_listener.open_front(environ) is None
     boot.write_text("node=n\nlisteners.front=nowhere\n", encoding="utf-8")
-    assert early.open_front(environ) is None
+    assert early_listener.open_front(environ) is None
     boot.write_text("node=n\nlisteners.front = 127.0.0.1:0\n", encoding="utf-8")
-    front = early.open_front(environ)
+    front = early_listener.open_front(environ)
     assert front is not None
     with front, socket.create_connection(front.getsockname(), 5.0) as client:
         client.sendall(b"waits")
@@ -206,40 +208,40 @@
 @given(st.one_of(st.binary(max_size=120), st.binary(max_size=120).map(zlib.compress)))
 def test_any_bytes_are_rows_or_an_error(data: bytes) -> None:
     try:
-        rows = listing.unpack_rows(data)
+        rows = endpoint_list.unpack_rows(data)
     except frames.FrameError:
         return
-    assert listing.unpack_rows(listing.pack_rows(rows)) == rows
+    assert endpoint_list.unpack_rows(endpoint_list.pack_rows(rows)) == rows
 
 
 def test_rows_are_small_and_never_unpack_to_more_than_a_list_may_be() -> None:
     rows = [server(f"i-{number:010x}", plant="stallfind", zone="regina-hall") for number in range(112)]
-    assert len(listing.pack_rows(rows)) < 2000
+    assert len(endpoint_list.pack_rows(rows)) < 2000
     for wrong in (
-        zlib.compress(bytes(listing.MOST_ROWS + 1)),
-        listing.pack_rows(rows)[:-1],
-        listing.pack_rows(rows) + b"x",
+        zlib.compress(bytes(endpoint_list.MOST_ROWS + 1)),
+        endpoint_list.pack_rows(rows)[:-1],
+        endpoint_list.pack_rows(rows) + b"x",
     ):
         with pytest.raises(frames.FrameError):
-            listing.unpack_rows(wrong)
+            endpoint_list.unpack_rows(wrong)
 
 
-def server(ident: str, **changes: Any) -> listing.Server:
-    return replace(listing.Server(ident, "p", ("10.0.0.1", 80), "z", 4, listing.IN_SERVICE, 0), **changes)
+def server(ident: str, **changes: Any) -> endpoint_list.Server:
+    return replace(endpoint_list.Server(ident, "p", ("10.0.0.1", 80), "z", 4, endpoint_list.IN_SERVICE, 0), **changes)
 
 
 def test_the_list_goes_down_as_changes_and_as_a_whole() -> None:
-    root, child, late = listing.Listing(7), listing.Listing(), listing.Listing()
+    root, child, late = endpoint_list.Listing(7), endpoint_list.Listing(), endpoint_list.Listing()
     first = root.poll([server("a", warmup_ms=900), server("b")])
     assert first is not None and child.apply(root.whole()) and child.servers == root.servers
     assert root.poll([server("a", warmup_ms=100), server("b")]) is None  # a warm-up that runs on is no news
-    second = root.poll([server("b", state=listing.DRAINING), server("c")])
+    second = root.poll([server("b", state=endpoint_list.DRAINING), server("c")])
     assert second is not None
     assert late.apply(second) is None  # it does not follow on nothing: the whole is asked for
     assert child.apply(second) and child.servers == root.servers
-    assert set(child.servers) == {"b", "c"} and child.servers["b"].state == listing.DRAINING
+    assert set(child.servers) == {"b", "c"} and child.servers["b"].state == endpoint_list.DRAINING
     assert child.apply(second) is False and late.apply(root.whole()) and late.servers == child.servers
-    other = listing.Listing(8)
+    other = endpoint_list.Listing(8)
     other.poll([server("d")])
     assert child.apply(other.whole()) and set(child.servers) == {"d"}
 
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -12,10 +12,11 @@
 
 import pytest
 
-from cypressbeam import agreement, settings
+from cypressbeam.consensus import replica
+from cypressbeam.protocol import settings
+from cypressbeam.standalone import config
 from lab import golden_traces
 from lab.histories import network
-from mallowworks import config
 from tests import golden_answers, golden_state
 
 DATA = Path(__file__).with_name("data")
@@ -41,7 +42,7 @@
 def test_a_trace_repeats_itself_and_shows_a_changed_timeout() -> None:
     before = trace_of(SEEDS)
     assert trace_of(SEEDS) == before
-    with mock.patch.object(agreement, "WRONG_S", agreement.WRONG_S + 0.01):
+    with mock.patch.object(replica, "WRONG_S", replica.WRONG_S + 0.01):
         assert trace_of(SEEDS) != before
 
 
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -6,9 +6,9 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-PACKAGES = ("pepperrelay", "mallowworks", "cypressbeam", "lab")
+PACKAGES = ("cypressbeam", "lab")
 #: Circles that are still to be broken. None may be added.
-KNOWN = {frozenset({"lab.emulator", "lab.troubles"})}
+KNOWN = {frozenset({"lab.emulator", "lab.fault_injection"})}
 
 
 def modules() -> dict[str, Path]:
--- a/tests/test_ledger_rules.py
+++ b/tests/test_ledger_rules.py
@@ -8,17 +8,17 @@
 
 import pytest
 
-from cypressbeam import gate
-from cypressbeam.gate import Gate
-from cypressbeam.node import GatewayNode
+from cypressbeam.node.gateway_node import GatewayNode
+from cypressbeam.proxy import gateway
+from cypressbeam.proxy.frontend import ClientConnection
+from cypressbeam.proxy.gateway import Gate
+from cypressbeam.proxy.http_requests import ON_ITS_WAY_US, Message, RequestReader, Store
+from cypressbeam.proxy.http_responses import Answer, Limits
+from cypressbeam.proxy.proxy_core import ANSWER_MARGIN_US
 from lab.day import Day, DayError, Kind, Trouble, read
 from lab.emulator import play
-from lab.ledger import Ledger, Run, Try, Wish
+from lab.invariant_checker import Ledger, Run, Try, Wish
 from lab.planned import Bounds, Change
-from mallowworks.carrier import ANSWER_MARGIN_US
-from mallowworks.frontend import ClientConnection
-from mallowworks.http import Answer, Limits
-from mallowworks.messages import ON_ITS_WAY_US, Message, RequestReader, Store
 from tests.test_emulator import small
 
 pytestmark = pytest.mark.usefixtures("quiet")
@@ -89,8 +89,8 @@
         kinds=(Kind(name="lookup", service="finder", per_s=25.0, tries=1),),
     )
     assert broken(day) == set()
-    asked_for = gate.request_class
-    monkeypatch.setattr(gate, "request_class", lambda channel: replace(asked_for(channel), tries=3))
+    asked_for = gateway.request_class
+    monkeypatch.setattr(gateway, "request_class", lambda channel: replace(asked_for(channel), tries=3))
     assert broken(day) == {"BUDGET"}
 
 
@@ -119,9 +119,11 @@
     def as_clients_wait(self: Gate, message: Message, found: dict[bytes, bytes], route: object) -> int:
         return message.came_us + int(found[b"time-left-ms"]) * 1000 - ANSWER_MARGIN_US
 
-    request_class = gate.request_class
+    request_class = gateway.request_class
     monkeypatch.setattr(Gate, "give_up_at", as_clients_wait)
-    monkeypatch.setattr(gate, "request_class", lambda channel: replace(request_class(channel), deadline_us=8_000_000))
+    monkeypatch.setattr(
+        gateway, "request_class", lambda channel: replace(request_class(channel), deadline_us=8_000_000)
+    )
     found = play(day, 1).figures
     assert found["held past the cut-off"] > 10 and found["price of these"] > 0.0
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -8,8 +8,8 @@
 import pytest
 import uvloop
 
-from cypressbeam import frames
-from cypressbeam.peers import BULK, CONNECT_QUIET_S, SMALL, Peers
+from cypressbeam.protocol import frames
+from cypressbeam.transport.peers import BULK, CONNECT_QUIET_S, SMALL, Peers
 from lab.loopback_network import LoopbackNetwork
 
 PAIRS, PORT = 4, 7655
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-import pepperrelay as pr
-from pepperrelay import balancer
+from cypressbeam import balancing as pr
+from cypressbeam.balancing import balancer
 from tests.driver import ANYWHERE, MS, SAFE, UNSAFE, Driver, S, entry, settings
 
 PLAIN = settings()
--- a/tests/test_member_rules.py
+++ b/tests/test_member_rules.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from cypressbeam import frames
-from cypressbeam.agreement import LEVEL, Keeper
-from cypressbeam.chain import Entry
-from cypressbeam.members import Members
+from cypressbeam.consensus.chain import Entry
+from cypressbeam.consensus.membership import Members
+from cypressbeam.consensus.replica import LEVEL, Keeper
+from cypressbeam.protocol import frames
 from lab.histories import invariants
 from tests.core_parts import GROUP, ONE, VIEW, echo, pulse, quiet_world, told
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -9,17 +9,17 @@
 
 import pytest
 
-from cypressbeam import frames
 from cypressbeam.admin import errors, membership, status
-from cypressbeam.agreement import DEAD_S
-from cypressbeam.chain import Tell, View, ip_of
-from cypressbeam.members import ADD, REMOVE, REPLACE, Change, Known, judge
-from lab import repair, turnover
+from cypressbeam.consensus.chain import Tell, View, ip_of
+from cypressbeam.consensus.membership import ADD, REMOVE, REPLACE, Change, Known, judge
+from cypressbeam.consensus.replica import DEAD_S
+from cypressbeam.protocol import frames
+from lab import membership_churn, repair
 from lab.histories import callers
 from lab.histories.plans import Step
+from lab.membership_churn import Turnover
 from lab.simulation import Disk
 from lab.system import Machine
-from lab.turnover import Turnover
 from tests.loopback import run
 from tests.test_gateway import read_back, rig, send
 
@@ -71,7 +71,7 @@
 PATIENT_S = 5.0
 
 
-def world_at_rest(seed: int = 3, replace_after_s: float = turnover.REPLACE_AFTER_S) -> Turnover:
+def world_at_rest(seed: int = 3, replace_after_s: float = membership_churn.REPLACE_AFTER_S) -> Turnover:
     world = Turnover(seed, replace_after_s, loss=0.0)
     world.run(1.0)
     ordered(world)
@@ -90,7 +90,7 @@
 def asks(world: Turnover, kind: int, old: str, new: str, base: str, for_s: float = 6.0) -> int:
     """The answer to a change, by an operator who sends it again and again."""
     ident = next(world.numbers) + 1
-    world.asked[ident] = turnover.Asked(kind, old, new, tuple(base), world.now_s + for_s)
+    world.asked[ident] = membership_churn.Asked(kind, old, new, tuple(base), world.now_s + for_s)
     world.ask(ident)
     world.run(world.now_s + for_s + 0.5)
     return world.asked[ident].status
@@ -266,16 +266,16 @@
 
 def test_histories_in_which_members_come_and_go_keep_every_invariant() -> None:
     for seed in [*range(30, 50), 1224]:
-        told = turnover.fails(seed, turnover.make_plan(seed))
+        told = membership_churn.fails(seed, membership_churn.make_plan(seed))
         assert told is None, f"seed {seed}: {told}"
 
 
 @pytest.mark.parametrize("name", ["two-at-once", "count-before-level", "step-from-any-view"])
 def test_a_rule_of_changes_that_is_left_out_shows_in_some_history(name: str) -> None:
     """The others take some hundred histories: `lab turnover --fault all`."""
-    found = turnover.search(range(60), name)
+    found = membership_churn.search(range(60), name)
     assert found is not None
-    assert turnover.fails(found[0], turnover.make_plan(found[0])) is None
+    assert membership_churn.fails(found[0], membership_churn.make_plan(found[0])) is None
 
 
 # -- whole nodes ---------------------------------------------------------------------------------------------------
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from cypressbeam import frames
-from cypressbeam.relay import Relay
-from cypressbeam.roster import FAN_OUT, RENEW_S
+from cypressbeam.distribution.node_registry import FAN_OUT, RENEW_S
+from cypressbeam.distribution.relay import Relay
+from cypressbeam.protocol import frames
 from lab import chaos
 from lab.membership import STEPS, ZONES, Cluster, Figures, measure, play
 from lab.simulation import Net
@@ -97,7 +97,7 @@
 
 
 def test_a_system_whose_core_never_mends_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("cypressbeam.agreement.Keeper.mend", lambda self, now_s: [])
+    monkeypatch.setattr("cypressbeam.consensus.replica.Keeper.mend", lambda self, now_s: [])
     found = chaos.search(range(12))
     assert found is not None and "the core is not whole" in found[1]
 
--- a/tests/test_mutation.py
+++ b/tests/test_mutation.py
@@ -15,7 +15,7 @@
 SAMPLE = Rule(
     "a sample",
     "orders",
-    "cypressbeam/taken.py",
+    "cypressbeam/consensus/deduplication.py",
     "if len(found) > KEPT:",
     "if False:",
     ("tests/test_orders.py::test_digests_that_can_not_be_are_refused",),
@@ -47,7 +47,7 @@
 
 def test_a_text_that_is_not_there_or_there_twice_is_an_error() -> None:
     for text in ("", SAMPLE.text * 2):
-        with pytest.raises(ListError, match=r"a sample: its text is [02] times in cypressbeam/taken"):
+        with pytest.raises(ListError, match=r"a sample: its text is [02] times in cypressbeam/consensus/deduplication"):
             without(SAMPLE, text)
 
 
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -13,13 +13,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cypressbeam import delta, frames
-from cypressbeam.blobs import fetcher, link
-from cypressbeam.configuration import digest
-from cypressbeam.peers import BULK, CONNECT_TIMEOUT_S, Link, Peers
+from cypressbeam.protocol import delta, frames
+from cypressbeam.protocol.configuration import digest
+from cypressbeam.transport.blobs import fetcher, link
+from cypressbeam.transport.peers import BULK, CONNECT_TIMEOUT_S, Link, Peers
+from lab.local_cluster import demo_configuration
 from lab.membership import Cluster
 from lab.simulation import Host, Net
-from lab.up import demo_configuration
 from tests.simulated import run_nodes
 
 MBPS = 2.75
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -11,10 +11,10 @@
 import pytest
 from click.testing import CliRunner
 
-from cypressbeam import configuration
 from cypressbeam.admin import backup, config_calls, errors, status
 from cypressbeam.cli.program import main
-from lab.up import demo_configuration
+from cypressbeam.protocol import configuration
+from lab.local_cluster import demo_configuration
 from tests.loopback import run
 from tests.test_gateway import DEMO, read_back, rig
 
--- a/tests/test_order_rules.py
+++ b/tests/test_order_rules.py
@@ -8,11 +8,12 @@
 
 import pytest
 
-from cypressbeam import frames, taken
-from cypressbeam.agreement import Keeper, Proposal
-from cypressbeam.chain import MOST_WAITING, Entry, Member, Tell, View
-from cypressbeam.configuration import MOST_REVISION, digest
-from cypressbeam.control import AGAIN_S, PATIENCE_S, Control
+from cypressbeam.consensus import deduplication
+from cypressbeam.consensus.chain import MOST_WAITING, Entry, Member, Tell, View
+from cypressbeam.consensus.replica import Keeper, Proposal
+from cypressbeam.node.control_api import AGAIN_S, PATIENCE_S, Control
+from cypressbeam.protocol import frames
+from cypressbeam.protocol.configuration import MOST_REVISION, digest
 from lab.histories.invariants import revision
 from lab.histories.world import World
 from tests.loopback import run
@@ -98,18 +99,18 @@
 
 def test_what_stands_above_an_entry_s_base_was_not_taken() -> None:
     known = {10: b"ten", 20: b"twenty", 30: b"thirty"}
-    taken.note(known, 25, 10, b"new")
+    deduplication.note(known, 25, 10, b"new")
     assert known == {10: b"ten", 25: b"new"}
 
 
 def test_without_the_digests_all_versions_may_be_forgotten() -> None:
-    assert taken.forgotten({}, 0) == 0 and taken.forgotten({}, 5) == MOST_REVISION
-    assert taken.forgotten({40: b"", 50: b""}, 5) == 39 and taken.forgotten({10: b"", 20: b""}, 2) == 0
+    assert deduplication.forgotten({}, 0) == 0 and deduplication.forgotten({}, 5) == MOST_REVISION
+    assert deduplication.forgotten({40: b"", 50: b""}, 5) == 39 and deduplication.forgotten({10: b"", 20: b""}, 2) == 0
 
 
 def test_of_one_s_own_digests_count_those_that_all_hold() -> None:
     own = {10: b"ten", 20: b"twenty", 30: b"refused"}
-    assert taken.merge(own, 20, {40: b"forty"}) == {10: b"ten", 20: b"twenty", 40: b"forty"}
+    assert deduplication.merge(own, 20, {40: b"forty"}) == {10: b"ten", 20: b"twenty", 40: b"forty"}
 
 
 def test_between_machines_go_the_digests_that_the_other_lacks() -> None:
@@ -123,12 +124,12 @@
     (prepare, *_) = (one.frame for one in keeper.propose(world.now_s) if isinstance(one, Tell))
     assert isinstance(prepare, frames.Prepare) and prepare.since == 20
     promise = promised(world.keepers["b"], prepare, world.now_s)
-    assert list(taken.unpack(promise.taken)) == [30]
+    assert list(deduplication.unpack(promise.taken)) == [30]
     proposal = Proposal(prepare.epoch, (), (), world.now_s, promises={promise.name: promise})
     known = world.keepers["b"].all_taken()
     for name, sent in ((promise.name, [30]), ("c/empty", [10, 20, 30])):
         accept = keeper.accept_for(proposal, name, (), (), promise, known)
-        assert list(taken.unpack(accept.taken)) == sent and accept.since == (20 if len(sent) == 1 else 0)
+        assert list(deduplication.unpack(accept.taken)) == sent and accept.since == (20 if len(sent) == 1 else 0)
 
 
 def promised(keeper: Keeper, prepare: frames.Prepare, now_s: float) -> frames.Promise:
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -10,15 +10,16 @@
 import cbor2
 import pytest
 
-from cypressbeam import agreement, frames, taken
-from cypressbeam.chain import Entry, Member, Sync, Tell, View
-from cypressbeam.configuration import digest
-from cypressbeam.peers import Link
-from cypressbeam.store import FILE, Store
+from cypressbeam.consensus import deduplication, replica
+from cypressbeam.consensus.chain import Entry, Member, Sync, Tell, View
+from cypressbeam.protocol import frames
+from cypressbeam.protocol.configuration import digest
+from cypressbeam.storage.store import FILE, Store
+from cypressbeam.transport.peers import Link
 from lab.histories import faults, invariants, operators, runner
 from lab.histories.plans import make_plan, shape_of
 from lab.histories.world import World
-from lab.up import demo_configuration, push
+from lab.local_cluster import demo_configuration, push
 from tests.loopback import run
 from tests.test_gateway import read_back, rig
 
@@ -56,7 +57,7 @@
 
 
 def test_what_may_have_been_taken_is_left_without_a_clear_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(taken, "KEPT", 8)
+    monkeypatch.setattr(deduplication, "KEPT", 8)
     made = member(20)
     assert len(made.taken) == 8
     for number in range(1, 21):
@@ -112,12 +113,12 @@
     world.run(1.0)
     for ip, keeper in world.keepers.items():
         assert keeper.member is not None
-        for number in range(1, taken.KEPT + 1000):
+        for number in range(1, deduplication.KEPT + 1000):
             entry = Entry(number, keeper.member.view.epoch, number * 10, number * 10 - 10, body(number))
             keeper.member.synced(entry, world.now_s)
             keeper.member.committed = number
             world.disks[ip].write(Sync(entry))
-        assert len(keeper.member.taken) == taken.KEPT and len(world.disks[ip].taken) == taken.KEPT
+        assert len(keeper.member.taken) == deduplication.KEPT and len(world.disks[ip].taken) == deduplication.KEPT
     sent: dict[str, list[int]] = {"a": [], "b": [], "c": []}
     real = world.send
 
@@ -132,25 +133,28 @@
     assert max(sent["a"] + sent["b"]) < 400
     world.start("c")
     world.run(world.now_s + 5.0)
-    assert max(sent["a"] + sent["b"]) < 400 and sent["c"][-1] > taken.KEPT * 40
+    assert max(sent["a"] + sent["b"]) < 400 and sent["c"][-1] > deduplication.KEPT * 40
     new = world.keepers["c"].member
-    assert new is not None and new.active and len(new.taken) == taken.KEPT
+    assert new is not None and new.active and len(new.taken) == deduplication.KEPT
     assert new.taken == world.disks["a"].taken
 
 
 def test_digests_that_can_not_be_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    good = taken.pack({1: bytes(32), 2: bytes(32)})
-    assert taken.unpack(good) == {1: bytes(32), 2: bytes(32)} and taken.pack(taken.unpack(good), 1) == good[40:]
-    monkeypatch.setattr(taken, "KEPT", 2)
-    for wrong in (good[:-1], good[40:] + good[:40], good[:40] * 2, taken.pack({1: b"", 2: b"", 3: b""})):
+    good = deduplication.pack({1: bytes(32), 2: bytes(32)})
+    assert (
+        deduplication.unpack(good) == {1: bytes(32), 2: bytes(32)}
+        and deduplication.pack(deduplication.unpack(good), 1) == good[40:]
+    )
+    monkeypatch.setattr(deduplication, "KEPT", 2)
+    for wrong in (good[:-1], good[40:] + good[:40], good[:40] * 2, deduplication.pack({1: b"", 2: b"", 3: b""})):
         with pytest.raises(frames.FrameError):
-            taken.unpack(wrong)
+            deduplication.unpack(wrong)
 
 
 def test_a_frame_with_such_digests_closes_its_link() -> None:
     async def scenario() -> None:
         def take(link: Link, frame: frames.Frame) -> None:
-            taken.unpack(b"x")
+            deduplication.unpack(b"x")
 
         link = Link(Mock(take=take, loop=asyncio.get_running_loop()), "10.0.0.9")
         link.hand(frames.Alive())
@@ -165,12 +169,20 @@
     keeper = world.keepers["c"]
     group = tuple(disk.name for disk in world.disks.values())
     frame = frames.Accept(
-        keeper.promised + 256, group, group, 5, 50, 40, body(5), taken.pack({50: invariants.digest(body(5))}), 40
+        keeper.promised + 256,
+        group,
+        group,
+        5,
+        50,
+        40,
+        body(5),
+        deduplication.pack({50: invariants.digest(body(5))}),
+        40,
     )
     assert keeper.on_accept(frame, world.now_s) == []
     keeper.taken[40] = invariants.digest(body(4))
     (saved,) = keeper.on_accept(frame, world.now_s)
-    assert isinstance(saved, agreement.SaveView) and list(saved.taken) == [40, 50]
+    assert isinstance(saved, replica.SaveView) and list(saved.taken) == [40, 50]
 
 
 # -- on disk ------------------------------------------------------------------------------------------------------
@@ -221,7 +233,7 @@
         assert (await store.load()).taken == wanted
         close(store)
 
-    monkeypatch.setattr("cypressbeam.store.KEPT", 100)
+    monkeypatch.setattr("cypressbeam.storage.store.KEPT", 100)
     asyncio.run(scenario())
     with sqlite3.connect(tmp_path / FILE) as database:
         assert database.execute("select count(*) from taken").fetchone() == (100,)
--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -13,20 +13,20 @@
 
 import pytest
 
-from cypressbeam import core as cores
-from cypressbeam import files
-from cypressbeam.chain import Entry
-from cypressbeam.store import Loaded, Store, StoreError, TornError
-from lab import chaos, powerloss
+from cypressbeam.consensus.chain import Entry
+from cypressbeam.node import core_machine as cores
+from cypressbeam.storage import files
+from cypressbeam.storage.store import Loaded, Store, StoreError, TornError
+from lab import chaos, disk_power_loss
+from lab.disk_power_loss import Life, Lost, Op, image, without
 from lab.membership import Cluster
-from lab.powerloss import Life, Lost, Op, image, without
 from lab.simulation import Disk
 from tests.simulated import run_nodes
 
 
 @pytest.fixture(scope="module")
 def life(tmp_path_factory: pytest.TempPathFactory) -> Life:
-    return powerloss.lived(tmp_path_factory.mktemp("life"))
+    return disk_power_loss.lived(tmp_path_factory.mktemp("life"))
 
 
 def test_a_loss_of_power_after_any_operation_leaves_what_was_told(life: Life) -> None:
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -7,7 +7,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-import pepperrelay as pr
+from cypressbeam import balancing as pr
 from tests.driver import CLASSES, MS, Driver, S, entry
 from tests.driver import settings as config
 
--- a/tests/test_quorum_loss.py
+++ b/tests/test_quorum_loss.py
@@ -15,12 +15,12 @@
 import pytest
 
 from cypressbeam.admin import backup, config_calls, errors, membership, status
-from cypressbeam.quorum_loss import PAGE, SECTION, Absence, QuorumWatch, judge, read_silences
+from cypressbeam.consensus.quorum_loss import PAGE, SECTION, Absence, QuorumWatch, judge, read_silences
+from cypressbeam.proxy.http_responses import Answer
 from lab import repair
+from lab.local_cluster import demo_configuration
 from lab.simulation import Disk, Host
 from lab.system import Machine
-from lab.up import demo_configuration
-from mallowworks.http import Answer
 from tests.loopback import run
 from tests.test_gateway import Rig, ask, read_back, rig
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-import pepperrelay
+from cypressbeam import balancing
 
 
 def test_example_runs(capsys: pytest.CaptureFixture[str]) -> None:
@@ -20,5 +20,5 @@
 
 
 def test_public_names_exist() -> None:
-    assert all(hasattr(pepperrelay, name) for name in pepperrelay.__all__)
-    assert {"Balancer", "Settings", "RequestClass", "Send", "Refuse"} <= set(pepperrelay.__all__)
+    assert all(hasattr(balancing, name) for name in balancing.__all__)
+    assert {"Balancer", "Settings", "RequestClass", "Send", "Refuse"} <= set(balancing.__all__)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from cypressbeam import frames
-from cypressbeam.peers import Peers
+from cypressbeam.protocol import frames
+from cypressbeam.transport.peers import Peers
 from lab.membership import Cluster
 from lab.simulation import Host, Net
 
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -7,13 +7,13 @@
 
 import pytest
 
-from cypressbeam.chain import ip_of
-from cypressbeam.members import ADD, REMOVE, REPLACE, Change
-from cypressbeam.replacement import BEGUN_KEPT_S, SilenceClock
-from cypressbeam.settings import SettingsError, parse
-from lab import closing, repair, replacements
+from cypressbeam.consensus.chain import ip_of
+from cypressbeam.consensus.membership import ADD, REMOVE, REPLACE, Change
+from cypressbeam.consensus.replacement import BEGUN_KEPT_S, SilenceClock
+from cypressbeam.protocol.settings import SettingsError, parse
+from lab import power_loss_recovery, repair, replacements
+from lab.membership_churn import Turnover
 from lab.replacements import FALSE_ALARM, PLANNED, UNPLANNED, Case
-from lab.turnover import Turnover
 from tests.test_members import asks, group_of, newest, ordered, world_at_rest
 
 pytestmark = pytest.mark.usefixtures("quiet")
@@ -205,8 +205,8 @@
 
 def test_the_newest_version_outlives_the_power_and_one_disk_also_after_a_replacement() -> None:
     for seed in range(12):
-        assert closing.broken(closing.play(seed)) == "", seed
-    assert closing.search(range(4), "wait-a-minute") is not None
+        assert power_loss_recovery.broken(power_loss_recovery.play(seed)) == "", seed
+    assert power_loss_recovery.search(range(4), "wait-a-minute") is not None
 
 
 # -- settings --------------------------------------------------------------------------------------------------------
--- a/tests/test_replacement_rules.py
+++ b/tests/test_replacement_rules.py
@@ -4,9 +4,9 @@
 
 from dataclasses import replace
 
-from cypressbeam.chain import ip_of
-from cypressbeam.members import REPLACE, Change
-from lab.turnover import Turnover
+from cypressbeam.consensus.chain import ip_of
+from cypressbeam.consensus.membership import REPLACE, Change
+from lab.membership_churn import Turnover
 from tests.test_members import newest, world_at_rest
 
 
--- a/tests/test_same_names.py
+++ b/tests/test_same_names.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from lab.worst import SOON_S, Asked, Sending, World, answer, play
-from mallowworks.upstream import ServerConnection
+from cypressbeam.proxy.upstream import ServerConnection
+from lab.adversarial_servers import SOON_S, Asked, Sending, World, answer, play
 
 pytestmark = pytest.mark.usefixtures("quiet")
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -4,8 +4,8 @@
 
 from itertools import pairwise
 
-import pepperrelay as pr
-from pepperrelay import balancer
+from cypressbeam import balancing as pr
+from cypressbeam.balancing import balancer
 from tests.driver import ANYWHERE, CELLED, MS, SAFE, UNSAFE, Driver, S, entry, settings
 
 
--- a/tests/test_stamps.py
+++ b/tests/test_stamps.py
@@ -9,18 +9,18 @@
 
 import pytest
 
-from cypressbeam.gate import Gate
-from lab.worst import SOON_S, TO_THE_END_S, Asked, Client, World, answer, play
-from mallowworks.http import Answer
-from pepperrelay.balancer import Balancer
-from pepperrelay.interface import AttemptEnded
+from cypressbeam.balancing.balancer import Balancer
+from cypressbeam.balancing.interface import AttemptEnded
+from cypressbeam.proxy.gateway import Gate
+from cypressbeam.proxy.http_responses import Answer
+from lab.adversarial_servers import SOON_S, TO_THE_END_S, Asked, Client, World, answer, play
 
 pytestmark = pytest.mark.usefixtures("quiet")
 
 ROOT = Path(__file__).parent.parent
 #: Each function between clients and servers that makes an answer. A new one needs a case below that reaches it.
 MAKERS = {
-    "mallowworks/carrier.py": {
+    "cypressbeam/proxy/proxy_core.py": {
         "Carrier.refusal",
         "Carrier.failure",
         "Carrier.abandon",
@@ -28,8 +28,8 @@
         "Carrier.finish",
         "Carrier.passed_back",
     },
-    "mallowworks/frontend.py": {"ClientConnection.next", "ClientConnection.respond", "readiness", "plain"},
-    "cypressbeam/gate.py": {"Gate.serve"},
+    "cypressbeam/proxy/frontend.py": {"ClientConnection.next", "ClientConnection.respond", "readiness", "plain"},
+    "cypressbeam/proxy/gateway.py": {"Gate.serve"},
 }
 
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -14,10 +14,10 @@
 
 import pytest
 
+from cypressbeam.proxy.http_responses import Answer
+from cypressbeam.standalone.__main__ import Sparing
+from cypressbeam.standalone.config import OVERFLOW, ConfigError, flatten, read_config
 from lab.loopback_network import LoopbackNetwork
-from mallowworks.__main__ import Sparing
-from mallowworks.config import OVERFLOW, ConfigError, flatten, read_config
-from mallowworks.http import Answer
 from tests.loopback import SETTINGS, SOON_S, Client, StubServer, configuration, listing, row, run, soon
 
 
@@ -72,7 +72,7 @@
         sys.executable,
         "-B",
         "-m",
-        "mallowworks",
+        "cypressbeam.standalone",
         stderr=asyncio.subprocess.PIPE,
         env=os.environ | {"EDGE_CONFIG": str(config)} | environ,
     )
@@ -87,7 +87,7 @@
         process = await start(path)
         _, said = await soon(process.communicate())
         assert process.returncode == 2
-        assert said.startswith(b"mallowworks: ") and said.count(b"\n") == 1
+        assert said.startswith(b"cypressbeam: ") and said.count(b"\n") == 1
 
     run(scenario())
 
@@ -191,6 +191,7 @@
         _, rest = await soon(self.process.communicate())
         self.server.stop()
         self.agent.stop()
+        self.network.close()
         return rest
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -17,10 +17,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cypressbeam import store as stores
-from cypressbeam.chain import Entry, View
-from cypressbeam.marks import Marks
-from cypressbeam.store import FILE, Loaded, Store, StoreError
+from cypressbeam.consensus.chain import Entry, View
+from cypressbeam.consensus.rollback_detection import Marks
+from cypressbeam.storage import store as stores
+from cypressbeam.storage.store import FILE, Loaded, Store, StoreError
 
 VIEW = View(256, ("10.0.0.1/a", "10.0.0.2/b"), ("10.0.0.1/a", "10.0.0.2/b", "10.0.0.3/c"))
 Files = dict[str, bytes]
--- a/tests/test_thin_links.py
+++ b/tests/test_thin_links.py
@@ -6,18 +6,18 @@
 
 import pytest
 
-from cypressbeam import delta
-from cypressbeam.blobs import link
-from cypressbeam.peers import Link, Peers
-from lab import news
+from cypressbeam.protocol import delta
+from cypressbeam.transport.blobs import link
+from cypressbeam.transport.peers import Link, Peers
+from lab import update_propagation
 
 #: Seconds within which a configuration, or a drain, must be known by all (source: the grown deployments' envelopes).
 WITHIN_S = 4.0
 LINKS = {"edge_mbps": 2.75, "core_mbps": 30.0, "routes": 1500}
 
 
-def rows(seed: int = 1, kills: bool = True) -> dict[str, news.Row]:
-    return {row.case: row for row in news.measure(40, seed, kills=kills, **LINKS)}  # type: ignore[arg-type]
+def rows(seed: int = 1, kills: bool = True) -> dict[str, update_propagation.Row]:
+    return {row.case: row for row in update_propagation.measure(40, seed, kills=kills, **LINKS)}  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -26,7 +26,7 @@
     for row in found.values():
         assert row.drain_s is None or row.drain_s < WITHIN_S, row
         assert row.config_s is None or row.config_s < WITHIN_S + (
-            news.STORM * news.STORM_GAP_S if "versions" in row.case else 0.0
+            update_propagation.STORM * update_propagation.STORM_GAP_S if "versions" in row.case else 0.0
         ), row
         assert row.silences == 0 or "root" in row.case, row
     # Only those that the root itself fed give up a parent while it is away for a moment; relays hold the rest.
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from mallowworks.dialect import read_report
-from mallowworks.discovery import read_list
-from mallowworks.http import MOST_ANSWER, Answer
-from mallowworks.upstream import Attempt, Upstream
-from pepperrelay.interface import Ending, Report
+from cypressbeam.balancing.interface import Ending, Report
+from cypressbeam.proxy.http_responses import MOST_ANSWER, Answer
+from cypressbeam.proxy.protocol_profile import read_report
+from cypressbeam.proxy.upstream import Attempt, Upstream
+from cypressbeam.standalone.discovery import read_list
 from tests.loopback import LONG_AGO_MS, Rig, StubServer, listing, rig, row, run, soon
 
 NOT_STARTED = "Not-Started: 1\r\n"
--- a/tests/test_validity.py
+++ b/tests/test_validity.py
@@ -9,13 +9,13 @@
 import cbor2
 import pytest
 
-from cypressbeam import configuration, frames
-from cypressbeam.chain import MOST_TEXT, Member, Sync, Tell, View
-from cypressbeam.control import Control
-from cypressbeam.core import revision_of
-from cypressbeam.routing import Table
-from lab.up import HOST, demo_configuration
-from mallowworks.messages import BadRequest, Message
+from cypressbeam.consensus.chain import MOST_TEXT, Member, Sync, Tell, View
+from cypressbeam.node.control_api import Control
+from cypressbeam.node.core_machine import revision_of
+from cypressbeam.protocol import configuration, frames
+from cypressbeam.proxy.http_requests import BadRequest, Message
+from cypressbeam.proxy.routing import Table
+from lab.local_cluster import HOST, demo_configuration
 from tests.loopback import run
 
 ALONE = View(256, ("a/1",), ("a/1",))
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -5,11 +5,11 @@
 import msgspec
 import pytest
 
-import pepperrelay as pr
-from cypressbeam.verdicts import REST_S, WINDOW_S, Verdicts
+from cypressbeam import balancing as pr
+from cypressbeam.balancing.balancer import TRIAL_US, Balancer
+from cypressbeam.distribution.outlier_detection import REST_S, WINDOW_S, Verdicts
 from lab.day import Day, Kind, Service, Trouble
 from lab.emulator import World
-from pepperrelay.balancer import TRIAL_US, Balancer
 
 pytestmark = pytest.mark.usefixtures("quiet")
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-import pepperrelay as pr
-from pepperrelay import wire
+from cypressbeam import balancing as pr
+from cypressbeam.standalone import simulator
 
 SETTINGS = (
     "classes.count=1 classes.0.name=a classes.0.semantics=read_like classes.0.objectiveUs=500000 "
@@ -22,20 +22,20 @@
 def converse(*batches: str) -> list[str]:
     source = "".join(f"TICK {1_000_000 + n * 10_000} {n}\n{text}\nOVER_TO_YOU\n" for n, text in enumerate(batches, 1))
     sink = io.StringIO()
-    wire.serve(io.StringIO(source), sink)
+    simulator.serve(io.StringIO(source), sink)
     return sink.getvalue().splitlines()
 
 
 def failure(*lines: str) -> str:
-    host = wire.Host()
-    with pytest.raises(wire.WireError) as caught:
+    host = simulator.Host()
+    with pytest.raises(simulator.WireError) as caught:
         host.batch("TICK 1000000 9", list(lines))
     return str(caught.value)
 
 
 def test_empty_batch() -> None:
     sink = io.StringIO()
-    wire.serve(io.StringIO("TICK 8412250 1\nOVER_TO_YOU\n"), sink)
+    simulator.serve(io.StringIO("TICK 8412250 1\nOVER_TO_YOU\n"), sink)
     assert sink.getvalue() == "ACK 1\n"
 
 
@@ -90,17 +90,17 @@
     ],
 )
 def test_every_action_is_written(action: pr.Action, text: str) -> None:
-    assert wire.write_action(3, action) == text
+    assert simulator.write_action(3, action) == text
 
 
 def test_settings_are_read() -> None:
-    line = wire.Line(
+    line = simulator.Line(
         PROVISION + " bounds.secondCopies=true weights=rough membershipMode=ask "
         "report.fields=backlog,recent_ms tenants.count=1 tenants.0.name=t "
         "tenants.0.quotaPerS=5",
         "1",
     )
-    read = wire.read_pairs(line, 3).settings()
+    read = simulator.read_pairs(line, 3).settings()
     assert read.proxies == 3 and read.zone == "z" and read.may_overlap and read.must_subscribe
     assert read.weights is pr.WeightMeaning.SIZE and read.reports == ("backlog", "recent_ms")
     assert read.classes[0].repeat is pr.Repeat.SAFE and read.tenants == {"t": 5.0}
@@ -161,7 +161,11 @@
 
 def run(text: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "pepperrelay.wire"], input=text, text=True, capture_output=True, check=False
+        [sys.executable, "-m", "cypressbeam.standalone.simulator"],
+        input=text,
+        text=True,
+        capture_output=True,
+        check=False,
     )
 
 
@@ -215,7 +219,7 @@
     )
     replies = [
         subprocess.run(
-            [sys.executable, "-m", "pepperrelay.wire"],
+            [sys.executable, "-m", "cypressbeam.standalone.simulator"],
             input=text,
             text=True,
             check=True,
--- a/tests/test_word_rules.py
+++ b/tests/test_word_rules.py
@@ -9,15 +9,15 @@
 
 import pytest
 
-from cypressbeam import configuration, frames
-from cypressbeam.agreement import DEAD_S
-from cypressbeam.chain import View
-from cypressbeam.control import Control
-from cypressbeam.core import ABOVE_S, INTRODUCE_S, Core
+from cypressbeam.consensus.chain import View
+from cypressbeam.consensus.replica import DEAD_S
 from cypressbeam.distribution.outlier_reports import OutlierReports
-from cypressbeam.node import ALONE_S, GatewayNode
-from cypressbeam.peers import Link
-from cypressbeam.store import Loaded
+from cypressbeam.node.control_api import Control
+from cypressbeam.node.core_machine import ABOVE_S, INTRODUCE_S, Core
+from cypressbeam.node.gateway_node import ALONE_S, GatewayNode
+from cypressbeam.protocol import configuration, frames
+from cypressbeam.storage.store import Loaded
+from cypressbeam.transport.peers import Link
 from tests.loopback import run
 from tests.parts import FIRST, ME, OTHER, ROOT, SECOND, SETTINGS, THIRD, Part, Wire
 
