--- a/cypressbeam/consensus/chain.py
+++ b/cypressbeam/consensus/chain.py
@@ -18,11 +18,11 @@
 from cypressbeam.protocol import frames
 
 #: An entry that is not committed is sent down again after so long: the link may have broken.
-RESEND_S = 0.3
+RESEND_INTERVAL_S = 0.3
 #: Orders that may wait at the head; more are told to come back.
-MOST_WAITING = 64
+MAX_QUEUED_WRITES = 64
 #: Characters of an answer's text: it may hold what an operator has sent, and a frame's texts have two bytes of length.
-MOST_TEXT = 300
+MAX_RESULT_TEXT = 300
 
 
 @lru_cache(maxsize=256)
@@ -41,7 +41,7 @@
     """From head to tail."""
     group: tuple[str, ...]
     """Whose majority decides the next view; a chain is a part of it."""
-    began: int = 0
+    initial_number: int = 0
     """The number of the entry that the view began with; later ones are committed when the tail says so."""
 
     @property
@@ -57,11 +57,11 @@
     def tail(self) -> str:
         return self.members[-1]
 
-    def next(self, ip: str) -> str | None:
+    def successor(self, ip: str) -> str | None:
         at = self.members.index(ip) + 1
         return self.members[at] if at < len(self.members) else None
 
-    def previous(self, ip: str) -> str | None:
+    def predecessor(self, ip: str) -> str | None:
         at = self.members.index(ip)
         return self.members[at - 1] if at else None
 
@@ -78,14 +78,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sync:
+class PersistEntry:
     """Put an entry on disk, then say so by `synced`."""
 
     entry: Entry
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendMessage:
     ip: str
     frame: frames.Frame
 
@@ -97,33 +97,33 @@
     entry: Entry
 
 
-Action = Sync | Tell | Publish
+ChainEffect = PersistEntry | SendMessage | Publish
 
 
 @dataclass(slots=True)
-class Member:
+class ChainReplica:
     """The state of one member. `check` returns a body's revision and raises ValueError if it is invalid."""
 
-    me: str
+    ip: str
     view: View
     check: Callable[[bytes], int]
     digest: Callable[[bytes], bytes]
     last: Entry | None = None
     """The newest entry on disk."""
-    taken: dict[int, bytes] = field(default_factory=dict)
+    applied_digests: dict[int, bytes] = field(default_factory=dict)
     """Digests of the entries that led to the newest one on disk, and its own, by revision (deduplication.py)."""
     committed: int = 0
     """The number up to which this member knows entries to be committed."""
-    waiting: deque[frames.Order] = field(default_factory=deque)
-    syncing: Entry | None = None
-    asked: list[tuple[int, str]] = field(default_factory=list)
+    queue: deque[frames.WriteRequest] = field(default_factory=deque)
+    persisting: Entry | None = None
+    pending_callers: list[tuple[int, str]] = field(default_factory=list)
     """Who is to be answered for the entry under way: ids of orders, and the nodes that took them."""
-    sent_s: float = 0.0
+    forwarded_s: float = 0.0
     active: bool = False
     """Every member of the chain has taken up this view, and with it the entry that it began with."""
     sealed: bool = False
     """A higher epoch was promised: nothing more is done in this one."""
-    wanted: int = 0
+    catch_up_target: int = 0
     """The highest number that others of the chain had told when this one took up its part."""
 
     # -- what it is ----------------------------------------------------------------------------------------
@@ -137,187 +137,206 @@
         return self.last.revision if self.last else 0
 
     def is_head(self) -> bool:
-        return self.view.head == self.me
+        return self.view.head == self.ip
 
     def is_tail(self) -> bool:
-        return self.view.tail == self.me
+        return self.view.tail == self.ip
 
-    def level(self) -> bool:
+    def is_caught_up(self) -> bool:
         """Whether this member has what the others of the chain had when it took up its part."""
-        return self.number >= self.wanted
+        return self.number >= self.catch_up_target
 
-    def activate(self, now_s: float, wanted: int = 0) -> list[Action]:
+    def activate(self, now_s: float, wanted: int = 0) -> list[ChainEffect]:
         """All members hold what this view began with, so that is committed; at the tail, all that it has. After a loss
         of power another member may have a later entry: it comes down the chain, and before the tail has it nobody can
         tell what was acknowledged."""
-        self.active, self.wanted = True, wanted
-        if self.is_tail() and not self.level():
+        self.active, self.catch_up_target = True, wanted
+        if self.is_tail() and not self.is_caught_up():
             return []
-        self.committed = max(self.committed, self.number if self.is_tail() else self.view.began)
-        return [Publish(self.last)] if self.last is not None and self.is_tail() else self.send_down(now_s)
+        self.committed = max(self.committed, self.number if self.is_tail() else self.view.initial_number)
+        return [Publish(self.last)] if self.last is not None and self.is_tail() else self.forward_to_successor(now_s)
 
     # -- orders, at the head -------------------------------------------------------------------------------
 
-    def order(self, order: frames.Order, now_s: float) -> list[Action]:
+    def submit(self, order: frames.WriteRequest, now_s: float) -> list[ChainEffect]:
         if not self.is_head() or self.sealed or not self.active:
             return []  # it is sent again, or its caller told that nobody answered
-        if any(other.ident == order.ident for other in self.waiting) or (order.ident, order.origin) in self.asked:
+        if (
+            any(other.request_id == order.request_id for other in self.queue)
+            or (order.request_id, order.origin) in self.pending_callers
+        ):
             return []  # its node asks again
-        if len(self.waiting) >= MOST_WAITING:
-            return [answer(order, 503, "too many orders wait")]
-        self.waiting.append(order)
-        return self.take_next(now_s)
+        if len(self.queue) >= MAX_QUEUED_WRITES:
+            return [write_result(order, 503, "too many orders wait")]
+        self.queue.append(order)
+        return self.process_queue(now_s)
 
-    def busy(self) -> bool:
-        return self.syncing is not None or self.number > self.committed
+    def has_uncommitted(self) -> bool:
+        return self.persisting is not None or self.number > self.committed
 
-    def take_next(self, now_s: float) -> list[Action]:
+    def process_queue(self, now_s: float) -> list[ChainEffect]:
         """Orders are decided one at a time, once what came before is committed: so a refusal for another version
         never names one that is lost."""
-        actions: list[Action] = []
-        while self.waiting and self.is_head() and not self.sealed:
-            order = self.waiting[0]
-            if self.busy():
-                self.join_same()
+        actions: list[ChainEffect] = []
+        while self.queue and self.is_head() and not self.sealed:
+            order = self.queue[0]
+            if self.has_uncommitted():
+                self.coalesce_duplicates()
                 break
-            self.waiting.popleft()
+            self.queue.popleft()
             actions += self.decide(order, now_s)
         return actions
 
-    def join_same(self) -> None:
+    def coalesce_duplicates(self) -> None:
         """An order whose configuration is under way gets the answer of the one that brought it."""
-        entry = self.syncing or self.last
+        entry = self.persisting or self.last
         if entry is None:
             return
-        for order in [order for order in self.waiting if order.body == entry.body]:
-            self.waiting.remove(order)
-            self.asked.append((order.ident, order.origin))
+        for order in [order for order in self.queue if order.body == entry.body]:
+            self.queue.remove(order)
+            self.pending_callers.append((order.request_id, order.origin))
 
-    def decide(self, order: frames.Order, now_s: float) -> list[Action]:
+    def decide(self, order: frames.WriteRequest, now_s: float) -> list[ChainEffect]:
         """All that is on disk is committed here. The rule (docs/design/orders.md): what was taken is never refused,
         and what is refused is never taken. So whoever may yet turn out to be either is told to come back."""
-        if self.digest(order.body) in self.taken.values():
-            return [answer(order, 200, "taken before")]  # first, for a check may have changed since
-        if deduplication.forgotten(self.taken, self.number) <= order.base < self.revision:
+        if self.digest(order.body) in self.applied_digests.values():
+            return [write_result(order, 200, "taken before")]  # first, for a check may have changed since
+        if deduplication.forgotten_up_to(self.applied_digests, self.number) <= order.base < self.revision:
             # As a rule one of many on the same base: a body of many thousand routes is not read for that.
-            return [answer(order, 412, f"the current version is {self.revision}")]
+            return [write_result(order, 412, f"the current version is {self.revision}")]
         try:
             revision = self.check(order.body)
         except ValueError as err:
-            return [answer(order, 400, str(err))]
-        if self.may_come(order.base, revision):
-            return [answer(order, 503, f"version {order.base} is not in force here")]
-        if self.may_be_taken(order.base, revision):
-            return [answer(order, 503, "too old to tell whether it was taken")]
+            return [write_result(order, 400, str(err))]
+        if self.base_may_become_current(order.base, revision):
+            return [write_result(order, 503, f"version {order.base} is not in force here")]
+        if self.may_have_been_applied(order.base, revision):
+            return [write_result(order, 503, "too old to tell whether it was taken")]
         if order.base != self.revision:
-            return [answer(order, 412, f"the current version is {self.revision}")]
+            return [write_result(order, 412, f"the current version is {self.revision}")]
         if revision <= self.revision:
-            return [answer(order, 400, f"revision {revision} is not above {self.revision}")]
-        self.asked = [(order.ident, order.origin)]
-        self.syncing = Entry(self.number + 1, self.view.epoch, revision, order.base, order.body)
-        return [Sync(self.syncing)]
+            return [write_result(order, 400, f"revision {revision} is not above {self.revision}")]
+        self.pending_callers = [(order.request_id, order.origin)]
+        self.persisting = Entry(self.number + 1, self.view.epoch, revision, order.base, order.body)
+        return [PersistEntry(self.persisting)]
 
-    def may_come(self, base: int, revision: int) -> bool:
+    def base_may_become_current(self, base: int, revision: int) -> bool:
         """Whether an order's base may come into force yet: a copy that is late would be taken then."""
         return self.revision < base < revision
 
-    def may_be_taken(self, base: int, revision: int) -> bool:
+    def may_have_been_applied(self, base: int, revision: int) -> bool:
         """Whether an order may have been taken so long ago that its digest is not kept any more."""
-        return base < revision <= deduplication.forgotten(self.taken, self.number)
+        return base < revision <= deduplication.forgotten_up_to(self.applied_digests, self.number)
 
     # -- entries, down the chain ---------------------------------------------------------------------------
 
-    def forward(self, frame: frames.Forward, now_s: float) -> list[Action]:
+    def on_forward(self, frame: frames.ForwardEntry, now_s: float) -> list[ChainEffect]:
         if frame.epoch != self.view.epoch or self.sealed or not self.active:
             return []
         if frame.number <= self.number:
-            return self.on_known(frame, now_s)
-        if self.syncing is not None or frame.number != self.number + 1:
+            return self.on_duplicate(frame, now_s)
+        if self.persisting is not None or frame.number != self.number + 1:
             return []  # it comes again
-        self.asked = [(frame.ident, frame.origin)] if frame.origin else []
-        self.syncing = Entry(frame.number, frame.epoch, frame.revision, frame.base, frame.body)
-        return [Sync(self.syncing)]
+        self.pending_callers = [(frame.request_id, frame.origin)] if frame.origin else []
+        self.persisting = Entry(frame.number, frame.epoch, frame.revision, frame.base, frame.body)
+        return [PersistEntry(self.persisting)]
 
-    def on_known(self, frame: frames.Forward, now_s: float) -> list[Action]:
+    def on_duplicate(self, frame: frames.ForwardEntry, now_s: float) -> list[ChainEffect]:
         """An entry that is on this disk already: the word that it is committed may have been lost."""
-        previous = self.view.previous(self.me)
+        previous = self.view.predecessor(self.ip)
         if self.committed >= frame.number and previous is not None:
-            return [Tell(previous, frames.Committed(self.view.epoch, self.committed))]
-        return self.send_down(now_s)
+            return [SendMessage(previous, frames.CommitNotice(self.view.epoch, self.committed))]
+        return self.forward_to_successor(now_s)
 
-    def synced(self, entry: Entry, now_s: float) -> list[Action]:
+    def entry_persisted(self, entry: Entry, now_s: float) -> list[ChainEffect]:
         """The entry is on disk."""
-        self.syncing = None
+        self.persisting = None
         self.last = entry
-        deduplication.note(self.taken, entry.revision, entry.base, self.digest(entry.body))
+        deduplication.record(self.applied_digests, entry.revision, entry.base, self.digest(entry.body))
         if self.sealed:
             return []
         if not self.is_tail():
-            return self.send_down(now_s)
+            return self.forward_to_successor(now_s)
         self.committed = entry.number
-        actions: list[Action] = [Publish(entry)]
-        actions += [Tell(origin, frames.Outcome(ident, 200, "taken")) for ident, origin in self.asked]
-        self.asked = []
-        previous = self.view.previous(self.me)
+        actions: list[ChainEffect] = [Publish(entry)]
+        actions += [
+            SendMessage(origin, frames.WriteResult(ident, 200, "taken")) for ident, origin in self.pending_callers
+        ]
+        self.pending_callers = []
+        previous = self.view.predecessor(self.ip)
         if previous is not None:
-            actions.append(Tell(previous, frames.Committed(self.view.epoch, entry.number)))
-        return actions + self.take_next(now_s)
+            actions.append(SendMessage(previous, frames.CommitNotice(self.view.epoch, entry.number)))
+        return actions + self.process_queue(now_s)
 
-    def failed(self, entry: Entry, now_s: float) -> list[Action]:
+    def persist_failed(self, entry: Entry, now_s: float) -> list[ChainEffect]:
         """The disk refused the entry: whoever asked is told to try again later."""
-        self.syncing = None
-        asked, self.asked = self.asked, []
-        return [Tell(origin, frames.Outcome(ident, 503, "the disk refuses")) for ident, origin in asked]
+        self.persisting = None
+        asked, self.pending_callers = self.pending_callers, []
+        return [SendMessage(origin, frames.WriteResult(ident, 503, "the disk refuses")) for ident, origin in asked]
 
-    def send_down(self, now_s: float) -> list[Action]:
-        following = self.view.next(self.me)
+    def forward_to_successor(self, now_s: float) -> list[ChainEffect]:
+        following = self.view.successor(self.ip)
         if following is None or self.last is None or self.last.number <= self.committed:
             return []
-        self.sent_s = now_s
-        ident, origin = self.asked[0] if self.asked else (0, "")
+        self.forwarded_s = now_s
+        ident, origin = self.pending_callers[0] if self.pending_callers else (0, "")
         entry = self.last
         return [
-            Tell(
+            SendMessage(
                 following,
-                frames.Forward(self.view.epoch, entry.number, entry.revision, entry.base, entry.body, ident, origin),
+                frames.ForwardEntry(
+                    self.view.epoch, entry.number, entry.revision, entry.base, entry.body, ident, origin
+                ),
             )
         ]
 
-    def remind(self, ip: str, number: int) -> list[Action]:
+    def resend_to_successor(self, ip: str, number: int) -> list[ChainEffect]:
         """The next one tells that it has entries up to this number only. What is committed was on its disk: it was
         told late, or its disk is an older copy, and then it needs the entry again."""
         if (
             self.last is None
             or not self.active
             or self.sealed
-            or self.view.next(self.me) != ip
+            or self.view.successor(self.ip) != ip
             or (number >= self.committed or self.last.number != self.committed)
         ):
             return []
         entry = self.last
-        return [Tell(ip, frames.Forward(self.view.epoch, entry.number, entry.revision, entry.base, entry.body, 0, ""))]
+        return [
+            SendMessage(
+                ip, frames.ForwardEntry(self.view.epoch, entry.number, entry.revision, entry.base, entry.body, 0, "")
+            )
+        ]
 
-    def commit(self, frame: frames.Committed, now_s: float) -> list[Action]:
+    def on_commit(self, frame: frames.CommitNotice, now_s: float) -> list[ChainEffect]:
         if frame.epoch != self.view.epoch or self.sealed or not self.committed < frame.number <= self.number:
             return []
         self.committed = frame.number
-        actions: list[Action] = []
-        previous = self.view.previous(self.me)
+        actions: list[ChainEffect] = []
+        previous = self.view.predecessor(self.ip)
         if previous is not None:
-            actions.append(Tell(previous, frames.Committed(self.view.epoch, frame.number)))
+            actions.append(SendMessage(previous, frames.CommitNotice(self.view.epoch, frame.number)))
         # After a loss of all power the word on an earlier entry may come while a later one is on its way.
         if self.is_head() and self.committed == self.number:
             # The tail has answered the first; the rest had sent the same again meanwhile.
-            actions += [Tell(origin, frames.Outcome(ident, 200, "taken")) for ident, origin in self.asked[1:]]
-            self.asked = []
-            actions += self.take_next(now_s)
+            actions += [
+                SendMessage(origin, frames.WriteResult(ident, 200, "taken"))
+                for ident, origin in self.pending_callers[1:]
+            ]
+            self.pending_callers = []
+            actions += self.process_queue(now_s)
         return actions
 
-    def tick(self, now_s: float) -> list[Action]:
-        if self.active and not self.sealed and self.number > self.committed and now_s - self.sent_s >= RESEND_S:
-            return self.send_down(now_s)
+    def tick(self, now_s: float) -> list[ChainEffect]:
+        if (
+            self.active
+            and not self.sealed
+            and self.number > self.committed
+            and now_s - self.forwarded_s >= RESEND_INTERVAL_S
+        ):
+            return self.forward_to_successor(now_s)
         return []
 
 
-def answer(order: frames.Order, status: int, text: str) -> Tell:
-    return Tell(order.origin, frames.Outcome(order.ident, status, text[:MOST_TEXT]))
+def write_result(order: frames.WriteRequest, status: int, text: str) -> SendMessage:
+    return SendMessage(order.origin, frames.WriteResult(order.request_id, status, text[:MAX_RESULT_TEXT]))
--- a/cypressbeam/consensus/deduplication.py
+++ b/cypressbeam/consensus/deduplication.py
@@ -14,47 +14,47 @@
 
 #: Digests that are kept: 0.54 MB of memory, 0.2 MB on disk. At eight changes a second, the most that was measured with
 #: news for a whole fleet, they go back over eight minutes; callers give up far sooner, and days hold hundreds.
-KEPT = 4096
+MAX_DIGESTS = 4096
 RECORD = struct.Struct("!Q32s")
 
-Taken = dict[int, bytes]
+AppliedDigests = dict[int, bytes]
 
 
-def note(taken: Taken, revision: int, base: int, mark: bytes) -> None:
+def record(taken: AppliedDigests, revision: int, base: int, mark: bytes) -> None:
     """A version on top of `base` is on disk. What stands above its base was refused by a disk that kept it all the
     same, and led nowhere; it must not be answered as taken."""
     for wrong in list(takewhile(lambda known: known > base, reversed(taken))):
         del taken[wrong]
     taken[revision] = mark
-    while len(taken) > KEPT:
+    while len(taken) > MAX_DIGESTS:
         del taken[next(iter(taken))]
 
 
-def forgotten(taken: Taken, number: int) -> int:
+def forgotten_up_to(taken: AppliedDigests, number: int) -> int:
     """The revision up to which the digests of the first `number` versions are not kept any more, 0 if all are."""
     if len(taken) >= number:
         return 0
     return next(iter(taken)) - 1 if taken else MOST_REVISION
 
 
-def pack(taken: Taken, above: int = 0) -> bytes:
+def pack(taken: AppliedDigests, above: int = 0) -> bytes:
     """Those above a revision."""
     return b"".join(RECORD.pack(revision, mark) for revision, mark in sorted(taken.items()) if revision > above)
 
 
-def unpack(data: bytes) -> Taken:
+def unpack(data: bytes) -> AppliedDigests:
     """Raises FrameError for what is cut off, too long, or not in order."""
     if len(data) % RECORD.size:
         raise frames.FrameError("digests end within one")
     found = list(RECORD.iter_unpack(data))
-    if len(found) > KEPT:
-        raise frames.FrameError(f"{len(found)} digests, and {KEPT} are kept")
+    if len(found) > MAX_DIGESTS:
+        raise frames.FrameError(f"{len(found)} digests, and {MAX_DIGESTS} are kept")
     if any(one[0] >= other[0] for one, other in pairwise(found)):
         raise frames.FrameError("digests are not in the order of their revisions")
     return dict(found)
 
 
-def merge(own: Taken, above: int, told: Taken) -> Taken:
+def merge(own: AppliedDigests, above: int, told: AppliedDigests) -> AppliedDigests:
     """One's own up to a revision that all hold, and what another one told of the later ones."""
     both = {revision: mark for revision, mark in sorted(own.items()) if revision <= above} | told
-    return dict(list(both.items())[-KEPT:])
+    return dict(list(both.items())[-MAX_DIGESTS:])
--- a/cypressbeam/consensus/membership.py
+++ b/cypressbeam/consensus/membership.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass
 
 from cypressbeam.consensus import deduplication as digests
-from cypressbeam.consensus.chain import Entry, Tell, View, ip_of
+from cypressbeam.consensus.chain import Entry, SendMessage, View, ip_of
 from cypressbeam.consensus.replica import EMPTY, NEVER_S, Action, Keeper
 from cypressbeam.protocol import frames
 
@@ -28,20 +28,20 @@
 ADD, REMOVE, REPLACE = 1, 2, 3
 KINDS = {"add": ADD, "remove": REMOVE, "replace": REPLACE}
 #: Each member is one more sync on the way of an order.
-MOST_MEMBERS = 9
+MAX_MEMBERS = 9
 #: A stand-by is told of the newest entry again after so long, while a change waits for it.
-LEVEL_AGAIN_S = 0.2
+CATCH_UP_INTERVAL_S = 0.2
 #: The first time with all digests, which a thin link takes a while for: up to 0.2 MB.
-LEVEL_FIRST_S = 1.0
+FIRST_CATCH_UP_INTERVAL_S = 1.0
 #: A stand-by may be behind by so many entries: while orders go on it is never quite level, and the body of the next one
 #: comes packed on the one before.
-LEVEL_LAG = 1
+MAX_SPARE_LAG = 1
 
 DONE, WAITS, UNKNOWN, REFUSED, ANOTHER = 200, 202, 404, 409, 412
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class MembershipChange:
     """One change of a group. Addresses; `old` is nothing for an add, `new` for a remove. `base` is the group that it
     was made for."""
 
@@ -61,172 +61,176 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class MembershipState:
     """What the head of an active view knows when it is asked."""
 
     view: View
-    losses: int
+    tolerated_losses: int
     """Machines that the deployment must be able to lose."""
-    standing_by: Mapping[str, str]
+    spares: Mapping[str, str]
     """Machines with a disk that works, heard lately and in no group: names by addresses."""
-    level: frozenset[str] = frozenset()
+    caught_up: frozenset[str] = frozenset()
     """Names of those that hold the newest entry."""
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class ChangeDecision:
     """What becomes of a change now: an answer, and with `WAITS` maybe the group to propose, or whom to level."""
 
     status: int
     text: str
     group: tuple[str, ...] = ()
-    level: str = ""
+    catch_up: str = ""
 
 
 def majority(count: int) -> int:
     return count // 2 + 1
 
 
-def wrong_with(change: Change) -> Verdict | None:
+def find_fault(change: MembershipChange) -> ChangeDecision | None:
     """What is wrong with a change whatever the state is: so the same order gets the same answer."""
     if change.kind not in KINDS.values() or not change.base:
-        return Verdict(REFUSED, "add, remove or replace, and the group that it is for")
+        return ChangeDecision(REFUSED, "add, remove or replace, and the group that it is for")
     if change.kind in (ADD, REPLACE) and change.new in change.base:
-        return Verdict(REFUSED, f"{change.new} is a member already")
+        return ChangeDecision(REFUSED, f"{change.new} is a member already")
     if change.kind in (REMOVE, REPLACE) and change.old not in change.base:
-        return Verdict(UNKNOWN, f"{change.old} is no member")
+        return ChangeDecision(UNKNOWN, f"{change.old} is no member")
     return None
 
 
-def judge(change: Change, known: Known) -> Verdict:
+def next_step(change: MembershipChange, known: MembershipState) -> ChangeDecision:
     """The next step of a change, or why there is none."""
-    wrong = wrong_with(change)
+    wrong = find_fault(change)
     if wrong is not None:
         return wrong
     now = frozenset(ip_of(name) for name in known.view.group)
     steps = change.steps()
     if now == steps[-1]:
-        return Verdict(DONE, "the group is " + " ".join(sorted(now)))
+        return ChangeDecision(DONE, "the group is " + " ".join(sorted(now)))
     if now not in steps:
-        return Verdict(ANOTHER, "the group is another one now: " + " ".join(sorted(now)))
+        return ChangeDecision(ANOTHER, "the group is another one now: " + " ".join(sorted(now)))
     wanted = steps[steps.index(now) + 1]
-    return add(change.new, known) if len(wanted) > len(now) else remove(change.old, known)
+    return add_member(change.new, known) if len(wanted) > len(now) else remove_member(change.old, known)
 
 
-def add(ip: str, known: Known) -> Verdict:
-    name = known.standing_by.get(ip)
+def add_member(ip: str, known: MembershipState) -> ChangeDecision:
+    name = known.spares.get(ip)
     if name is None:
-        return Verdict(UNKNOWN, f"no machine with a disk at {ip} has joined")
-    if len(known.view.group) >= MOST_MEMBERS:
-        return Verdict(REFUSED, f"a group has {MOST_MEMBERS} members at most")
-    if name not in known.level:
-        return Verdict(WAITS, f"{ip} is brought level", level=ip)
-    return Verdict(WAITS, f"{ip} is taken in", (*known.view.group, name))
+        return ChangeDecision(UNKNOWN, f"no machine with a disk at {ip} has joined")
+    if len(known.view.group) >= MAX_MEMBERS:
+        return ChangeDecision(REFUSED, f"a group has {MAX_MEMBERS} members at most")
+    if name not in known.caught_up:
+        return ChangeDecision(WAITS, f"{ip} is brought level", catch_up=ip)
+    return ChangeDecision(WAITS, f"{ip} is taken in", (*known.view.group, name))
 
 
-def remove(ip: str, known: Known) -> Verdict:
+def remove_member(ip: str, known: MembershipState) -> ChangeDecision:
     group = tuple(name for name in known.view.group if ip_of(name) != ip)
     chain = [name for name in known.view.chain if ip_of(name) != ip]
-    least, copies = 2 * known.losses + 1, max(known.losses + 1, majority(len(group)))
+    least, copies = 2 * known.tolerated_losses + 1, max(known.tolerated_losses + 1, majority(len(group)))
     if len(group) < least:
-        return Verdict(REFUSED, f"{len(group)} members would be left; to lose {known.losses} it takes {least}")
+        return ChangeDecision(
+            REFUSED, f"{len(group)} members would be left; to lose {known.tolerated_losses} it takes {least}"
+        )
     if len(chain) < copies:
-        return Verdict(REFUSED, f"{len(chain)} whole copies would be left; {copies} are needed")
-    return Verdict(WAITS, f"{ip} is let go", group)
+        return ChangeDecision(REFUSED, f"{len(chain)} whole copies would be left; {copies} are needed")
+    return ChangeDecision(WAITS, f"{ip} is let go", group)
 
 
-class Members:
+class MembershipManager:
     """At each machine of the core: who stands by; at the head, the changes of the group."""
 
     def __init__(self, keeper: Keeper, losses: int) -> None:
-        self.keeper = keeper
-        self.losses = losses
-        self.levelled: dict[str, int] = {}
+        self.replica = keeper
+        self.tolerated_losses = losses
+        self.spare_entry_numbers: dict[str, int] = {}
         """Names of machines that stand by, and the newest entry that each has told that it holds."""
-        self.told_level_s: dict[str, float] = {}
+        self.catch_up_sent_s: dict[str, float] = {}
         """When each machine that stands by was last told of the newest entry, by address."""
-        self.proposed: tuple[int, frozenset[str]] | None = None
+        self.proposed_group: tuple[int, frozenset[str]] | None = None
         """The epoch of the view whose group was to be changed, and to which addresses."""
 
     # -- what is known -------------------------------------------------------------------------------------
 
-    def standing_by(self, now_s: float) -> dict[str, str]:
-        view = self.keeper.view
+    def spares(self, now_s: float) -> dict[str, str]:
+        view = self.replica.view
         if view is None:
             return {}
         members = {ip_of(name) for name in view.group}
         return {
             ip: heard.name
-            for ip, heard in self.keeper.heard.items()
-            if ip not in members and heard.disk and self.keeper.heard_lately(ip, now_s)
+            for ip, heard in self.replica.heard.items()
+            if ip not in members and heard.disk and self.replica.heard_lately(ip, now_s)
         }
 
-    def heads(self, now_s: float) -> bool:
+    def is_active_head(self, now_s: float) -> bool:
         """Whether the next step of a change is this machine's to make."""
-        keeper = self.keeper
+        keeper = self.replica
         return keeper.member is not None and keeper.member.is_head() and keeper.leads(now_s)
 
-    def known(self, now_s: float) -> Known:
-        view, newest = self.keeper.view, self.keeper.newest()
+    def state(self, now_s: float) -> MembershipState:
+        view, newest = self.replica.view, self.replica.newest()
         assert view is not None
         number = newest.number if newest is not None else 0
-        standing_by = self.standing_by(now_s)
-        least = max(number - LEVEL_LAG, min(number, 1))
-        level = frozenset(name for name in standing_by.values() if self.levelled.get(name, -1) >= least)
-        return Known(view, self.losses, standing_by, level)
+        standing_by = self.spares(now_s)
+        least = max(number - MAX_SPARE_LAG, min(number, 1))
+        level = frozenset(name for name in standing_by.values() if self.spare_entry_numbers.get(name, -1) >= least)
+        return MembershipState(view, self.tolerated_losses, standing_by, level)
 
     # -- changes, at the head ------------------------------------------------------------------------------
 
-    def order(self, frame: frames.Change, now_s: float) -> list[Action]:
+    def on_change_request(self, frame: frames.MembershipChangeRequest, now_s: float) -> list[Action]:
         """An operator's order, sent again and again until it is done: each time the next step is begun."""
-        keeper = self.keeper
+        keeper = self.replica
         if keeper.view is None:
             return []
         if keeper.view.head != keeper.ip:
             return keeper.pass_on(keeper.view.head, frame)
-        if not self.heads(now_s):
+        if not self.is_active_head(now_s):
             return []
-        change = Change(frame.change, frame.old, frame.new, frozenset(frame.base))
-        verdict = judge(change, self.known(now_s))
+        change = MembershipChange(frame.kind, frame.old, frame.new, frozenset(frame.base))
+        verdict = next_step(change, self.state(now_s))
         group = tuple(sorted(ip_of(name) for name in keeper.view.group))
-        answer = frames.Progress(frame.ident, verdict.status, verdict.text, group)
-        return [Tell(frame.origin, answer), *self.carry_on(verdict, now_s)]
+        answer = frames.MembershipChangeStatus(frame.request_id, verdict.status, verdict.text, group)
+        return [SendMessage(frame.origin, answer), *self.effects_of(verdict, now_s)]
 
-    def carry_on(self, verdict: Verdict, now_s: float) -> list[Action]:
-        if verdict.level:
-            return self.level(verdict.level, now_s)
-        return self.step(verdict.group, now_s) if verdict.group else []
+    def effects_of(self, verdict: ChangeDecision, now_s: float) -> list[Action]:
+        if verdict.catch_up:
+            return self.send_catch_up(verdict.catch_up, now_s)
+        return self.propose_group(verdict.group, now_s) if verdict.group else []
 
-    def step(self, group: tuple[str, ...], now_s: float) -> list[Action]:
+    def propose_group(self, group: tuple[str, ...], now_s: float) -> list[Action]:
         """Propose a view with another group, or the same group anew where this view has been used up."""
-        keeper = self.keeper
+        keeper = self.replica
         assert keeper.view is not None
         if keeper.proposal is not None or keeper.newcomers(now_s):
             return []
         epoch, wanted = keeper.view.epoch, frozenset(ip_of(name) for name in group)
-        if not self.may_step(epoch, wanted):
+        if not self.may_propose_group(epoch, wanted):
             return keeper.propose(now_s)
-        self.proposed = epoch, wanted
+        self.proposed_group = epoch, wanted
         return keeper.propose(now_s, group)
 
-    def may_step(self, epoch: int, wanted: frozenset[str]) -> bool:
+    def may_propose_group(self, epoch: int, wanted: frozenset[str]) -> bool:
         """One other group on top of a view, ever; what this machine proposed in an earlier life it does not know."""
-        fresh = self.keeper.fresh_epoch == epoch
-        return fresh and (self.proposed is None or self.proposed[0] != epoch or self.proposed[1] == wanted)
+        fresh = self.replica.fresh_epoch == epoch
+        return fresh and (
+            self.proposed_group is None or self.proposed_group[0] != epoch or self.proposed_group[1] == wanted
+        )
 
-    def level(self, ip: str, now_s: float) -> list[Action]:
+    def send_catch_up(self, ip: str, now_s: float) -> list[Action]:
         """Tell a stand-by of view and newest entry, so that it has both before it counts."""
-        keeper, view = self.keeper, self.keeper.view
+        keeper, view = self.replica, self.replica.view
         first = keeper.heard[ip].standing == EMPTY
-        again_s = LEVEL_FIRST_S if first else LEVEL_AGAIN_S
-        if view is None or now_s - self.told_level_s.get(ip, NEVER_S) < again_s:
+        again_s = FIRST_CATCH_UP_INTERVAL_S if first else CATCH_UP_INTERVAL_S
+        if view is None or now_s - self.catch_up_sent_s.get(ip, NEVER_S) < again_s:
             return []
-        self.told_level_s[ip] = now_s
+        self.catch_up_sent_s[ip] = now_s
         entry = keeper.newest() or Entry(0, 0, 0, 0, b"")
         return [
-            Tell(
+            SendMessage(
                 ip,
-                frames.Level(
+                frames.CatchUp(
                     keeper.heard[ip].name,
                     keeper.ip,
                     view.epoch,
@@ -242,25 +246,27 @@
             )
         ]
 
-    def on_level(self, frame: frames.Level, now_s: float) -> list[Action]:
+    def on_catch_up(self, frame: frames.CatchUp, now_s: float) -> list[Action]:
         """At the stand-by, once the body is here. The view goes to disk if there is none yet: from then on this machine
         promises. It is told again, and answers then."""
-        keeper = self.keeper
+        keeper = self.replica
         older = keeper.view is not None and frame.epoch < keeper.view.epoch
         if frame.name != keeper.name or keeper.name in frame.group or older or keeper.accepting is not None:
             return []
         if keeper.standing != EMPTY:
             mark = keeper.digest(frame.body) if frame.number else b""
-            return [Tell(frame.origin, frames.Levelled(keeper.name, frame.epoch, frame.number, mark))]
+            return [SendMessage(frame.origin, frames.CatchUpAck(keeper.name, frame.epoch, frame.number, mark))]
         entry = None
         if frame.number:
             entry = Entry(frame.number, frame.entry_epoch, frame.revision, frame.base, frame.body)
         view = View(frame.epoch, frame.chain, frame.group)
-        return keeper.accept_view(view, entry, digests.unpack(frame.taken), now_s)
+        return keeper.accept_view(view, entry, digests.unpack(frame.applied_digests), now_s)
 
-    def on_levelled(self, frame: frames.Levelled) -> list[Action]:
-        newest = self.keeper.newest()
-        wrong = newest is not None and frame.number == newest.number and frame.mark != self.keeper.digest(newest.body)
+    def on_catch_up_ack(self, frame: frames.CatchUpAck) -> list[Action]:
+        newest = self.replica.newest()
+        wrong = (
+            newest is not None and frame.number == newest.number and frame.digest != self.replica.digest(newest.body)
+        )
         if not wrong:
-            self.levelled[frame.name] = frame.number
+            self.spare_entry_numbers[frame.name] = frame.number
         return []
--- a/cypressbeam/consensus/quorum_loss.py
+++ b/cypressbeam/consensus/quorum_loss.py
@@ -19,9 +19,9 @@
 
 #: A majority that is missing for so long is told of: longer than a restart, a new view or a short cut takes, and well
 #: within 10 s. While it lasts the log says so again this often.
-TOLD_AFTER_S, AGAIN_S = 5.0, 60.0
-PAGE = "docs/operations/recovery.md"
-SECTION = "A majority of the core is gone for ever"
+REPORT_AFTER_S, REPORT_INTERVAL_S = 5.0, 60.0
+RUNBOOK = "docs/operations/recovery.md"
+RUNBOOK_SECTION = "A majority of the core is gone for ever"
 
 
 class Absence(StrEnum):
@@ -30,11 +30,11 @@
     OLD_DISK = "old disk"
 
 
-WORDS = {Absence.SILENT: "silent", Absence.NEW_DISK: "without its disk", Absence.OLD_DISK: "with an older disk"}
+ABSENCE_TEXTS = {Absence.SILENT: "silent", Absence.NEW_DISK: "without its disk", Absence.OLD_DISK: "with an older disk"}
 
 
 @dataclass(frozen=True, slots=True)
-class Missing:
+class MissingMember:
     """A member that is not there."""
 
     ip: str
@@ -43,7 +43,7 @@
     """For how long; None where that is not known."""
 
     def text(self) -> str:
-        what = WORDS[self.absence]
+        what = ABSENCE_TEXTS[self.absence]
         return f"{self.ip} ({what})" if self.for_s is None else f"{self.ip} ({what} for {self.for_s:.0f} s)"
 
 
@@ -54,7 +54,7 @@
     members: int
     here: tuple[str, ...]
     """Addresses of the members that are there."""
-    missing: tuple[Missing, ...]
+    missing: tuple[MissingMember, ...]
 
     @property
     def majority(self) -> int:
@@ -69,17 +69,17 @@
             "orders, reads and changes of members get 503; nodes serve on with the configuration and the list that"
             " they have",
             "the way out: bring back enough of these members with their disks, at their addresses; if their disks"
-            f' are gone for ever, make a new core from a saved copy: {PAGE}, "{SECTION}"',
+            f' are gone for ever, make a new core from a saved copy: {RUNBOOK}, "{RUNBOOK_SECTION}"',
         ]
 
 
-def absence(name: str, heard: Mapping[str, str], refused: Collection[str]) -> Absence:
+def absence_of(name: str, heard: Mapping[str, str], refused: Collection[str]) -> Absence:
     if name in refused:
         return Absence.OLD_DISK
     return Absence.NEW_DISK if heard.get(ip_of(name), name) != name else Absence.SILENT
 
 
-def judge(
+def detect(
     group: Collection[str], heard: Mapping[str, str], silent_s: Mapping[str, float], refused: Collection[str] = ()
 ) -> QuorumLoss | None:
     """The statement on a group (names). `heard` gives who is there, by address, under which name; `silent_s` for how
@@ -87,7 +87,7 @@
     than what they told."""
     here = tuple(sorted(ip_of(name) for name in group if heard.get(ip_of(name)) == name))
     missing = tuple(
-        Missing(ip_of(name), absence(name, heard, refused), silent_s.get(ip_of(name)))
+        MissingMember(ip_of(name), absence_of(name, heard, refused), silent_s.get(ip_of(name)))
         for name in sorted(group)
         if ip_of(name) not in here
     )
@@ -96,7 +96,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
+class QuorumLossReport:
     """A line for the log."""
 
     level: int
@@ -104,49 +104,53 @@
 
 
 @dataclass
-class QuorumWatch:
+class QuorumMonitor:
     """At a member of the core: who is missing, since when, and whether that is to be told."""
 
-    since_s: dict[str, float] = field(default_factory=dict)
+    missing_since_s: dict[str, float] = field(default_factory=dict)
     """By name of a member: since when it is missing, as this machine saw it without a break."""
     ticked_s: float | None = None
     loss: QuorumLoss | None = None
     """The statement, once it is to be told."""
     lost_s: float = 0.0
-    said_s: float = 0.0
+    reported_s: float = 0.0
 
     def tick(
         self, group: Collection[str], heard: Mapping[str, str], now_s: float, refused: Collection[str] = ()
-    ) -> Said | None:
+    ) -> QuorumLossReport | None:
         """Take in who is heard now, this machine with it. A machine that is no member gives an empty group."""
         if self.ticked_s is not None and now_s - self.ticked_s > STOOD_STILL_S:
-            self.since_s.clear()  # whom it would have heard meanwhile it can't say
+            self.missing_since_s.clear()  # whom it would have heard meanwhile it can't say
         self.ticked_s = now_s
-        self.since_s = {name: self.since_s.get(name, now_s) for name in group if heard.get(ip_of(name)) != name}
-        silent_s = {ip_of(name): now_s - since_s for name, since_s in self.since_s.items()}
-        found = judge(group, heard, silent_s, refused)
+        self.missing_since_s = {
+            name: self.missing_since_s.get(name, now_s) for name in group if heard.get(ip_of(name)) != name
+        }
+        silent_s = {ip_of(name): now_s - since_s for name, since_s in self.missing_since_s.items()}
+        found = detect(group, heard, silent_s, refused)
         if found is None:
-            return self.regained(now_s)
+            return self.on_regained(now_s)
         # The majority was lost with the first member that was one too many.
-        lost_s = sorted(self.since_s.values())[found.members - found.majority]
-        if now_s - lost_s < TOLD_AFTER_S and self.loss is None:
+        lost_s = sorted(self.missing_since_s.values())[found.members - found.majority]
+        if now_s - lost_s < REPORT_AFTER_S and self.loss is None:
             return None
-        return self.lost(found, lost_s, now_s)
+        return self.on_lost(found, lost_s, now_s)
 
-    def lost(self, found: QuorumLoss, lost_s: float, now_s: float) -> Said | None:
-        if self.loss is not None and now_s - self.said_s < AGAIN_S:
+    def on_lost(self, found: QuorumLoss, lost_s: float, now_s: float) -> QuorumLossReport | None:
+        if self.loss is not None and now_s - self.reported_s < REPORT_INTERVAL_S:
             self.loss = found
             return None
         if self.loss is None:
             self.lost_s = lost_s
-        self.loss, self.said_s = found, now_s
-        return Said(logging.ERROR, "; ".join(found.lines()))
+        self.loss, self.reported_s = found, now_s
+        return QuorumLossReport(logging.ERROR, "; ".join(found.lines()))
 
-    def regained(self, now_s: float) -> Said | None:
+    def on_regained(self, now_s: float) -> QuorumLossReport | None:
         if self.loss is None:
             return None
         self.loss = None
-        return Said(logging.WARNING, f"a majority of the core is there again, after {now_s - self.lost_s:.0f} s")
+        return QuorumLossReport(
+            logging.WARNING, f"a majority of the core is there again, after {now_s - self.lost_s:.0f} s"
+        )
 
     def silences(self) -> tuple[str, ...]:
         """While a majority is missing: address and seconds of each member that is, as a machine's state tells it."""
@@ -155,7 +159,7 @@
         return tuple(f"{one.ip} {one.for_s:.0f}" for one in self.loss.missing if one.for_s is not None)
 
 
-def read_silences(lines: Collection[str]) -> dict[str, float]:
+def parse_silences(lines: Collection[str]) -> dict[str, float]:
     """Seconds by address. What is no such line says nothing."""
     words = [line.split(" ") for line in lines]
     return {pair[0]: float(pair[1]) for pair in words if len(pair) == 2 and pair[1].isdecimal()}
--- a/cypressbeam/consensus/replacement.py
+++ b/cypressbeam/consensus/replacement.py
@@ -19,16 +19,16 @@
 from collections.abc import Callable, Iterable
 
 from cypressbeam.consensus.chain import ip_of
-from cypressbeam.consensus.membership import REMOVE, REPLACE, Change, Members, judge
+from cypressbeam.consensus.membership import REMOVE, REPLACE, MembershipChange, MembershipManager, next_step
 from cypressbeam.consensus.replica import COUNTED, DEAD_S, EMPTY, MOST_PATIENCE, PROPOSAL_S, STOOD_STILL_S, Action
 from cypressbeam.protocol import frames
 
 #: A change that was due is remembered for so long: the view that adds a spare may become active after the member that
 #: it was to replace is back.
-BEGUN_KEPT_S = PROPOSAL_S * MOST_PATIENCE
+PENDING_CHANGE_KEPT_S = PROPOSAL_S * MOST_PATIENCE
 
 
-class SilenceClock:
+class SilenceTracker:
     """Since when others have not been heard, by a process that itself runs and is in contact."""
 
     def __init__(self) -> None:
@@ -50,24 +50,24 @@
         silent = [ip for ip in addresses if not heard(ip, now_s)]
         self.since_s = {ip: self.since_s.get(ip, now_s) for ip in silent}
 
-    def longest(self, least_s: float, now_s: float) -> list[str]:
+    def silent_for(self, least_s: float, now_s: float) -> list[str]:
         """Addresses that were silent for at least so long, longest first."""
         due = [(since_s, ip) for ip, since_s in self.since_s.items() if now_s - since_s >= least_s]
         return [ip for _, ip in sorted(due)]
 
 
-class Replacement:
+class ReplacementManager:
     """At each machine of the core: who is silent and who is a spare; at the head, the replacements."""
 
-    def __init__(self, members: Members, replace_after_s: float) -> None:
+    def __init__(self, members: MembershipManager, replace_after_s: float) -> None:
         """A member is replaced once it was not heard lately (agreement.DEAD_S) for `replace_after_s` more seconds; 0:
         never."""
-        self.members = members
-        self.replica = members.keeper
+        self.membership = members
+        self.replica = members.replica
         self.replace_after_s = replace_after_s
-        self.silence = SilenceClock()
-        self.begun: Change | None = None
-        self.begun_s = 0.0
+        self.silence = SilenceTracker()
+        self.pending_change: MembershipChange | None = None
+        self.pending_since_s = 0.0
         """The last change that was due, as this machine sees it, and when it was."""
         self.status = ""
         """What a replacement last waited for, for operators."""
@@ -79,104 +79,104 @@
         view = self.replica.view
         return frozenset(ip_of(name) for name in view.group) if view is not None else frozenset()
 
-    def in_contact(self, now_s: float) -> bool:
+    def has_quorum(self, now_s: float) -> bool:
         """Whether this machine is a member with a majority in reach: only then others' silence says something."""
         view = self.replica.view
         return view is not None and self.replica.name in view.group and now_s - self.replica.contact_s(now_s) <= DEAD_S
 
-    def has_one_too_many(self, group: frozenset[str]) -> bool:
+    def has_surplus_member(self, group: frozenset[str]) -> bool:
         """An even number bears no more losses than the odd one below it, and needs one machine more for a majority."""
-        least = 2 * self.members.losses + 1
+        least = 2 * self.membership.tolerated_losses + 1
         return len(group) > least and len(group) % 2 == 0
 
     def spares(self, now_s: float) -> list[str]:
         """Addresses, best first: machines that were never members, then former ones."""
         heard = self.replica.heard
-        return sorted(self.members.standing_by(now_s), key=lambda ip: (heard[ip].standing == COUNTED, ip))
+        return sorted(self.membership.spares(now_s), key=lambda ip: (heard[ip].standing == COUNTED, ip))
 
     # -- at the head ---------------------------------------------------------------------------------------
 
     def tick(self, now_s: float) -> list[Action]:
         """Count silences; at the head, begin or go on with a replacement."""
         ran = self.silence.tick(now_s)
-        if not ran or not self.in_contact(now_s):
+        if not ran or not self.has_quorum(now_s):
             self.silence.since_s.clear()
             return []
         others = self.group() - {self.replica.ip}
         self.silence.update(others, self.replica.heard_lately, now_s)
         change = self.next_change(now_s)
-        if not self.members.heads(now_s):
+        if not self.membership.is_active_head(now_s):
             self.status = ""
             return []
         if change is None:
             self.status = ""
-            return self.level_spares(now_s)
-        verdict = judge(change, self.members.known(now_s))
+            return self.catch_up_spares(now_s)
+        verdict = next_step(change, self.membership.state(now_s))
         self.status = verdict.text
-        return self.members.carry_on(verdict, now_s)
+        return self.membership.effects_of(verdict, now_s)
 
-    def order(self, frame: frames.Change, now_s: float) -> list[Action]:
+    def on_change_request(self, frame: frames.MembershipChangeRequest, now_s: float) -> list[Action]:
         """An order of an operator's, or of a member that leaves, goes before what was begun by itself: that may be
         about to remove the very machine that the order adds."""
-        begun, ordered = self.begun, frozenset(frame.base)
+        begun, ordered = self.pending_change, frozenset(frame.base)
         if begun is not None and (frame.old, frame.new, ordered) != (begun.old, begun.new, begun.base):
-            self.begun = None
-        return self.members.order(frame, now_s)
+            self.pending_change = None
+        return self.membership.on_change_request(frame, now_s)
 
-    def next_change(self, now_s: float) -> Change | None:
+    def next_change(self, now_s: float) -> MembershipChange | None:
         """The change of the group that is to be made by itself, if any."""
-        begun, group = self.begun, self.group()
+        begun, group = self.pending_change, self.group()
         if begun is not None and begun.kind == REPLACE and group == begun.base | {begun.new}:
-            return self.rest_of(begun)
+            return self.second_step(begun)
         if begun is not None and group == begun.steps()[-1]:
-            self.begun = None
-        change = self.due(group, now_s)
+            self.pending_change = None
+        change = self.needed_change(group, now_s)
         if change is not None:
-            self.begun, self.begun_s = change, now_s
-        elif now_s - self.begun_s > BEGUN_KEPT_S:
-            self.begun = None
+            self.pending_change, self.pending_since_s = change, now_s
+        elif now_s - self.pending_since_s > PENDING_CHANGE_KEPT_S:
+            self.pending_change = None
         return change
 
-    def due(self, group: frozenset[str], now_s: float) -> Change | None:
+    def needed_change(self, group: frozenset[str], now_s: float) -> MembershipChange | None:
         """What the silence of a member asks for."""
-        gone = self.silence.longest(self.replace_after_s, now_s) if self.replace_after_s else []
+        gone = self.silence.silent_for(self.replace_after_s, now_s) if self.replace_after_s else []
         if not gone:
             return None
-        if self.has_one_too_many(group):
-            return Change(REMOVE, gone[0], "", group)
+        if self.has_surplus_member(group):
+            return MembershipChange(REMOVE, gone[0], "", group)
         spares = self.spares(now_s)
-        return Change(REPLACE, gone[0], spares[0], group) if spares else None
+        return MembershipChange(REPLACE, gone[0], spares[0], group) if spares else None
 
-    def rest_of(self, begun: Change) -> Change:
+    def second_step(self, begun: MembershipChange) -> MembershipChange:
         """The second step of a replacement. Where the spare has fallen silent and the old member is back, that is the
         one to keep."""
         silent = self.silence.since_s
         if begun.new in silent and begun.old not in silent:
-            return Change(REPLACE, begun.new, begun.old, (begun.base - {begun.old}) | {begun.new})
+            return MembershipChange(REPLACE, begun.new, begun.old, (begun.base - {begun.old}) | {begun.new})
         return begun
 
-    def level_spares(self, now_s: float) -> list[Action]:
+    def catch_up_spares(self, now_s: float) -> list[Action]:
         """A new spare gets view and entry at once; the others the newest entry while a member is silent."""
-        known = self.members.known(now_s)
+        known = self.membership.state(now_s)
         actions: list[Action] = []
-        for ip, name in known.standing_by.items():
+        for ip, name in known.spares.items():
             new = self.replica.heard[ip].standing == EMPTY
-            if new or (self.silence.since_s and name not in known.level):
-                actions += self.members.level(ip, now_s)
+            if new or (self.silence.since_s and name not in known.caught_up):
+                actions += self.membership.send_catch_up(ip, now_s)
         return actions
 
     # -- at a member that is told to stop ----------------------------------------------------------------------
 
-    def departure(self, now_s: float) -> Change | None:
+    def departure_change(self, now_s: float) -> MembershipChange | None:
         """The change by which this machine leaves the group. None: it is no member, there is no spare, or no majority
         that could decide it."""
-        if not self.in_contact(now_s):
+        if not self.has_quorum(now_s):
             return None
         group, own = self.group(), self.replica.ip
-        if self.has_one_too_many(group):
-            return Change(REMOVE, own, "", group)
+        if self.has_surplus_member(group):
+            return MembershipChange(REMOVE, own, "", group)
         spares = self.spares(now_s)
-        return Change(REPLACE, own, spares[0], group) if spares else None
+        return MembershipChange(REPLACE, own, spares[0], group) if spares else None
 
     def successors_lack_view(self, now_s: float) -> bool:
         """Whether the view without this machine is not on the disks of all its chain yet: until then the old group may
@@ -188,13 +188,13 @@
 
     # -- for operators -----------------------------------------------------------------------------------------
 
-    def describe(self, ident: int, now_s: float) -> frames.StandingBy:
+    def describe(self, ident: int, now_s: float) -> frames.SpareAnnouncement:
         """Who stands by, and which members are not heard here, for how many seconds."""
         silent = sorted(self.silence.since_s.items())
-        return frames.StandingBy(
+        return frames.SpareAnnouncement(
             ident,
             self.replica.name,
-            tuple(sorted(self.members.standing_by(now_s).values())),
+            tuple(sorted(self.membership.spares(now_s).values())),
             tuple(f"{ip} {now_s - since_s:.0f}" for ip, since_s in silent),
             self.status,
         )
--- a/cypressbeam/consensus/replica.py
+++ b/cypressbeam/consensus/replica.py
@@ -25,8 +25,8 @@
 
 from cypressbeam.consensus import chain
 from cypressbeam.consensus import deduplication as digests
-from cypressbeam.consensus.chain import Entry, Member, Sync, Tell, View, ip_of
-from cypressbeam.consensus.rollback_detection import Marks
+from cypressbeam.consensus.chain import ChainReplica, Entry, PersistEntry, SendMessage, View, ip_of
+from cypressbeam.consensus.rollback_detection import HighWaterMarks
 from cypressbeam.protocol import frames
 
 #: Members ask each other for an echo this often; one is taken for lost once the last own pulse that it has echoed was
@@ -110,7 +110,7 @@
     why: str
 
 
-Action = chain.Action | SavePromise | SaveView | Lead | TryDisk | StartAnew
+Action = chain.ChainEffect | SavePromise | SaveView | Lead | TryDisk | StartAnew
 
 
 @dataclass(slots=True)
@@ -149,7 +149,7 @@
     """A read, or a refusal, that waits for a majority's word that the epoch still holds."""
 
     origin: str
-    refusal: frames.Outcome | None
+    refusal: frames.WriteResult | None
     due_s: float
     names: set[str]
 
@@ -186,7 +186,7 @@
         """Of the view that this machine has put on disk in this life; what it did before its start it has forgotten."""
         self.standing = EMPTY
         """What is on this disk."""
-        self.member: Member | None = None
+        self.member: ChainReplica | None = None
         self.last: Entry | None = None
         self.taken: dict[int, bytes] = {}
         self.heard: dict[str, Heard] = {}
@@ -215,9 +215,9 @@
         """When the writes that have not come back were begun."""
         self.disk_failed_s: float | None = None
         self.reads: dict[int, Asked] = {}
-        self.own = self.raised = Marks()
+        self.own = self.raised = HighWaterMarks()
         """What is on this disk; and with the incarnation that the first write of this start puts there."""
-        self.marks: dict[str, Marks] = {}
+        self.marks: dict[str, HighWaterMarks] = {}
         """The most that each other member has told, by name."""
         self.refused: set[str] = set()
         """Members whose disks are older than what they told."""
@@ -240,7 +240,7 @@
             self.hold(view)
         return self.tick(now_s)
 
-    def remember(self, own: Marks, raised: Marks, marks: dict[str, Marks]) -> None:
+    def remember(self, own: HighWaterMarks, raised: HighWaterMarks, marks: dict[str, HighWaterMarks]) -> None:
         """The incarnation on disk, the one that is put there by the first write, and what the others have told. Before
         `load`."""
         self.own, self.raised, self.marks = own, raised, marks
@@ -263,7 +263,7 @@
         self.reads.clear()  # what others have confirmed was the epoch before; callers ask again
         self.member = None
         if self.name in view.chain:
-            self.member = Member(self.ip, view, self.check, self.digest, self.last, self.taken)
+            self.member = ChainReplica(self.ip, view, self.check, self.digest, self.last, self.taken)
             self.member.sealed = self.promised > view.epoch
 
     # -- what is known -------------------------------------------------------------------------------------
@@ -308,7 +308,7 @@
     def stands(self) -> bool:
         """Whether this machine's view is active, as far as it knows."""
         member = self.member
-        return member is not None and member.active and not member.sealed and member.level()
+        return member is not None and member.active and not member.sealed and member.is_caught_up()
 
     def leads(self, now_s: float) -> bool:
         """Whether this machine's word on the state counts now: its view is active, and a majority is in reach."""
@@ -404,14 +404,14 @@
         frame = self.own_pulse(now_s)
         members = [ip_of(name) for name in self.view.group]
         standing_by = [ip for ip in self.heard if ip not in members and self.heard_lately(ip, now_s)]
-        return [Tell(ip, frame) for ip in [*members, *standing_by] if ip != self.ip]
+        return [SendMessage(ip, frame) for ip in [*members, *standing_by] if ip != self.ip]
 
-    def own_pulse(self, now_s: float, echo: int = 0, asks: bool = True) -> frames.Pulse:
+    def own_pulse(self, now_s: float, echo: int = 0, asks: bool = True) -> frames.ReplicaHeartbeat:
         """With a number that is to be echoed, if it asks for that."""
         epoch = self.member.view.epoch if self.member is not None else 0
         own = self.own_marks()
         disk = 1 + 2 * self.checks if self.offers_disk(now_s) else 0
-        return frames.Pulse(
+        return frames.ReplicaHeartbeat(
             self.name,
             epoch,
             self.promised,
@@ -420,7 +420,7 @@
             self.next_number(now_s) if asks else 0,
             echo,
             own.incarnation,
-            own.draw,
+            own.incarnation_id,
             own.promised,
             own.epoch,
             own.number,
@@ -433,15 +433,17 @@
         self.sent[self.pulse_number] = now_s
         return self.pulse_number
 
-    def echoed_s(self, frame: frames.Pulse, now_s: float) -> float:
+    def echoed_s(self, frame: frames.ReplicaHeartbeat, now_s: float) -> float:
         """When the pulse of this machine that another one echoes was sent. When the echo is read says nothing: it may
         have been in a socket for long."""
-        return self.sent.get(frame.echo, NEVER_S)
+        return self.sent.get(frame.echoed_sequence, NEVER_S)
 
-    def on_pulse(self, frame: frames.Pulse, now_s: float) -> list[Action]:
+    def on_pulse(self, frame: frames.ReplicaHeartbeat, now_s: float) -> list[Action]:
         self.run_on(now_s)
         ip = ip_of(frame.name)
-        told = Marks(frame.incarnation, frame.draw, frame.kept, frame.held, frame.entry)
+        told = HighWaterMarks(
+            frame.incarnation, frame.draw, frame.durable_promise, frame.stored_epoch, frame.stored_number
+        )
         if self.refuses(frame.name, told):
             return [*self.accuse(frame.name), *self.echo(ip, frame, now_s)]
         before = self.heard.get(ip)
@@ -449,35 +451,45 @@
         if before is not None and before.name == frame.name:
             at_s = max(at_s, before.at_s)
         self.heard[ip] = Heard(
-            frame.name, frame.epoch, frame.promised, bool(frame.disk), frame.standing, at_s, frame.held, frame.entry
+            frame.name,
+            frame.epoch,
+            frame.promised,
+            bool(frame.disk_flags),
+            frame.disk_state,
+            at_s,
+            frame.stored_epoch,
+            frame.stored_number,
         )
-        if frame.disk:
-            self.checks_of[ip] = frame.disk >> 1
+        if frame.disk_flags:
+            self.checks_of[ip] = frame.disk_flags >> 1
         if self.shows_a_loss(frame):
-            self.lose(f"{frame.name} has entry {frame.entry} of epoch {frame.held}, and this disk {self.own_marks()}")
+            self.lose(
+                f"{frame.name} has entry {frame.stored_number} of epoch {frame.stored_epoch},"
+                f" and this disk {self.own_marks()}"
+            )
         self.seen_epoch = max(self.seen_epoch, frame.promised, frame.epoch)
         actions: list[Action] = []
         if self.view is not None and frame.epoch < self.view.epoch:
             view = self.view
             if frame.name not in view.chain:
-                actions.append(Tell(ip, frames.ViewIs(view.epoch, view.chain, view.group)))
+                actions.append(SendMessage(ip, frames.ViewAnnouncement(view.epoch, view.chain, view.group)))
         elif self.member is not None and not self.member.active:
             actions += self.tick(now_s)
-        if self.member is not None and frame.held == self.member.view.epoch:
-            actions += self.member.remind(ip, frame.entry)
+        if self.member is not None and frame.stored_epoch == self.member.view.epoch:
+            actions += self.member.resend_to_successor(ip, frame.stored_number)
         return actions + self.echo(ip, frame, now_s)
 
-    def echo(self, ip: str, frame: frames.Pulse, now_s: float) -> list[Action]:
+    def echo(self, ip: str, frame: frames.ReplicaHeartbeat, now_s: float) -> list[Action]:
         """Answer a pulse at once. One who was not heard lately (it or this machine has just started, or stood still) is
         asked for an echo in turn, so that nobody waits for the next pulse."""
-        if not frame.number:
+        if not frame.sequence:
             return []
         asks = not self.heard_lately(ip, now_s) and now_s - self.asked_s.get(ip, NEVER_S) > ANSWER_S
         if asks:
             self.asked_s[ip] = now_s
-        return [Tell(ip, self.own_pulse(now_s, frame.number, asks))]
+        return [SendMessage(ip, self.own_pulse(now_s, frame.sequence, asks))]
 
-    def on_view(self, frame: frames.ViewIs, now_s: float) -> list[Action]:
+    def on_view(self, frame: frames.ViewAnnouncement, now_s: float) -> list[Action]:
         """A newer view than this machine holds: it has no place in it, or its write is still under way."""
         if self.view is not None and frame.epoch <= self.view.epoch:
             return []
@@ -493,7 +505,7 @@
 
     # -- older copies of disks -----------------------------------------------------------------------------
 
-    def own_marks(self) -> Marks:
+    def own_marks(self) -> HighWaterMarks:
         """What is on this disk by now."""
         entry = self.newest()
         return replace(self.own, number=entry.number if entry is not None else 0)
@@ -510,10 +522,10 @@
             if known is not None and (known.epoch, known.number) < has:
                 self.marks[name] = replace(known, epoch=has[0], number=has[1])
 
-    def refuses(self, name: str, told: Marks) -> bool:
+    def refuses(self, name: str, told: HighWaterMarks) -> bool:
         """Whether a member tells less than it told before. Its word counts for nothing then."""
         known = self.marks.get(name)
-        if known is not None and told.behind(known):
+        if known is not None and told.is_behind(known):
             return True
         if self.view is not None and name in self.view.group and name != self.name:
             self.marks[name] = told
@@ -525,17 +537,19 @@
         self.refused.add(name)
         known = self.marks[name]
         return [
-            Tell(
+            SendMessage(
                 ip_of(name),
-                frames.StaleDisk(name, known.incarnation, known.draw, known.promised, known.epoch, known.number),
+                frames.RollbackNotice(
+                    name, known.incarnation, known.incarnation_id, known.promised, known.epoch, known.number
+                ),
             )
         ]
 
-    def on_stale(self, frame: frames.StaleDisk, now_s: float) -> list[Action]:
+    def on_stale(self, frame: frames.RollbackNotice, now_s: float) -> list[Action]:
         """Another one holds that this machine has told more. An old word of ours may have come late: then not."""
-        told = Marks(frame.incarnation, frame.draw, frame.promised, frame.epoch, frame.number)
+        told = HighWaterMarks(frame.incarnation, frame.draw, frame.promised, frame.epoch, frame.number)
         own = self.own_marks()
-        if frame.name == self.name and own.behind(told):
+        if frame.name == self.name and own.is_behind(told):
             self.lose(f"this disk is an older copy of itself: it has {own}, and {told} was told")
             return self.tick(now_s)
         return []
@@ -556,16 +570,16 @@
             if self.heard_lately(ip_of(heard.name), now_s) and (heard.held, heard.number) > (own.epoch, own.number)
         )
 
-    def shows_a_loss(self, frame: frames.Pulse) -> bool:
+    def shows_a_loss(self, frame: frames.ReplicaHeartbeat) -> bool:
         """Whether this disk must once have had more: within an epoch nobody has an entry that one before it in the
         chain lacks, and an entry is only begun once all have the one before it."""
         view, own = self.view, self.own_marks()
-        if self.member is None or view is None or not view.epoch == own.epoch == frame.held:
+        if self.member is None or view is None or not view.epoch == own.epoch == frame.stored_epoch:
             return False
         if frame.name not in view.chain or frame.name == self.name:
             return False
         before = view.chain.index(frame.name) < view.chain.index(self.name)
-        return frame.entry > own.number + before
+        return frame.stored_number > own.number + before
 
     def most_told(self) -> int:
         """The highest number that others of the chain have told in this epoch."""
@@ -635,7 +649,7 @@
         self.seen_epoch = epoch
         since = self.taken_up_to()
         self.proposal = Proposal(epoch, group, wanted, now_s, since)
-        return [Tell(ip_of(name), frames.Prepare(epoch, self.name, since)) for name in group]
+        return [SendMessage(ip_of(name), frames.Prepare(epoch, self.name, since)) for name in group]
 
     def on_prepare(self, frame: frames.Prepare, now_s: float) -> list[Action]:
         if frame.epoch <= self.promised:
@@ -643,7 +657,7 @@
         self.seen_epoch = max(self.seen_epoch, frame.epoch)
         if self.lacks or not self.may_promise():
             return []
-        self.promised, self.promised_since = frame.epoch, frame.since
+        self.promised, self.promised_since = frame.epoch, frame.digests_since
         if self.member is not None:
             self.member.sealed = True
         self.wrong_since_s = None  # somebody mends it
@@ -659,7 +673,7 @@
         view = self.view or View(0, (), ())
         entry = self.newest() or Entry(0, 0, 0, 0, b"")
         return [
-            Tell(
+            SendMessage(
                 proposer,
                 frames.Promise(
                     epoch,
@@ -674,7 +688,7 @@
                     entry.body,
                     digests.pack(self.all_taken(), self.promised_since),
                     self.own.incarnation,
-                    self.own.draw,
+                    self.own.incarnation_id,
                     self.own.epoch,
                 ),
             )
@@ -684,7 +698,7 @@
         return self.member.last if self.member is not None else self.last
 
     def all_taken(self) -> dict[int, bytes]:
-        return self.member.taken if self.member is not None else self.taken
+        return self.member.applied_digests if self.member is not None else self.taken
 
     def taken_up_to(self) -> int:
         """The revision up to which the digests here are those of committed versions, and all that are kept: what came
@@ -697,13 +711,15 @@
         proposal = self.proposal
         if proposal is None or proposal.epoch != frame.epoch or proposal.sent or frame.name not in proposal.group:
             return []
-        if self.refuses(frame.name, Marks(frame.incarnation, frame.draw, frame.epoch, frame.held, frame.number)):
+        if self.refuses(
+            frame.name, HighWaterMarks(frame.incarnation, frame.draw, frame.epoch, frame.stored_epoch, frame.number)
+        ):
             return self.accuse(frame.name)
-        if self.view is not None and frame.view > self.view.epoch:
+        if self.view is not None and frame.view_epoch > self.view.epoch:
             # Another view was made meanwhile: its group decides, so this proposal is over.
             self.proposal = None
-            return self.on_view(frames.ViewIs(frame.view, frame.chain, frame.group), now_s)
-        digests.unpack(frame.taken)  # what is broken is refused here, before anything counts on it
+            return self.on_view(frames.ViewAnnouncement(frame.view_epoch, frame.chain, frame.group), now_s)
+        digests.unpack(frame.applied_digests)  # what is broken is refused here, before anything counts on it
         proposal.promises[frame.name] = frame
         if len(proposal.promises) >= self.majority(proposal.group) and not proposal.enough_s:
             proposal.enough_s = now_s
@@ -744,9 +760,10 @@
             return []
         best = newest_of(proposal.promises)
         proposal.sent = True
-        taken = digests.merge(self.all_taken(), proposal.since, digests.unpack(best.taken))
+        taken = digests.merge(self.all_taken(), proposal.since, digests.unpack(best.applied_digests))
         return [
-            Tell(ip_of(name), self.accept_for(proposal, name, tuple(members), group, best, taken)) for name in members
+            SendMessage(ip_of(name), self.accept_for(proposal, name, tuple(members), group, best, taken))
+            for name in members
         ]
 
     def accept_for(
@@ -789,9 +806,9 @@
         entry = None
         if frame.number:
             entry = Entry(frame.number, frame.epoch, frame.revision, frame.base, frame.body)
-        if frame.since and frame.since not in self.all_taken():
+        if frame.digests_since and frame.digests_since not in self.all_taken():
             return []  # not the disk that the promise told of: digests would be missing
-        taken = digests.merge(self.all_taken(), frame.since, digests.unpack(frame.taken))
+        taken = digests.merge(self.all_taken(), frame.digests_since, digests.unpack(frame.applied_digests))
         return self.accept_view(view, entry, taken, now_s)
 
     def accept_view(self, view: View, entry: Entry | None, taken: dict[int, bytes], now_s: float) -> list[Action]:
@@ -820,7 +837,7 @@
         if self.writes:
             self.writes.pop(0)
         self.disk_failed_s = None
-        self.own = replace(self.own, incarnation=self.raised.incarnation, draw=self.raised.draw)
+        self.own = replace(self.own, incarnation=self.raised.incarnation, incarnation_id=self.raised.incarnation_id)
 
     def try_disk(self, now_s: float) -> list[Action]:
         """Write something soon, for there is something to be kept that waits for a write."""
@@ -833,7 +850,7 @@
         self.written(now_s)
         return self.pulse(now_s)
 
-    def write_failed(self, what: SavePromise | SaveView | Sync | TryDisk, now_s: float) -> list[Action]:
+    def write_failed(self, what: SavePromise | SaveView | PersistEntry | TryDisk, now_s: float) -> list[Action]:
         """The disk refused a write: until another one goes through this machine is no good member."""
         if self.writes:
             self.writes.pop(0)
@@ -841,20 +858,20 @@
         if isinstance(what, SaveView) and self.accepting == what.view:
             self.accepting = None
         actions: list[Action] = []
-        if isinstance(what, Sync) and self.member is not None:
-            actions += self.member.failed(what.entry, now_s)
+        if isinstance(what, PersistEntry) and self.member is not None:
+            actions += self.member.persist_failed(what.entry, now_s)
         return actions + self.pulse(now_s)
 
-    def state(self, ident: int, now_s: float) -> frames.State:
+    def state(self, ident: int, now_s: float) -> frames.ReplicaStatus:
         """What this machine holds, for an operator."""
         view = self.view or View(0, (), ())
         member, newest = self.member, self.newest()
         flags = (
-            (frames.ACTIVE if member is not None and member.active and not member.sealed else 0)
+            (frames.VIEW_ACTIVE if member is not None and member.active and not member.sealed else 0)
             | (frames.DISK_WORKS if self.disk_works(now_s) else 0)
-            | (frames.ROOT if self.root else 0)
+            | (frames.IS_ROOT if self.root else 0)
         )
-        return frames.State(
+        return frames.ReplicaStatus(
             ident,
             self.name,
             view.epoch,
@@ -869,50 +886,54 @@
 
     # -- orders and reads ----------------------------------------------------------------------------------
 
-    def order(self, frame: frames.Order, now_s: float) -> list[Action]:
+    def order(self, frame: frames.WriteRequest, now_s: float) -> list[Action]:
         if self.view is None:
             return []
         if ip_of(self.view.chain[0]) != self.ip:
             return self.pass_on(ip_of(self.view.chain[0]), frame)
         if self.member is None or not self.leads(now_s):
             return []
-        return self.note_syncs(self.member.order(frame, now_s), now_s)
+        return self.note_syncs(self.member.submit(frame, now_s), now_s)
 
-    def pass_on(self, ip: str, frame: frames.Order | frames.Read | frames.Change) -> list[Action]:
+    def pass_on(
+        self, ip: str, frame: frames.WriteRequest | frames.ReadRequest | frames.MembershipChangeRequest
+    ) -> list[Action]:
         """To the machine whose part it is, at most so often; whoever took the call sends it again."""
-        return [Tell(ip, replace(frame, hops=frame.hops + 1))] if frame.hops < MOST_HOPS else []
+        return [SendMessage(ip, replace(frame, hops=frame.hops + 1))] if frame.hops < MOST_HOPS else []
 
-    def forward(self, frame: frames.Forward, now_s: float) -> list[Action]:
-        return self.note_syncs(self.member.forward(frame, now_s), now_s) if self.member is not None else []
+    def forward(self, frame: frames.ForwardEntry, now_s: float) -> list[Action]:
+        return self.note_syncs(self.member.on_forward(frame, now_s), now_s) if self.member is not None else []
 
-    def committed(self, frame: frames.Committed, now_s: float) -> list[Action]:
-        return self.note_syncs(self.member.commit(frame, now_s), now_s) if self.member is not None else []
+    def committed(self, frame: frames.CommitNotice, now_s: float) -> list[Action]:
+        return self.note_syncs(self.member.on_commit(frame, now_s), now_s) if self.member is not None else []
 
     def synced(self, entry: Entry, now_s: float) -> list[Action]:
         self.written(now_s)
         if self.member is None or self.member.view.epoch != entry.epoch:
             return []  # a view has come in between, and with it what counts
-        return self.note_syncs(self.member.synced(entry, now_s), now_s)
+        return self.note_syncs(self.member.entry_persisted(entry, now_s), now_s)
 
-    def note_syncs(self, actions: list[chain.Action], now_s: float) -> list[Action]:
+    def note_syncs(self, actions: list[chain.ChainEffect], now_s: float) -> list[Action]:
         """What the member wants done. A refusal names the version in force: a head that was cut off, or frozen, may
         not have heard yet that there is a newer one, so the others are asked first."""
         done: list[Action] = []
         for action in actions:
-            if isinstance(action, Sync):
+            if isinstance(action, PersistEntry):
                 self.writes.append(now_s)
             if (
-                isinstance(action, Tell)
-                and isinstance(action.frame, frames.Outcome)
+                isinstance(action, SendMessage)
+                and isinstance(action.frame, frames.WriteResult)
                 and (action.frame.status == INVALID and not self.judge_alike())
             ):
-                done.append(Tell(action.ip, replace(action.frame, status=503, text=f"for now: {action.frame.text}")))
+                done.append(
+                    SendMessage(action.ip, replace(action.frame, status=503, text=f"for now: {action.frame.text}"))
+                )
             elif (
-                isinstance(action, Tell)
-                and isinstance(action.frame, frames.Outcome)
+                isinstance(action, SendMessage)
+                and isinstance(action.frame, frames.WriteResult)
                 and action.frame.status in REFUSALS
             ):
-                done += self.confirm(action.frame.ident, action.ip, action.frame, now_s)
+                done += self.confirm(action.frame.request_id, action.ip, action.frame, now_s)
             else:
                 done.append(action)
         return done
@@ -924,50 +945,55 @@
             self.checks_of.get(ip_of(name), self.checks) == self.checks for name in self.view.group
         )
 
-    def confirm(self, ident: int, origin: str, refusal: frames.Outcome | None, now_s: float) -> list[Action]:
+    def confirm(self, ident: int, origin: str, refusal: frames.WriteResult | None, now_s: float) -> list[Action]:
         """Ask the group whether this epoch still holds, before something is answered."""
         assert self.view is not None
         if ident in self.reads:
             return []
         self.reads[ident] = Asked(origin, refusal, now_s + CONFIRM_S, {self.name})
-        ask = frames.Confirm(self.view.epoch, ident, self.ip)
-        others: list[Action] = [Tell(ip_of(name), ask) for name in self.view.group if name != self.name]
+        ask = frames.QuorumReadCheck(self.view.epoch, ident, self.ip)
+        others: list[Action] = [SendMessage(ip_of(name), ask) for name in self.view.group if name != self.name]
         return others + self.answer_read(ident)
 
-    def read(self, frame: frames.Read, now_s: float) -> list[Action]:
+    def read(self, frame: frames.ReadRequest, now_s: float) -> list[Action]:
         """Answered by the tail, once a majority has confirmed that no later epoch was promised."""
         if self.view is None:
             return []
         tail = ip_of(self.view.chain[-1])
         if tail != self.ip:
             return self.pass_on(tail, frame)
-        return self.confirm(frame.ident, frame.origin, None, now_s) if self.leads(now_s) else []
+        return self.confirm(frame.request_id, frame.origin, None, now_s) if self.leads(now_s) else []
 
-    def on_confirm(self, frame: frames.Confirm) -> list[Action]:
+    def on_confirm(self, frame: frames.QuorumReadCheck) -> list[Action]:
         if self.promised > frame.epoch or self.view is None or self.view.epoch > frame.epoch or self.lacks:
             return []
-        return [Tell(frame.origin, frames.Confirmed(frame.epoch, frame.ident, self.name))]
+        return [SendMessage(frame.origin, frames.QuorumReadAck(frame.epoch, frame.request_id, self.name))]
 
-    def on_confirmed(self, frame: frames.Confirmed, now_s: float) -> list[Action]:
-        asked = self.reads.get(frame.ident)
+    def on_confirmed(self, frame: frames.QuorumReadAck, now_s: float) -> list[Action]:
+        asked = self.reads.get(frame.request_id)
         if asked is None or now_s > asked.due_s or self.view is None or frame.epoch != self.view.epoch:
             return []
         if frame.name in self.view.group and frame.name not in self.refused:
             asked.names.add(frame.name)
-        return self.answer_read(frame.ident)
+        return self.answer_read(frame.request_id)
 
     def answer_read(self, ident: int) -> list[Action]:
         asked = self.reads[ident]
         member = self.member
         assert self.view is not None
-        if len(asked.names) < self.majority(self.view.group) or member is None or member.sealed or not member.level():
+        if (
+            len(asked.names) < self.majority(self.view.group)
+            or member is None
+            or member.sealed
+            or not member.is_caught_up()
+        ):
             return []
         if asked.refusal is not None:
             del self.reads[ident]
-            return [Tell(asked.origin, asked.refusal)]
+            return [SendMessage(asked.origin, asked.refusal)]
         entry = member.last if member.committed == member.number else None
         if entry is None and member.number:
             return []  # the tail's own sync is what commits, so this does not last
         del self.reads[ident]
-        frame = frames.Reading(ident, 200 if entry else 404, entry.body if entry else b"")
-        return [Tell(asked.origin, frame)]
+        frame = frames.ReadResult(ident, 200 if entry else 404, entry.body if entry else b"")
+        return [SendMessage(asked.origin, frame)]
--- a/cypressbeam/consensus/rollback_detection.py
+++ b/cypressbeam/consensus/rollback_detection.py
@@ -16,12 +16,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Marks:
+class HighWaterMarks:
     """What a machine has on its disk, as far as it goes by numbers."""
 
     incarnation: int = 0
     """How often the process has been started from this disk; 0 from a disk of an earlier program."""
-    draw: int = 0
+    incarnation_id: int = 0
     """Drawn for this incarnation, below 2**62."""
     promised: int = 0
     epoch: int = 0
@@ -29,31 +29,31 @@
     number: int = 0
     """Of the newest entry on its disk; rises within an epoch."""
 
-    def behind(self, told: Marks) -> bool:
+    def is_behind(self, told: HighWaterMarks) -> bool:
         """Whether a disk that has this lacks something of what its machine has told."""
         return (
             self.incarnation < told.incarnation
-            or (self.incarnation == told.incarnation and self.draw != told.draw)
+            or (self.incarnation == told.incarnation and self.incarnation_id != told.incarnation_id)
             or self.promised < told.promised
             or (self.epoch, self.number) < (told.epoch, told.number)
         )
 
 
 #: Of a machine that has told nothing.
-NO_MARKS = Marks()
+NO_MARKS = HighWaterMarks()
 
 
-def pack_marks(marks: dict[str, Marks]) -> str:
+def pack_marks(marks: dict[str, HighWaterMarks]) -> str:
     """By name, one a line, as they are kept on disk."""
     return "\n".join(" ".join([name, *map(str, astuple(mark))]) for name, mark in sorted(marks.items()))
 
 
-def unpack_marks(text: str) -> dict[str, Marks]:
+def unpack_marks(text: str) -> dict[str, HighWaterMarks]:
     """Raises ValueError."""
     found = {}
     for line in text.splitlines():
         name, *numbers = line.split(" ")
         if len(numbers) != 5:
             raise ValueError(f"marks of {name!r}: {len(numbers)} numbers")
-        found[name] = Marks(*map(int, numbers))
+        found[name] = HighWaterMarks(*map(int, numbers))
     return found
--- a/cypressbeam/distribution/children.py
+++ b/cypressbeam/distribution/children.py
@@ -12,13 +12,13 @@
     """Subscribers, in the order in which they came: runs can be repeated."""
 
     def __init__(self) -> None:
-        self.links: dict[Link, frames.Attach | None] = {}
+        self.links: dict[Link, frames.Subscribe | None] = {}
         """With what each had when it came, until it was given what it lacks."""
 
     def __len__(self) -> int:
         return len(self.links)
 
-    def add(self, link: Link, had: frames.Attach) -> None:
+    def add(self, link: Link, had: frames.Subscribe) -> None:
         """A child has subscribed, or again."""
         self.links[link] = had
 
@@ -26,7 +26,7 @@
         """A connection is lost; it may have been a child's."""
         self.links.pop(link, None)
 
-    def waiting(self) -> Iterator[tuple[Link, frames.Attach]]:
+    def waiting(self) -> Iterator[tuple[Link, frames.Subscribe]]:
         """Children that were given nothing yet."""
         for link, had in [*self.links.items()]:
             if had is not None:
@@ -47,4 +47,4 @@
         """Children look for others. Connections stay: what else goes over them must not be lost."""
         links, self.links = self.links, {}
         for child in links:
-            child.send(frames.Released())
+            child.send(frames.Unsubscribed())
--- a/cypressbeam/distribution/configuration_replica.py
+++ b/cypressbeam/distribution/configuration_replica.py
@@ -87,7 +87,7 @@
 class Announced:
     """What children are told of the version that is here."""
 
-    message: frames.News | frames.Update | None = None
+    message: frames.ConfigurationAnnouncement | frames.ConfigurationDelta | None = None
     base: int = 0
     """The revision that was here before: to a child that has it the message is enough."""
 
@@ -138,7 +138,7 @@
         mark = mark or self.store.put(self.body)
         if not self.transfer.mark and revision == self.announced.base and self.announced.message is not None:
             return replace(self.announced.message, epoch=self.standing())
-        return frames.News(newest, mark, self.standing())
+        return frames.ConfigurationAnnouncement(newest, mark, self.standing())
 
     def publish(self, revision: int, body: bytes) -> None:
         """A committed configuration. One that is not newer is no news: a node never goes back."""
@@ -162,9 +162,9 @@
         """Tell children of the version that is here, in what it changes where that is little."""
         brief = self.store.brief(mark, former)
         message = (
-            frames.Update(self.revision, mark, former, brief, self.standing())
+            frames.ConfigurationDelta(self.revision, mark, former, brief, self.standing())
             if brief
-            else frames.News(self.revision, mark, self.standing())
+            else frames.ConfigurationAnnouncement(self.revision, mark, self.standing())
         )
         self.announced = Announced(message, before)
         if brief or mark != self.transfer.mark:  # otherwise children were told when it began to come
@@ -172,18 +172,18 @@
 
     # -- from the parent -----------------------------------------------------------------------------------
 
-    def on_news(self, link: Link, frame: frames.News) -> None:
+    def on_news(self, link: Link, frame: frames.ConfigurationAnnouncement) -> None:
         """A version is to be had from a node that has it, or a part of it."""
-        if not self.fence.rejects(link, frame.epoch) and self.wants(frame.revision, frame.mark):
+        if not self.fence.rejects(link, frame.epoch) and self.wants(frame.revision, frame.digest):
             self.fetch(link.ip)
 
-    def on_update(self, link: Link, frame: frames.Update) -> None:
+    def on_update(self, link: Link, frame: frames.ConfigurationDelta) -> None:
         """A version, in what has changed since the one before. Who lacks that one fetches it all."""
-        if len(frame.mark) != frames.DIGEST or len(frame.data) > BRIEF_BYTES:
-            log.warning("node %s: an update of %d bytes for %d", link.ip, len(frame.data), len(frame.mark))
+        if len(frame.digest) != frames.DIGEST_BYTES or len(frame.data) > BRIEF_BYTES:
+            log.warning("node %s: an update of %d bytes for %d", link.ip, len(frame.data), len(frame.digest))
             link.close()
-        elif not self.fence.rejects(link, frame.epoch) and self.wants(frame.revision, frame.mark):
-            body = self.fetcher.open_brief(frame.mark, frame.base, frame.data)
+        elif not self.fence.rejects(link, frame.epoch) and self.wants(frame.revision, frame.digest):
+            body = self.fetcher.open_brief(frame.digest, frame.base_digest, frame.data)
             if body is None:
                 self.fetch(link.ip)
             else:
@@ -205,7 +205,7 @@
             return
         if self.transfer.mark != mark:
             self.transfer.mark = mark
-            self.tell(frames.News(revision, mark, self.standing()))
+            self.tell(frames.ConfigurationAnnouncement(revision, mark, self.standing()))
         self.fetcher.need(mark, source, lambda body: self.take(revision, body, source), key=FETCH_KEY)
 
     def take(self, revision: int, body: bytes, source: str) -> None:
--- a/cypressbeam/distribution/endpoint_list.py
+++ b/cypressbeam/distribution/endpoint_list.py
@@ -122,7 +122,7 @@
         self.seq = 0
         self.servers: dict[str, Server] = {}
 
-    def poll(self, polled: list[Server]) -> frames.Servers | None:
+    def poll(self, polled: list[Server]) -> frames.EndpointUpdate | None:
         """At the root: take up a whole list from the platform; returns what changed, for the children."""
         changed = []
         now = {server.ident: server for server in polled}
@@ -138,22 +138,22 @@
             return None
         self.servers = now
         self.seq += 1
-        return frames.Servers(self.life, self.seq - 1, self.seq, 0, pack_rows(changed))
+        return frames.EndpointUpdate(self.life, self.seq - 1, self.seq, 0, pack_rows(changed))
 
-    def whole(self) -> frames.Servers:
+    def whole(self) -> frames.EndpointUpdate:
         """All that is known, for a child that has none of it."""
-        return frames.Servers(self.life, 0, self.seq, 1, pack_rows(list(self.servers.values())))
+        return frames.EndpointUpdate(self.life, 0, self.seq, 1, pack_rows(list(self.servers.values())))
 
-    def apply(self, frame: frames.Servers) -> bool | None:
+    def apply(self, frame: frames.EndpointUpdate) -> bool | None:
         """Take up what a parent sent. True: the list changed; False: it says nothing new; None: it does not follow
         on what is here, so the whole is needed."""
         if frame.whole:
-            if (frame.life, frame.seq) == (self.life, self.seq):
+            if (frame.term, frame.sequence) == (self.life, self.seq):
                 return False
             self.servers = {server.ident: server for server in unpack_rows(frame.rows)}
-        elif frame.life != self.life or frame.since > self.seq:
+        elif frame.term != self.life or frame.base_sequence > self.seq:
             return None
-        elif frame.seq <= self.seq:
+        elif frame.sequence <= self.seq:
             return False
         else:
             for server in unpack_rows(frame.rows):
@@ -161,5 +161,5 @@
                     self.servers.pop(server.ident, None)
                 else:
                     self.servers[server.ident] = server
-        self.life, self.seq = frame.life, frame.seq
+        self.life, self.seq = frame.term, frame.sequence
         return True
--- a/cypressbeam/distribution/endpoint_list_replica.py
+++ b/cypressbeam/distribution/endpoint_list_replica.py
@@ -26,23 +26,23 @@
         """Whether the list that is here is that of a term and sequence number."""
         return (life, seq) == (self.listing.life, self.listing.seq)
 
-    def confirm(self, beat: frames.Beat) -> None:
+    def confirm(self, beat: frames.RootHeartbeat) -> None:
         """A heartbeat names the list that is in force in its epoch."""
-        if self.is_at(beat.life, beat.seq):
+        if self.is_at(beat.term, beat.sequence):
             self.epoch = beat.epoch
 
-    def lacks(self, beat: frames.Beat) -> bool:
+    def lacks(self, beat: frames.RootHeartbeat) -> bool:
         """Whether a heartbeat names a list that is not here."""
-        return bool(beat.seq) and not self.is_at(beat.life, beat.seq)
+        return bool(beat.sequence) and not self.is_at(beat.term, beat.sequence)
 
-    def for_child(self, had: frames.Attach, in_force: int, epoch: int) -> frames.Servers | None:
+    def for_child(self, had: frames.Subscribe, in_force: int, epoch: int) -> frames.EndpointUpdate | None:
         """The whole list, if a child has another one and the list that is here, in force in one epoch, is that of the
         current one."""
-        if not self.listing.seq or in_force != epoch or self.is_at(had.life, had.seq):
+        if not self.listing.seq or in_force != epoch or self.is_at(had.term, had.sequence):
             return None
         return replace(self.listing.whole(), epoch=in_force)
 
-    def apply(self, frame: frames.Servers) -> bool | None:
+    def apply(self, frame: frames.EndpointUpdate) -> bool | None:
         """Take rows of the parent's. Returns whether they were new, or None if they don't follow on what is here."""
         fresh = self.listing.apply(frame)
         if fresh is None:
--- a/cypressbeam/distribution/feed.py
+++ b/cypressbeam/distribution/feed.py
@@ -26,7 +26,7 @@
         self.configuration = configuration
         self.servers = servers
 
-    def on_attach(self, link: Link, frame: frames.Attach) -> None:
+    def on_attach(self, link: Link, frame: frames.Subscribe) -> None:
         """A child subscribes."""
         fence = self.position.fence
         if self.position.registration.leaving:
@@ -36,13 +36,13 @@
             link.send(fence.redirect())
         fence.see(frame.epoch)
         if not self.position.may_feed():
-            link.send(frames.Released())
+            link.send(frames.Unsubscribed())
             return
         self.children.add(link, frame)
         if self.position.standing() == fence.epoch:
             self.serve(link, frame)
 
-    def serve(self, link: Link, had: frames.Attach) -> None:
+    def serve(self, link: Link, had: frames.Subscribe) -> None:
         """What a child lacks, and the last heartbeat while that is news."""
         self.children.served(link)
         epoch, beat = self.position.fence.epoch, self.position.heartbeats.last
@@ -53,7 +53,7 @@
         if beat is not None and beat.epoch == epoch and self.position.named():
             link.send(beat)
 
-    def pass_beat(self, frame: frames.Beat) -> None:
+    def pass_beat(self, frame: frames.RootHeartbeat) -> None:
         """To all children; those that came while this node could not vouch for what it has get that now."""
         self.position.heartbeats.last = frame
         self.children.tell(frame)
@@ -70,9 +70,9 @@
         """The root sends a heartbeat; one that a majority does not hear has no word to give, and sends a keep-alive."""
         fence, heartbeats, listing = self.position.fence, self.position.heartbeats, self.servers.listing
         if not fence.vouched():
-            self.children.tell(frames.Alive())
+            self.children.tell(frames.KeepAlive())
             return
-        beat = frames.Beat(
+        beat = frames.RootHeartbeat(
             listing.life,
             listing.seq,
             self.configuration.revision,
--- a/cypressbeam/distribution/fencing.py
+++ b/cypressbeam/distribution/fencing.py
@@ -42,9 +42,9 @@
         self.see(epoch)
         return False
 
-    def redirect(self) -> frames.Refer:
+    def redirect(self) -> frames.LeaderRedirect:
         """Where the root is, as this node knows it."""
-        return frames.Refer(self.vouched(), self.epoch, self.group)
+        return frames.LeaderRedirect(self.vouched(), self.epoch, self.group)
 
     def learn_group(self, group: tuple[str, ...], epoch: int) -> None:
         """Addresses of the core's group, as somebody knows it who has seen that epoch."""
--- a/cypressbeam/distribution/heartbeats.py
+++ b/cypressbeam/distribution/heartbeats.py
@@ -18,20 +18,20 @@
     def __init__(self) -> None:
         self.numbers: dict[int, int] = {}
         """The last heartbeat's number, by the root's term."""
-        self.last: frames.Beat | None = None
+        self.last: frames.RootHeartbeat | None = None
         """The last one that was sent, or passed on."""
         self.root_heard_s: float | None = None
         """When the root's word, a heartbeat or an assignment, came last."""
         self.keep_alive_due_s = 0.0
 
-    def is_new(self, beat: frames.Beat) -> bool:
+    def is_new(self, beat: frames.RootHeartbeat) -> bool:
         """Assignments that were made at different times can make a circle of parents. A heartbeat that comes again
         neither goes on nor counts as heard, so those in a circle soon look for the root."""
-        return beat.number > self.numbers.get(beat.life, 0)
+        return beat.number > self.numbers.get(beat.term, 0)
 
-    def take(self, beat: frames.Beat, now_s: float) -> None:
+    def take(self, beat: frames.RootHeartbeat, now_s: float) -> None:
         """A new one has come."""
-        self.numbers[beat.life] = beat.number
+        self.numbers[beat.term] = beat.number
         self.root_heard_s = now_s
 
     def next_number(self, life: int) -> int:
--- a/cypressbeam/distribution/node_registry.py
+++ b/cypressbeam/distribution/node_registry.py
@@ -84,7 +84,7 @@
         self.names: list[str] = []
         self.stale = True
 
-    def join(self, frame: frames.Join, now_s: float, epoch: int = 0) -> None:
+    def join(self, frame: frames.JoinRequest, now_s: float, epoch: int = 0) -> None:
         """A node joins, or joins again, at a root that leads in this epoch."""
         known = self.nodes.get(frame.name)
         if known is not None and (known.ip, known.zone, known.flags, known.kbps) == (
@@ -94,7 +94,7 @@
             frame.kbps,
         ):
             before = known.doubtful()
-            known.listen(frame.fed, now_s)
+            known.listen(frame.acknowledged_epoch, now_s)
             known.seen_s = now_s
             known.shunned = False
             self.stale = self.stale or known.doubtful() is not before
@@ -102,13 +102,13 @@
             self.drop(frame.name)
             self.enter(Known(frame.name, frame.ip, frame.zone, frame.flags, now_s, frame.kbps, since=epoch))
         for other in self.nodes.values():
-            if frame.lost and other.ip == frame.lost and not other.shunned and other.name != frame.name:
+            if frame.lost_parent and other.ip == frame.lost_parent and not other.shunned and other.name != frame.name:
                 other.shunned = self.stale = True
 
     def enter(self, known: Known) -> None:
         self.nodes[known.name] = known
         self.stale = True
-        if known.flags & frames.FRONT:
+        if known.flags & frames.SERVES_CLIENTS:
             insort(self.names, known.name)
         for name, watched in self.watching.items():
             self.watching[name] = self.nearest(name, [*watched, known])
@@ -118,7 +118,7 @@
         if known is None:
             return
         self.stale = True
-        if known.flags & frames.FRONT:
+        if known.flags & frames.SERVES_CLIENTS:
             self.names.remove(name)
         self.watching = {
             other: watched for other, watched in self.watching.items() if other != name and known not in watched
@@ -133,7 +133,9 @@
 
     def fronts(self, zone: str | None = None) -> int:
         """How many nodes carry traffic, in all or in a zone."""
-        return sum(1 for known in self.nodes.values() if known.flags & frames.FRONT and zone in (None, known.zone))
+        return sum(
+            1 for known in self.nodes.values() if known.flags & frames.SERVES_CLIENTS and zone in (None, known.zone)
+        )
 
     def order(self, zone: str) -> list[Known]:
         """The nodes of a zone as they stand in its tree: the root first, fast links before thin ones, then by weight;
@@ -147,7 +149,7 @@
                 here,
                 key=lambda k: (
                     k.name != self.me,
-                    k.doubtful() or bool(k.flags & frames.SLOW),
+                    k.doubtful() or bool(k.flags & frames.IS_OVERLOADED),
                     -k.kbps,
                     weight("tree", k.name),
                 ),
@@ -178,11 +180,11 @@
 
     def place(
         self, name: str, epoch: int, members: tuple[str, ...], root: str, fronts: int, group: tuple[str, ...] = ()
-    ) -> frames.Place:
+    ) -> frames.ParentAssignment:
         """What a node is told. `fronts` is how many carry traffic, 0 while that is not known."""
         known = self.nodes[name]
         watched = self.watches(known)
-        return frames.Place(
+        return frames.ParentAssignment(
             epoch,
             members,
             self.parents(known, root),
@@ -190,6 +192,6 @@
             tuple(other.name for other in watched),
             fronts,
             self.fronts(known.zone),
-            bisect_left(self.names, name) if known.flags & frames.FRONT else 0,
+            bisect_left(self.names, name) if known.flags & frames.SERVES_CLIENTS else 0,
             group,
         )
--- a/cypressbeam/distribution/outlier_reports.py
+++ b/cypressbeam/distribution/outlier_reports.py
@@ -33,7 +33,7 @@
 
     def handlers(self) -> Handlers:
         """The messages of the outlier detection."""
-        return {frames.Ailing: lambda link, frame: self.pass_up(frame), frames.Verdict: self.on_verdict}
+        return {frames.OutlierReport: lambda link, frame: self.pass_up(frame), frames.OutlierEjection: self.on_verdict}
 
     def note_fault(self, server: str) -> None:
         """A server has failed a request here."""
@@ -45,25 +45,25 @@
         """Report what has failed since the last report."""
         servers, self.faults = tuple(self.faults)[:MOST_REPORTED], {}
         settings = self.context.settings
-        self.pass_up(frames.Ailing(0, settings.node, settings.zone, servers))
+        self.pass_up(frames.OutlierReport(0, settings.node, settings.zone, servers))
 
-    def pass_up(self, frame: frames.Ailing) -> None:
+    def pass_up(self, frame: frames.OutlierReport) -> None:
         """To the root, from parent to parent. A circle of parents ends, and so must what goes round in it."""
         if self.relay.is_root:
             self.conclude(frame)
         elif self.relay.parent is not None and frame.hops < MOST_HOPS:
             self.relay.parent.send(replace(frame, hops=frame.hops + 1))
 
-    def conclude(self, frame: frames.Ailing) -> None:
+    def conclude(self, frame: frames.OutlierReport) -> None:
         """At the root: servers that fail for many are told down the tree."""
         found = self.verdicts.report(
             frame.name, frame.zone, frame.servers, len(self.relay.listing.servers), self.context.now_s()
         )
         if found:
             log.info("servers that fail for many of %s: %s", frame.zone, " ".join(found))
-            self.relay.children.tell(frames.Verdict(frame.zone, tuple(found), self.relay.epoch))
+            self.relay.children.tell(frames.OutlierEjection(frame.zone, tuple(found), self.relay.epoch))
 
-    def on_verdict(self, link: Link, frame: frames.Verdict) -> None:
+    def on_verdict(self, link: Link, frame: frames.OutlierEjection) -> None:
         """A finding of the root's, from the parent."""
         if link is self.relay.parent and not self.relay.fence.rejects(link, frame.epoch):
             self.relay.children.tell(frame)
--- a/cypressbeam/distribution/registration.py
+++ b/cypressbeam/distribution/registration.py
@@ -45,7 +45,7 @@
         self.flags = flags
         self.identity = ""
         """Of a machine with a disk: its name as a member."""
-        self.assignment: frames.Place | None = None
+        self.assignment: frames.ParentAssignment | None = None
         self.fronts = 0
         """How many nodes serve clients, as far as is known; 0: not at all."""
         self.lost = ""
@@ -58,12 +58,12 @@
         self.lag = LoopLag()
         self.on_assigned: Callable[[], None] = lambda: None
 
-    def request(self, epoch: int, given: int) -> frames.Join:
+    def request(self, epoch: int, given: int) -> frames.JoinRequest:
         """The registration as it goes to the root, with the highest epoch seen and the newest one of an assignment or
         heartbeat."""
         settings = self.context.settings
-        flags = self.flags | (frames.SLOW if self.lag.slow() else 0)
-        return frames.Join(
+        flags = self.flags | (frames.IS_OVERLOADED if self.lag.slow() else 0)
+        return frames.JoinRequest(
             settings.node,
             settings.ip,
             settings.zone,
@@ -87,15 +87,15 @@
         self.due_s = now_s + JOIN_S + self.context.chance.uniform(0.0, JOIN_JITTER_S)
         return True
 
-    def assign(self, assignment: frames.Place, now_s: float) -> None:
+    def assign(self, assignment: frames.ParentAssignment, now_s: float) -> None:
         """The root has answered."""
         self.registered_s, self.lost = now_s, ""
         self.assignment = assignment
-        self.fronts = assignment.fronts or self.fronts
+        self.fronts = assignment.edge_count or self.fronts
 
     def chain(self) -> tuple[str, ...]:
         """Addresses of the core's chain, as the root told them with the assignment."""
-        return self.assignment.members if self.assignment is not None else ()
+        return self.assignment.chain if self.assignment is not None else ()
 
     def assigned_epoch(self) -> int:
         """The epoch of the assignment; 0: there is none."""
--- a/cypressbeam/distribution/relay.py
+++ b/cypressbeam/distribution/relay.py
@@ -60,15 +60,15 @@
     def handlers(self) -> Handlers:
         """The messages of the tree, but for `Join`, which is the core's at the root."""
         return {
-            frames.Beat: self.on_beat,
-            frames.News: self.configuration.on_news,
-            frames.Update: self.configuration.on_update,
-            frames.Servers: self.on_servers_message,
-            frames.Alive: self.on_alive,
-            frames.Released: self.on_released,
-            frames.Attach: self.feed.on_attach,
-            frames.Refer: self.on_refer,
-            frames.Place: self.on_placed,
+            frames.RootHeartbeat: self.on_beat,
+            frames.ConfigurationAnnouncement: self.configuration.on_news,
+            frames.ConfigurationDelta: self.configuration.on_update,
+            frames.EndpointUpdate: self.on_servers_message,
+            frames.KeepAlive: self.on_alive,
+            frames.Unsubscribed: self.on_released,
+            frames.Subscribe: self.feed.on_attach,
+            frames.LeaderRedirect: self.on_refer,
+            frames.ParentAssignment: self.on_placed,
         }
 
     def start(self) -> None:
@@ -88,7 +88,7 @@
             log.warning("parent %s %s", self.subscription.parent_ip(), failure)
             self.leave_parent()
         if self.heartbeats.keep_alive_due(now_s, self.subscription.beat_s):
-            self.children.tell(frames.Alive())
+            self.children.tell(frames.KeepAlive())
         self.locator.searching = self.locator.searching and self.position.seeks(now_s)
         if self.position.seeks(now_s) or self.registration.expires(now_s):
             self.join(now_s)
@@ -112,18 +112,18 @@
         """Send the registration to a node that may be the root, or know it."""
         self.context.peers.send(target, self.registration.request(self.fence.epoch, self.position.given()))
 
-    def on_refer(self, link: Link, frame: frames.Refer) -> None:
+    def on_refer(self, link: Link, frame: frames.LeaderRedirect) -> None:
         """Another node names the root, or nobody. One that names a root of an epoch that is over learns that."""
-        self.fence.learn_group(frame.members, frame.epoch)
+        self.fence.learn_group(frame.group, frame.epoch)
         # Who names nobody is not answered: two that know no root would go on telling each other.
-        if frame.root and self.fence.rejects(link, frame.epoch):
+        if frame.leader and self.fence.rejects(link, frame.epoch):
             return
         self.fence.see(frame.epoch)
         if not self.position.is_root:
             now_s = self.context.now_s()
-            self.locator.on_redirect(link.ip, frame.root, now_s, self.position.seeks(now_s))
+            self.locator.on_redirect(link.ip, frame.leader, now_s, self.position.seeks(now_s))
 
-    def on_placed(self, link: Link, frame: frames.Place) -> None:
+    def on_placed(self, link: Link, frame: frames.ParentAssignment) -> None:
         """The root assigns parents to this node."""
         if self.fence.rejects(link, frame.epoch) or self.position.is_root:
             return
@@ -137,7 +137,7 @@
         self.heartbeats.root_heard_s = now_s
         self.locator.found(link.ip)
         self.registration.assign(frame, now_s)
-        self.fence.learn_group(frame.group or frame.members, frame.epoch)
+        self.fence.learn_group(frame.group or frame.chain, frame.epoch)
         self.registration.on_assigned()
         if waits:
             subscription.tried = -1
@@ -151,10 +151,10 @@
 
     # -- the parent ----------------------------------------------------------------------------------------
 
-    def subscribe_request(self) -> frames.Attach:
+    def subscribe_request(self) -> frames.Subscribe:
         """What this node tells its parent that it has."""
         listing = self.servers.listing
-        return frames.Attach(
+        return frames.Subscribe(
             self.context.settings.node, self.configuration.revision, listing.life, listing.seq, self.fence.epoch
         )
 
@@ -182,7 +182,7 @@
             self.leave_parent()
         self.locator.on_no_help(link.ip)
 
-    def on_released(self, link: Link, frame: frames.Released) -> None:
+    def on_released(self, link: Link, frame: frames.Unsubscribed) -> None:
         """The parent feeds this node no more."""
         subscription = self.subscription
         if link is not subscription.parent:
@@ -193,12 +193,12 @@
         self.locator.forget_if(link.ip)
         self.registration.due_s = 0.0
 
-    def on_alive(self, link: Link, frame: frames.Alive) -> None:
+    def on_alive(self, link: Link, frame: frames.KeepAlive) -> None:
         """The parent lives, though it has no heartbeat to pass on."""
         if link is self.subscription.parent:
             self.subscription.heard_s = self.context.now_s()
 
-    def on_servers_message(self, link: Link, frame: frames.Servers) -> None:
+    def on_servers_message(self, link: Link, frame: frames.EndpointUpdate) -> None:
         """The parent sends the list of servers, or changes of it."""
         if link is not self.subscription.parent or self.fence.rejects(link, frame.epoch):
             return
@@ -209,7 +209,7 @@
             self.children.tell(frame)
             self.servers.on_change()
 
-    def on_beat(self, link: Link, frame: frames.Beat) -> None:
+    def on_beat(self, link: Link, frame: frames.RootHeartbeat) -> None:
         """The parent passes on a heartbeat of the root."""
         subscription = self.subscription
         if (
@@ -223,8 +223,8 @@
         subscription.on_heartbeat(link, frame.epoch, now_s)
         self.servers.confirm(frame)
         self.feed.pass_beat(frame)
-        if frame.fronts and frame.fronts != self.registration.fronts:
-            self.registration.fronts = frame.fronts
+        if frame.edge_count and frame.edge_count != self.registration.fronts:
+            self.registration.fronts = frame.edge_count
             self.registration.on_assigned()
         self.configuration.note_behind(frame.revision)
         lacks = self.configuration.lacks(frame.revision) or self.servers.lacks(frame)
@@ -235,7 +235,7 @@
         """This node is going to end: others feed its children from now on; updates still come until then."""
         self.registration.leaving = True
         if self.locator.root:
-            self.context.peers.send(self.locator.root, frames.Leave(self.context.settings.node))
+            self.context.peers.send(self.locator.root, frames.LeaveNotice(self.context.settings.node))
         self.children.release()
 
     def body_sources(self) -> list[str]:
@@ -301,7 +301,7 @@
         """The core's group as of an epoch."""
         self.fence.learn_group(group, epoch)
 
-    def refer(self) -> frames.Refer:
+    def refer(self) -> frames.LeaderRedirect:
         """Where the root is, as this node knows it."""
         return self.fence.redirect()
 
--- a/cypressbeam/distribution/subscription.py
+++ b/cypressbeam/distribution/subscription.py
@@ -24,7 +24,7 @@
 class Subscription:
     """The parent, what was heard from it, and its place among the assigned parents."""
 
-    def __init__(self, context: NodeContext, request: Callable[[], frames.Attach]) -> None:
+    def __init__(self, context: NodeContext, request: Callable[[], frames.Subscribe]) -> None:
         """`request` makes the message by which this node subscribes."""
         self.context = context
         self.request = request
--- a/cypressbeam/node/control_api.py
+++ b/cypressbeam/node/control_api.py
@@ -37,6 +37,8 @@
 #: An order or read without an answer is sent again: the link may have broken. The head knows one that it has.
 AGAIN_S = 0.3
 CBOR = (b"Content-Type", b"application/cbor")
+#: How answers name the body of System.Members; callers may compare them.
+REQUEST_LABEL = "Change"
 
 
 class MembersCall(msgspec.Struct):
@@ -53,7 +55,7 @@
     """A call that waits for the chain's answer."""
 
     connection: ClientConnection
-    frame: frames.Order | frames.Read | frames.Change
+    frame: frames.WriteRequest | frames.ReadRequest | frames.MembershipChangeRequest
     due_s: float
 
 
@@ -104,7 +106,7 @@
             raise BadRequest(400, "Base-Revision: the number of a version is needed")
         # Whether it is valid says the head, which knows whether it was taken: this node's program may be another one.
         ident = self.chance.getrandbits(63)
-        return self.pass_on(frames.Order(ident, self.ip, int(given[0]), message.body), connection)
+        return self.pass_on(frames.WriteRequest(ident, self.ip, int(given[0]), message.body), connection)
 
     def read(self, message: Message, connection: ClientConnection) -> Answer | None:
         if message.method not in (b"GET", b"HEAD"):
@@ -113,7 +115,7 @@
         if better is not None:
             where = b"http://%s:%d%s" % (better[0].encode(), better[1], READ)
             return Answer(307, [(b"Location", where)])
-        return self.pass_on(frames.Read(self.chance.getrandbits(63), self.ip), connection)
+        return self.pass_on(frames.ReadRequest(self.chance.getrandbits(63), self.ip), connection)
 
     def change_members(self, message: Message, connection: ClientConnection) -> Answer | None:
         """A change of the core's group: sent again and again, as it was, until the answer is no longer 202."""
@@ -124,19 +126,25 @@
             asked = msgspec.json.decode(message.body, type=MembersCall)
         except (msgspec.DecodeError, msgspec.ValidationError) as err:
             raise BadRequest(400, f"System.Members: {err}") from None
-        frame = frames.Change(ident, self.ip, KINDS.get(asked.change, 0), asked.old, asked.new, tuple(asked.base))
+        frame = frames.MembershipChangeRequest(
+            ident, self.ip, KINDS.get(asked.change, 0), asked.old, asked.new, tuple(asked.base)
+        )
         try:
             frame.check()
         except frames.FrameError as err:
-            raise BadRequest(400, f"System.Members: {err}") from None
+            raise BadRequest(400, f"System.Members: {REQUEST_LABEL}: {err.reason}") from None
         return self.pass_on(frame, connection)
 
-    def pass_on(self, frame: frames.Order | frames.Read | frames.Change, connection: ClientConnection) -> Answer | None:
+    def pass_on(
+        self,
+        frame: frames.WriteRequest | frames.ReadRequest | frames.MembershipChangeRequest,
+        connection: ClientConnection,
+    ) -> Answer | None:
         if not self.view():
             return unavailable("the chain is not known here yet")
         if self.alone():
             return unavailable("no machine of the core is in reach")
-        name = str(frame.ident)
+        name = str(frame.request_id)
         connection.request = name
         self.calls[name] = Call(connection, frame, self.loop.time() + PATIENCE_S)
         self.press(name)
@@ -153,7 +161,7 @@
             return
         members = self.view()
         if members:
-            self.send(members[-1] if isinstance(call.frame, frames.Read) else members[0], call.frame)
+            self.send(members[-1] if isinstance(call.frame, frames.ReadRequest) else members[0], call.frame)
         self.loop.call_later(min(AGAIN_S, max(call.due_s - self.loop.time(), 0.001)), self.press, name)
 
     def settle(self, name: str, answer: Answer) -> None:
@@ -161,16 +169,16 @@
         if call is not None:
             call.connection.respond(answer)
 
-    def on_outcome(self, frame: frames.Outcome) -> None:
+    def on_outcome(self, frame: frames.WriteResult) -> None:
         headers = [(b"Retry-After", b"0.3")] if frame.status == 503 else []
-        self.settle(str(frame.ident), Answer(frame.status, headers, f"{frame.text}\n".encode()))
+        self.settle(str(frame.request_id), Answer(frame.status, headers, f"{frame.text}\n".encode()))
 
-    def on_reading(self, frame: frames.Reading) -> None:
-        self.settle(str(frame.ident), Answer(frame.status, [CBOR] if frame.body else [], frame.body))
+    def on_reading(self, frame: frames.ReadResult) -> None:
+        self.settle(str(frame.request_id), Answer(frame.status, [CBOR] if frame.body else [], frame.body))
 
-    def on_progress(self, frame: frames.Progress) -> None:
+    def on_progress(self, frame: frames.MembershipChangeStatus) -> None:
         body = msgspec.json.encode({"status": frame.status, "text": frame.text, "group": frame.group})
-        self.settle(str(frame.ident), Answer(frame.status, [JSON], body))
+        self.settle(str(frame.request_id), Answer(frame.status, [JSON], body))
 
     def client_gone(self, name: str) -> None:
         if not self.survey.client_gone(name):
--- a/cypressbeam/node/core_machine.py
+++ b/cypressbeam/node/core_machine.py
@@ -10,11 +10,11 @@
 from dataclasses import replace
 from typing import Any
 
-from cypressbeam.consensus.chain import Publish, Sync, Tell, View, ip_of
+from cypressbeam.consensus.chain import PersistEntry, Publish, SendMessage, View, ip_of
 from cypressbeam.consensus.dispatch import dispatch
-from cypressbeam.consensus.membership import Change, Members
-from cypressbeam.consensus.quorum_loss import QuorumWatch
-from cypressbeam.consensus.replacement import Replacement
+from cypressbeam.consensus.membership import MembershipChange, MembershipManager
+from cypressbeam.consensus.quorum_loss import QuorumMonitor
+from cypressbeam.consensus.replacement import ReplacementManager
 from cypressbeam.consensus.replica import (
     DEAD_S,
     STOOD_STILL_S,
@@ -80,15 +80,15 @@
         self.store = store
         self.chance: random.Random = random.SystemRandom()
         self.keeper: Keeper | None = None
-        self.members: Members | None = None
-        self.replacement: Replacement | None = None
+        self.members: MembershipManager | None = None
+        self.replacement: ReplacementManager | None = None
         self.roster = Roster(settings.node)
         self.rooted_s = self.introduced_s = 0.0
         self.above_since_s: float | None = None
         self.went_on_s = self.loop.time()
         """When the rules last had their turn."""
         self.poller: asyncio.Task[None] | None = None
-        self.early: dict[str, tuple[Link, frames.Join, float]] = {}
+        self.early: dict[str, tuple[Link, frames.JoinRequest, float]] = {}
         """Joins that came while this machine was about to be the root, and when."""
         self.tasks: set[asyncio.Task[Any]] = set()
         relay.on_epoch = self.on_epoch
@@ -100,7 +100,7 @@
         """Whom a machine that started anew tells of itself."""
         self.greeted_s = 0.0
         self.refused: set[str] = set()
-        self.quorum = QuorumWatch()
+        self.quorum = QuorumMonitor()
 
     # -- start ---------------------------------------------------------------------------------------------
 
@@ -144,8 +144,8 @@
             name, self.settings.machine_losses + 1, revision_of, configuration.digest, self.chance.random
         )
         self.keeper.checks = configuration.CHECKS
-        self.members = Members(self.keeper, self.settings.machine_losses)
-        self.replacement = Replacement(self.members, self.settings.replace_after_s)
+        self.members = MembershipManager(self.keeper, self.settings.machine_losses)
+        self.replacement = ReplacementManager(self.members, self.settings.replace_after_s)
         self.keeper.remember(loaded.own, loaded.raised, loaded.marks)
         self.noted_s = self.loop.time()
         if loaded.view is not None:
@@ -255,7 +255,7 @@
         self.relay.become_root(self.chance.getrandbits(63) | 1, self.view.epoch)
         self.roster = Roster(self.settings.node)
         self.roster.join(
-            frames.Join(
+            frames.JoinRequest(
                 self.settings.node,
                 self.settings.ip,
                 self.settings.zone,
@@ -273,7 +273,7 @@
             if not link.closed and self.rooted_s - came_s <= EARLY_S:
                 self.on_join(link, join)
 
-    def on_found(self, link: Link, frame: frames.Found) -> None:
+    def on_found(self, link: Link, frame: frames.BootstrapRequest) -> None:
         """The founding view is proposed. Only the first one is ever taken up, and it is on disk before it counts."""
         keeper = self.keeper
         if keeper is None:
@@ -281,7 +281,7 @@
         if self.settings.bootstrap:
             self.carry_out(keeper.found(View(frame.epoch, frame.chain, frame.chain), self.loop.time()))
         if keeper.member is not None:
-            link.send(frames.Founded(keeper.name, keeper.member.view.epoch, keeper.member.view.chain))
+            link.send(frames.BootstrapAck(keeper.name, keeper.member.view.epoch, keeper.member.view.chain))
 
     def greet(self) -> None:
         """A machine that the group does not count tells its members that it is there, if it may be one. Those of the
@@ -321,7 +321,7 @@
             self.keeper.leaving = True
         asked = False
         while self.keeper is not None and self.replacement is not None and self.loop.time() < until_s:
-            change = self.replacement.departure(self.loop.time())
+            change = self.replacement.departure_change(self.loop.time())
             if change is not None:
                 self.ask_for(change)
                 asked = True
@@ -329,11 +329,11 @@
                 return
             await asyncio.sleep(HAND_OVER_AGAIN_S)
 
-    def ask_for(self, change: Change) -> None:
+    def ask_for(self, change: MembershipChange) -> None:
         """Send the head an order for a change of the group, as an operator would."""
         log.info("this machine leaves; the group is to be %s", " ".join(sorted(change.steps()[-1])))
         self.on_core(
-            frames.Change(
+            frames.MembershipChangeRequest(
                 self.chance.getrandbits(63),
                 self.settings.ip,
                 change.kind,
@@ -406,7 +406,7 @@
 
     def carry_out(self, actions: Sequence[Action]) -> None:
         for action in actions:
-            if isinstance(action, Tell):
+            if isinstance(action, SendMessage):
                 self.send(action.ip, action.frame)
             elif isinstance(action, Publish):
                 self.relay.publish(action.entry.revision, action.entry.body)
@@ -417,13 +417,13 @@
             else:
                 self.spawn(self.write(action))
 
-    async def write(self, action: Sync | SavePromise | SaveView | TryDisk) -> None:
+    async def write(self, action: PersistEntry | SavePromise | SaveView | TryDisk) -> None:
         keeper = self.keeper
         if keeper is None:
             return  # what was to be written belongs to a disk that was set aside
         self.store.note(keeper.marks)
         try:
-            if isinstance(action, Sync):
+            if isinstance(action, PersistEntry):
                 await self.store.save_entry(action.entry)
                 done = keeper.synced(action.entry, self.loop.time())
             elif isinstance(action, SavePromise):
@@ -451,28 +451,30 @@
         keeper, members, now_s = self.keeper, self.members, self.loop.time()
         if keeper is None or members is None or self.replacement is None:
             return  # the disk is not read yet
-        if isinstance(frame, frames.Ask):
+        if isinstance(frame, frames.StatusQuery):
             self.carry_out(self.describe(frame, keeper, self.replacement, now_s))
         else:
             self.carry_out(dispatch(frame, keeper, members, self.replacement, now_s))
 
-    def describe(self, frame: frames.Ask, keeper: Keeper, replacement: Replacement, now_s: float) -> list[Action]:
+    def describe(
+        self, frame: frames.StatusQuery, keeper: Keeper, replacement: ReplacementManager, now_s: float
+    ) -> list[Action]:
         """What this machine holds and whom it hears, for an operator."""
-        spares = replacement.describe(frame.ident, now_s)
-        silent = self.quorum.silences() or spares.silent
+        spares = replacement.describe(frame.request_id, now_s)
+        silent = self.quorum.silences() or spares.silent_members
         return [
-            Tell(frame.origin, replace(spares, silent=silent)),
-            Tell(frame.origin, keeper.state(frame.ident, now_s)),
+            SendMessage(frame.origin, replace(spares, silent_members=silent)),
+            SendMessage(frame.origin, keeper.state(frame.request_id, now_s)),
         ]
 
     # -- the roster and the list, at the root --------------------------------------------------------------
 
-    def on_early_join(self, link: Link, frame: frames.Join) -> None:
+    def on_early_join(self, link: Link, frame: frames.JoinRequest) -> None:
         """The last of the chain is the root as soon as it leads: who has asked by then is not left to ask again."""
         if self.view is not None and self.view.members[-1:] == (self.settings.ip,):
             self.early[frame.name] = link, frame, self.loop.time()
 
-    def on_join(self, link: Link, frame: frames.Join) -> None:
+    def on_join(self, link: Link, frame: frames.JoinRequest) -> None:
         """A node asks the root for its place. One that leads no more, or can't tell, says so."""
         if not self.relay.is_root or not self.vouched():
             link.send(self.relay.refer())
--- a/cypressbeam/node/gateway_node.py
+++ b/cypressbeam/node/gateway_node.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import Any
 
-from cypressbeam.consensus.bootstrap import Founding
-from cypressbeam.consensus.chain import Tell
+from cypressbeam.consensus.bootstrap import Bootstrap
+from cypressbeam.consensus.chain import SendMessage
 from cypressbeam.distribution.failure_detector import Watch
 from cypressbeam.distribution.outlier_reports import OutlierReports
 from cypressbeam.distribution.relay import Handlers, Relay
@@ -81,9 +81,9 @@
         self.settings = settings
         self.listening = listening
         flags = (
-            (frames.FRONT if settings.front else 0)
-            | (frames.QUORUM if settings.quorum_member else 0)
-            | (frames.BOOTSTRAP if settings.bootstrap else 0)
+            (frames.SERVES_CLIENTS if settings.front else 0)
+            | (frames.MAY_BE_MEMBER if settings.quorum_member else 0)
+            | (frames.MAY_BOOTSTRAP if settings.bootstrap else 0)
         )
         self.peers = Peers(
             settings.ip, settings.peer_port, self.on_frame, self.on_lost, settings.link_mbps, settings.front is not None
@@ -99,7 +99,7 @@
             self.core = Core(settings, self.relay, self.peers.send, store or Store(settings.state_dir))
         self.survey = Survey(settings.ip, self.members, self.tell, self.peers.send)
         self.control = Control(settings.ip, self.members, self.peers.send, self.survey, self.better_reader, self.alone)
-        self.founding: Founding | None = None
+        self.founding: Bootstrap | None = None
         self.outliers = OutlierReports(self.relay.context, self.relay, self.take_outliers)
         if self.gate is not None and settings.share_faults:
             self.gate.on_fault = self.outliers.note_fault
@@ -219,7 +219,7 @@
     def begin_founding(self) -> None:
         settings = self.settings
         if settings.bootstrap and settings.seeds and settings.seeds[0][0] == settings.ip and not self.members():
-            self.founding = Founding(2 * settings.machine_losses + 1)
+            self.founding = Bootstrap(2 * settings.machine_losses + 1)
             self.found()
 
     def found(self) -> None:
@@ -227,11 +227,11 @@
         if founding is None:
             return
         if self.settings.quorum_member and self.relay.identity:
-            founding.candidate(self.relay.identity, self.loop.time())
+            founding.add_candidate(self.relay.identity, self.loop.time())
         for tell in founding.tick(self.loop.time()):
-            assert isinstance(tell, Tell)
+            assert isinstance(tell, SendMessage)
             self.peers.send(tell.ip, tell.frame)
-        if founding.done() or self.relay.registration.assignment is not None:
+        if founding.is_done() or self.relay.registration.assignment is not None:
             self.founding = None
         else:
             self.loop.call_later(FOUNDING_TICK_S, self.found)
@@ -301,7 +301,7 @@
         place = self.relay.registration.assignment
         if place is None:
             return
-        self.watch.take(place.watches, place.watch_names)
+        self.watch.take(place.probed_ips, place.probed_names)
         if self.core is not None:
             self.core.greet()
         if self.gate is not None:
@@ -311,7 +311,7 @@
         if self.relay.is_root and self.core is not None:
             self.core.on_suspect(name)
         elif self.relay.locator.root:
-            self.peers.send(self.relay.locator.root, frames.Suspect(name))
+            self.peers.send(self.relay.locator.root, frames.SuspectReport(name))
 
     # -- frames --------------------------------------------------------------------------------------------
 
@@ -321,13 +321,13 @@
     def node_handlers(self) -> Handlers:
         """What every node handles beside the messages of the tree. Replies find their request at the control calls."""
         return {
-            frames.Join: self.on_join,
-            frames.Founded: lambda link, frame: self.on_founded(frame),
-            frames.Outcome: lambda link, frame: self.control.on_outcome(frame),
-            frames.Reading: lambda link, frame: self.control.on_reading(frame),
-            frames.Progress: lambda link, frame: self.control.on_progress(frame),
-            frames.State: lambda link, frame: self.survey.on_state(frame),
-            frames.StandingBy: lambda link, frame: self.survey.on_standing_by(frame),
+            frames.JoinRequest: self.on_join,
+            frames.BootstrapAck: lambda link, frame: self.on_founded(frame),
+            frames.WriteResult: lambda link, frame: self.control.on_outcome(frame),
+            frames.ReadResult: lambda link, frame: self.control.on_reading(frame),
+            frames.MembershipChangeStatus: lambda link, frame: self.control.on_progress(frame),
+            frames.ReplicaStatus: lambda link, frame: self.survey.on_state(frame),
+            frames.SpareAnnouncement: lambda link, frame: self.survey.on_standing_by(frame),
         }
 
     def root_handlers(self, core: Core | None) -> Handlers:
@@ -335,9 +335,9 @@
         if core is None:
             return {}
         return {
-            frames.Found: core.on_found,
-            frames.Suspect: lambda link, frame: core.on_suspect(frame.name) if self.relay.is_root else None,
-            frames.Leave: lambda link, frame: core.on_gone(frame.name, "leaves") if self.relay.is_root else None,
+            frames.BootstrapRequest: core.on_found,
+            frames.SuspectReport: lambda link, frame: core.on_suspect(frame.name) if self.relay.is_root else None,
+            frames.LeaveNotice: lambda link, frame: core.on_gone(frame.name, "leaves") if self.relay.is_root else None,
         }
 
     def on_frame(self, link: Link, frame: frames.Frame) -> None:
@@ -351,21 +351,21 @@
         elif core is not None:
             core.on_core(frame)
 
-    def on_join(self, link: Link, frame: frames.Join) -> None:
+    def on_join(self, link: Link, frame: frames.JoinRequest) -> None:
         self.relay.fence.see(frame.epoch)
         if self.relay.is_root and self.core is not None:
             self.core.on_join(link, frame)
             return
         if self.core is not None:
             self.core.on_early_join(link, frame)
-        if self.founding is not None and frame.identity and not frame.placed:
-            self.founding.candidate(frame.identity, self.loop.time())
+        if self.founding is not None and frame.identity and not frame.has_assignment:
+            self.founding.add_candidate(frame.identity, self.loop.time())
         link.send(self.relay.fence.redirect())
 
-    def on_founded(self, frame: frames.Founded) -> None:
+    def on_founded(self, frame: frames.BootstrapAck) -> None:
         founding = self.founding
         if founding is not None and founding.view is not None and frame.chain == founding.view.chain:
-            founding.agreed.add(frame.name)
+            founding.acknowledged.add(frame.name)
 
 
 async def serve(settings: Settings, listening: socket.socket | None = None) -> None:
--- a/cypressbeam/node/state_query.py
+++ b/cypressbeam/node/state_query.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from cypressbeam.consensus.chain import ip_of
-from cypressbeam.consensus.quorum_loss import judge, read_silences
+from cypressbeam.consensus.quorum_loss import detect, parse_silences
 from cypressbeam.protocol import frames
 from cypressbeam.proxy.frontend import ClientConnection
 from cypressbeam.proxy.http_responses import Answer
@@ -27,7 +27,7 @@
     connection: ClientConnection
     asked: set[str] = field(default_factory=set)
     """Addresses of machines of the core."""
-    answers: dict[str, frames.State] = field(default_factory=dict)
+    answers: dict[str, frames.ReplicaStatus] = field(default_factory=dict)
     standing_by: set[str] = field(default_factory=set)
     """Names of machines that stand by, as any of the core hears them."""
     silent: tuple[str, ...] = ()
@@ -67,25 +67,25 @@
         for ip in ips:
             if ip not in question.asked:
                 question.asked.add(ip)
-                self.send(ip, frames.Ask(ident, self.ip))
+                self.send(ip, frames.StatusQuery(ident, self.ip))
 
-    def on_state(self, frame: frames.State) -> None:
-        question = self.open.get(str(frame.ident))
+    def on_state(self, frame: frames.ReplicaStatus) -> None:
+        question = self.open.get(str(frame.request_id))
         if question is None:
             return
         question.answers[ip_of(frame.name)] = frame
         # Those of the group that the chain has left out are asked too: it may be they that are looked for.
-        self.ask(frame.ident, question, tuple(ip_of(name) for name in frame.group))
+        self.ask(frame.request_id, question, tuple(ip_of(name) for name in frame.group))
         if question.asked <= question.answers.keys():
-            self.conclude(str(frame.ident))
+            self.conclude(str(frame.request_id))
 
-    def on_standing_by(self, frame: frames.StandingBy) -> None:
+    def on_standing_by(self, frame: frames.SpareAnnouncement) -> None:
         """Each machine of the core sends it before its state."""
-        question = self.open.get(str(frame.ident))
+        question = self.open.get(str(frame.request_id))
         if question is not None:
-            question.standing_by.update(frame.standing_by)
-            question.silent = frame.silent or question.silent
-            question.waits = frame.waits or question.waits
+            question.standing_by.update(frame.spares)
+            question.silent = frame.silent_members or question.silent
+            question.waits = frame.replacement_status or question.waits
 
     def conclude(self, name: str) -> None:
         question = self.open.pop(name, None)
@@ -113,19 +113,19 @@
         }
         return Answer(200, [JSON], msgspec.json.encode(told))
 
-    def quorum_loss(self, question: Question, newest: frames.State | None) -> dict[str, Any] | None:
+    def quorum_loss(self, question: Question, newest: frames.ReplicaStatus | None) -> dict[str, Any] | None:
         """Where no majority of the core answers, or none of it leads and one says that it hears no majority: what that
         means and what to do. Where nobody answers, of the machines that were asked."""
         group = newest.group if newest is not None else tuple(question.asked)
         heard = {ip: state.name for ip, state in question.answers.items()}
-        silent_s = read_silences(question.silent)
-        if not any(state.flags & frames.ROOT for state in question.answers.values()):
+        silent_s = parse_silences(question.silent)
+        if not any(state.flags & frames.IS_ROOT for state in question.answers.values()):
             heard = {ip: name for ip, name in heard.items() if ip not in silent_s}
-        loss = judge(group, heard, silent_s)
+        loss = detect(group, heard, silent_s)
         return {"here": loss.here, "missing": loss.missing, "text": loss.lines()} if loss is not None else None
 
 
-def describe(ip: str, state: frames.State | None, head: int) -> dict[str, Any]:
+def describe(ip: str, state: frames.ReplicaStatus | None, head: int) -> dict[str, Any]:
     """One machine of the core. Its lag is how many entries it is behind the newest on any disk of the chain."""
     if state is None:
         return {"ip": ip, "answers": False}
@@ -135,9 +135,9 @@
         "name": state.name,
         "epoch": state.epoch,
         "promised": state.promised,
-        "active": bool(state.flags & frames.ACTIVE),
+        "active": bool(state.flags & frames.VIEW_ACTIVE),
         "disk": bool(state.flags & frames.DISK_WORKS),
-        "root": bool(state.flags & frames.ROOT),
+        "root": bool(state.flags & frames.IS_ROOT),
         "revision": state.revision,
         "number": state.number,
         "committed": state.committed,
--- a/cypressbeam/protocol/frames/blobs.py
+++ b/cypressbeam/protocol/frames/blobs.py
@@ -8,43 +8,43 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Want(Frame):
+class ChunkRequest(Frame):
     """A request for a chunk of a packed body, to any node that may have it. The answer is `Slice` or `Lacking`."""
 
-    KIND = 27
-    FORM = "bbii"
-    mark: bytes
+    CODE = 27
+    FIELDS = "bbii"
+    digest: bytes
     """The body's digest."""
-    bases: bytes
+    base_digests: bytes
     """Digests of bodies that the requesting node has, the newest last; a later request names the one of the first."""
-    at: int
+    offset: int
     """The first byte of the packed body that is wanted."""
     length: int
     """How many bytes from there on."""
 
 
 @dataclass(frozen=True, slots=True)
-class Slice(Frame):
+class Chunk(Frame):
     """A chunk of a body, packed on a base that the receiver has, or on none."""
 
-    KIND = 28
-    FORM = "bbiib"
-    mark: bytes
+    CODE = 28
+    FIELDS = "bbiib"
+    digest: bytes
     """The body's digest."""
-    base: bytes
+    base_digest: bytes
     """The base's digest, or nothing."""
     total: int
     """Bytes of the packed body."""
-    at: int
+    offset: int
     """Where in it the chunk begins."""
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Lacking(Frame):
+class BlobNotFound(Frame):
     """The body that was requested is not here: the receiver asks another node."""
 
-    KIND = 29
-    FORM = "b"
-    mark: bytes
+    CODE = 29
+    FIELDS = "b"
+    digest: bytes
     """The body's digest."""
--- a/cypressbeam/protocol/frames/chain.py
+++ b/cypressbeam/protocol/frames/chain.py
@@ -8,16 +8,16 @@
 from dataclasses import dataclass
 
 from cypressbeam.protocol.frames.codec import Frame
-from cypressbeam.protocol.frames.validation import check_epochs, check_number, demand
+from cypressbeam.protocol.frames.validation import check_epochs, check_number, require
 
 
 @dataclass(frozen=True, slots=True)
-class Order(Frame):
+class WriteRequest(Frame):
     """A write request: the node that took an operator's call sends a new configuration to the head of the chain."""
 
-    KIND = 10
-    FORM = "qsqdc"
-    ident: int
+    CODE = 10
+    FIELDS = "qsqdc"
+    request_id: int
     origin: str
     base: int
     """The revision that the write is conditional on."""
@@ -28,12 +28,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome(Frame):
+class WriteResult(Frame):
     """The reply to `Order`, from the member that decided it to the request's origin."""
 
-    KIND = 11
-    FORM = "qhs"
-    ident: int
+    CODE = 11
+    FIELDS = "qhs"
+    request_id: int
     status: int
     """An HTTP status: 200 committed, 400 invalid, 412 another revision is current, 503 to be sent again."""
     text: str
@@ -41,11 +41,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Forward(Frame):
+class ForwardEntry(Frame):
     """An entry on its way down the chain, from each member to its successor once it is on the sender's disk."""
 
-    KIND = 12
-    FORM = "qqqqdqs"
+    CODE = 12
+    FIELDS = "qqqqdqs"
     epoch: int
     """Of the view; members of another one refuse the entry."""
     number: int
@@ -55,7 +55,7 @@
     base: int
     """The revision before it."""
     body: bytes
-    ident: int
+    request_id: int
     """Of the write request that the tail is to answer; 0: none."""
     origin: str
     """Where that request came from; nothing: none."""
@@ -63,41 +63,41 @@
     def check(self) -> None:
         """The entry has a number and a body."""
         check_epochs(self, self.epoch)
-        demand(self.number > 0, self, "it has no number")
+        require(self.number > 0, self, "it has no number")
         check_number(self, self.number, self.body)
 
 
 @dataclass(frozen=True, slots=True)
-class Committed(Frame):
+class CommitNotice(Frame):
     """An acknowledgement up the chain, from each member to its predecessor: the tail has synced all entries up to this
     one."""
 
-    KIND = 13
-    FORM = "qq"
+    CODE = 13
+    FIELDS = "qq"
     epoch: int
     number: int
     """The number of the newest committed entry."""
 
 
 @dataclass(frozen=True, slots=True)
-class Read(Frame):
+class ReadRequest(Frame):
     """A read request: the node that took an operator's call asks the tail for the newest configuration."""
 
-    KIND = 14
-    FORM = "qsc"
-    ident: int
+    CODE = 14
+    FIELDS = "qsc"
+    request_id: int
     origin: str
     hops: int = 0
     """As in `Order`."""
 
 
 @dataclass(frozen=True, slots=True)
-class Reading(Frame):
+class ReadResult(Frame):
     """The reply to `Read`, from the tail to the request's origin."""
 
-    KIND = 15
-    FORM = "qhd"
-    ident: int
+    CODE = 15
+    FIELDS = "qhd"
+    request_id: int
     status: int
     """An HTTP status: 200, or 404 where there is no configuration yet."""
     body: bytes
--- a/cypressbeam/protocol/frames/codec.py
+++ b/cypressbeam/protocol/frames/codec.py
@@ -7,17 +7,17 @@
 from typing import ClassVar, Self
 
 from cypressbeam.protocol.configuration import digest
-from cypressbeam.protocol.frames.validation import LEAST_EPOCH, MOST_EPOCH, FrameError, check_epochs
+from cypressbeam.protocol.frames.validation import MAX_EPOCH, MIN_EPOCH, FrameError, check_epochs
 
 #: A frame's header on a stream: the length of what follows, and the message's code.
-HEAD = struct.Struct("!IB")
+HEADER = struct.Struct("!IB")
 #: Bytes that may follow a header.
-MOST_FRAME = 16 * 1024 * 1024
+MAX_FRAME_BYTES = 16 * 1024 * 1024
 U8, U16, U32, U64 = struct.Struct("!B"), struct.Struct("!H"), struct.Struct("!I"), struct.Struct("!Q")
 #: Bytes of a digest (SHA-256).
-DIGEST = 32
+DIGEST_BYTES = 32
 #: Forms that are numbers.
-NUMBERS = {"c": U8, "h": U16, "i": U32, "q": U64, "e": U64}
+NUMBER_FORMS = {"c": U8, "h": U16, "i": U32, "q": U64, "e": U64}
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,15 +29,15 @@
     goes onto the wire as its digest, and is that digest after `unpack`.
     """
 
-    KIND: ClassVar[int] = 0
-    FORM: ClassVar[str] = ""
+    CODE: ClassVar[int] = 0
+    FIELDS: ClassVar[str] = ""
 
     def pack(self) -> bytes:
         """The frame with its header, as it goes onto a stream."""
         body = b"".join(
-            _pack(form, getattr(self, field.name)) for form, field in zip(self.FORM, fields(self), strict=True)
+            _pack(form, getattr(self, field.name)) for form, field in zip(self.FIELDS, fields(self), strict=True)
         )
-        return HEAD.pack(len(body), self.KIND) + body
+        return HEADER.pack(len(body), self.CODE) + body
 
     @classmethod
     def unpack(cls, data: bytes) -> Self:
@@ -45,13 +45,13 @@
         values: list[object] = []
         at = 0
         try:
-            for form in cls.FORM:
+            for form in cls.FIELDS:
                 value, at = _unpack(form, data, at)
                 values.append(value)
         except (struct.error, UnicodeDecodeError) as err:
-            raise FrameError(f"{cls.__name__}: {err}") from None
+            raise FrameError(str(err), cls.__name__) from None
         if at != len(data):
-            raise FrameError(f"{cls.__name__}: {len(data) - at} bytes too many")
+            raise FrameError(f"{len(data) - at} bytes too many", cls.__name__)
         frame = cls(*values)
         frame.check()
         return frame
@@ -60,14 +60,14 @@
         """Raises FrameError for values that no node sends: an epoch, a member, a count or a digest that cannot be."""
         check_epochs(self, getattr(self, "epoch", 0))
 
-    def body_field(self) -> bytes:
+    def body_or_digest(self) -> bytes:
         """The body that the message names, or its digest where the message comes from a stream; often none."""
-        return getattr(self, "body", b"") if "d" in self.FORM else b""
+        return getattr(self, "body", b"") if "d" in self.FIELDS else b""
 
 
 def _pack(form: str, value: object) -> bytes:
-    if form in NUMBERS:
-        return NUMBERS[form].pack(value)
+    if form in NUMBER_FORMS:
+        return NUMBER_FORMS[form].pack(value)
     if form == "s":
         assert isinstance(value, str)
         text = value.encode()
@@ -77,14 +77,14 @@
         return U32.pack(len(value)) + value
     if form == "d":
         assert isinstance(value, bytes)
-        return digest(value) if value else bytes(DIGEST)
+        return digest(value) if value else bytes(DIGEST_BYTES)
     assert form == "l" and isinstance(value, tuple)
     return U16.pack(len(value)) + b"".join(_pack("s", item) for item in value)
 
 
 def _unpack(form: str, data: bytes, at: int) -> tuple[object, int]:
     """The field that begins at a byte, and where the next one begins."""
-    if form in NUMBERS:
+    if form in NUMBER_FORMS:
         return _unpack_number(form, data, at)
     if form == "l":
         return _unpack_texts(data, at)
@@ -100,9 +100,9 @@
 
 
 def _unpack_number(form: str, data: bytes, at: int) -> tuple[int, int]:
-    number = NUMBERS[form]
+    number = NUMBER_FORMS[form]
     (value,) = number.unpack_from(data, at)
-    if form == "e" and value and not LEAST_EPOCH <= value <= MOST_EPOCH:
+    if form == "e" and value and not MIN_EPOCH <= value <= MAX_EPOCH:
         raise FrameError(f"no epoch can be {value}")
     return value, at + number.size
 
@@ -118,7 +118,7 @@
 
 
 def _unpack_digest(data: bytes, at: int) -> tuple[bytes, int]:
-    mark = data[at : at + DIGEST]
-    if len(mark) < DIGEST:
+    mark = data[at : at + DIGEST_BYTES]
+    if len(mark) < DIGEST_BYTES:
         raise FrameError("a digest ends behind the frame")
-    return (mark if any(mark) else b""), at + DIGEST
+    return (mark if any(mark) else b""), at + DIGEST_BYTES
--- a/cypressbeam/protocol/frames/consensus.py
+++ b/cypressbeam/protocol/frames/consensus.py
@@ -9,15 +9,15 @@
 from dataclasses import dataclass
 
 from cypressbeam.protocol.frames.codec import Frame
-from cypressbeam.protocol.frames.validation import check_epochs, check_member, check_number, check_view, demand
+from cypressbeam.protocol.frames.validation import check_epochs, check_member, check_number, check_view, require
 
 
 @dataclass(frozen=True, slots=True)
-class Found(Frame):
+class BootstrapRequest(Frame):
     """The founding node proposes the first view to its members, in the order of the chain."""
 
-    KIND = 16
-    FORM = "ql"
+    CODE = 16
+    FIELDS = "ql"
     epoch: int
     chain: tuple[str, ...]
     """Names of all members, from head to tail."""
@@ -28,11 +28,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Founded(Frame):
+class BootstrapAck(Frame):
     """The reply to `Found`: a view is on the member's disk, be it this one or an earlier one."""
 
-    KIND = 17
-    FORM = "sql"
+    CODE = 17
+    FIELDS = "sql"
     name: str
     """The member's name."""
     epoch: int
@@ -46,51 +46,51 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pulse(Frame):
+class ReplicaHeartbeat(Frame):
     """Heartbeat between members, and from machines that stand by; each is echoed at once, which proves contact. It
     carries the sender's high-water marks, by which a rollback of its disk is detected (rollback_detection.py)."""
 
-    KIND = 18
-    FORM = "sqqccqqqqqqq"
+    CODE = 18
+    FIELDS = "sqqccqqqqqqq"
     name: str
     """The sender's name."""
     epoch: int
     """Of the view that it holds."""
     promised: int
     """The epoch that it has promised."""
-    disk: int
+    disk_flags: int
     """0: it refuses writes, or the sender is a machine that leaves; otherwise 1, and twice the version of the sender's
     check of configurations."""
-    standing: int = 1
+    disk_state: int = 1
     """What its disk counts for: EMPTY, LEVEL or COUNTED (replica.py)."""
-    number: int = 0
+    sequence: int = 0
     """To be echoed; 0: not to be answered."""
-    echo: int = 0
+    echoed_sequence: int = 0
     """The number of the heartbeat that this one answers, or 0."""
     incarnation: int = 0
     """How often its process has been started from this disk."""
     draw: int = 0
     """A random number that was drawn for this incarnation."""
-    kept: int = 0
+    durable_promise: int = 0
     """The promise that is on disk; a higher one may be on its way there."""
-    held: int = 0
+    stored_epoch: int = 0
     """The epoch of the newest view on disk."""
-    entry: int = 0
+    stored_number: int = 0
     """The number of the newest entry on disk."""
 
     def check(self) -> None:
         """The sender is a member, and its promise is not below its view."""
         check_member(self, self.name)
         check_epochs(self, self.epoch, self.promised)
-        demand(self.epoch <= self.promised, self, "a promise below the view that is held")
+        require(self.epoch <= self.promised, self, "a promise below the view that is held")
 
 
 @dataclass(frozen=True, slots=True)
-class ViewIs(Frame):
+class ViewAnnouncement(Frame):
     """The newest view, sent to a member whose heartbeat told of an older one."""
 
-    KIND = 19
-    FORM = "qll"
+    CODE = 19
+    FIELDS = "qll"
     epoch: int
     chain: tuple[str, ...]
     group: tuple[str, ...]
@@ -104,13 +104,13 @@
 class Prepare(Frame):
     """Phase 1 of a ballot: a proposer asks each member of the group to take part in no lower epoch."""
 
-    KIND = 20
-    FORM = "qsq"
+    CODE = 20
+    FIELDS = "qsq"
     epoch: int
     """The ballot."""
     name: str
     """The proposer's name."""
-    since: int = 0
+    digests_since: int = 0
     """The revision up to which the proposer's deduplication table is complete."""
 
     def check(self) -> None:
@@ -123,13 +123,13 @@
 class Promise(Frame):
     """The reply to `Prepare`, once the promise is on the member's disk: what the member holds."""
 
-    KIND = 21
-    FORM = "qsqllqqqqdbqqq"
+    CODE = 21
+    FIELDS = "qsqllqqqqdbqqq"
     epoch: int
     """The ballot."""
     name: str
     """The member's name."""
-    view: int
+    view_epoch: int
     """The epoch of the newest view that it knows."""
     chain: tuple[str, ...]
     """Of that view."""
@@ -145,21 +145,21 @@
     """The revision before it."""
     body: bytes
     """Its configuration; on the wire its digest."""
-    taken: bytes
+    applied_digests: bytes
     """Digests of applied writes above the revision that the proposer named (deduplication.py)."""
     incarnation: int = 0
     """As in `Pulse`."""
     draw: int = 0
     """As in `Pulse`."""
-    held: int = 0
+    stored_epoch: int = 0
     """The epoch of the newest view on the sender's disk; `view` may be one that it was only told of."""
 
     def check(self) -> None:
         """View and entry are sound, and the entry is below the ballot."""
         check_member(self, self.name)
-        check_view(self, self.view, self.chain, self.group)
+        check_view(self, self.view_epoch, self.chain, self.group)
         check_epochs(self, self.epoch, self.entry_epoch)
-        demand(self.entry_epoch < self.epoch, self, "it tells of an entry above its promise")
+        require(self.entry_epoch < self.epoch, self, "it tells of an entry above its promise")
         check_number(self, self.number, self.body)
 
 
@@ -167,8 +167,8 @@
 class Accept(Frame):
     """Phase 2 of a ballot: the proposer sends the new view, and the entry that its whole chain begins with."""
 
-    KIND = 22
-    FORM = "qllqqqdbq"
+    CODE = 22
+    FIELDS = "qllqqqdbq"
     epoch: int
     """The ballot, which is the view's epoch."""
     chain: tuple[str, ...]
@@ -178,9 +178,9 @@
     revision: int
     base: int
     body: bytes
-    taken: bytes
+    applied_digests: bytes
     """Digests of applied writes above `since` (deduplication.py)."""
-    since: int = 0
+    digests_since: int = 0
     """The revision up to which the receiver has told that it holds the digests."""
 
     def check(self) -> None:
@@ -190,27 +190,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Confirm(Frame):
+class QuorumReadCheck(Frame):
     """Read index: before it answers, the tail asks each member whether its epoch is still the newest promised one."""
 
-    KIND = 23
-    FORM = "qqs"
+    CODE = 23
+    FIELDS = "qqs"
     epoch: int
     """Of the tail's view."""
-    ident: int
+    request_id: int
     """Of the request that waits."""
     origin: str
     """The tail's address."""
 
 
 @dataclass(frozen=True, slots=True)
-class Confirmed(Frame):
+class QuorumReadAck(Frame):
     """The reply to `Confirm` of a member that has promised no higher epoch."""
 
-    KIND = 24
-    FORM = "qqs"
+    CODE = 24
+    FIELDS = "qqs"
     epoch: int
-    ident: int
+    request_id: int
     name: str
     """The member's name."""
 
@@ -221,12 +221,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StaleDisk(Frame):
+class RollbackNotice(Frame):
     """Rollback detection: a member tells another one, whose heartbeat told less than an earlier one, the highest marks
     that it told. One that has less on its disk starts with an empty one (rollback_detection.py)."""
 
-    KIND = 48
-    FORM = "sqqqqq"
+    CODE = 48
+    FIELDS = "sqqqqq"
     name: str
     """The receiver's name."""
     incarnation: int
--- a/cypressbeam/protocol/frames/health.py
+++ b/cypressbeam/protocol/frames/health.py
@@ -8,31 +8,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Suspect(Frame):
+class SuspectReport(Frame):
     """A node that was assigned to monitor another tells the root that it does not answer."""
 
-    KIND = 8
-    FORM = "s"
+    CODE = 8
+    FIELDS = "s"
     name: str
     """The suspected node's name."""
 
 
 @dataclass(frozen=True, slots=True)
-class Leave(Frame):
+class LeaveNotice(Frame):
     """A node tells the root that it is about to end."""
 
-    KIND = 9
-    FORM = "s"
+    CODE = 9
+    FIELDS = "s"
     name: str
     """The node's own name."""
 
 
 @dataclass(frozen=True, slots=True)
-class Ailing(Frame):
+class OutlierReport(Frame):
     """A node reports servers whose requests have failed at it lately; from child to parent up to the root."""
 
-    KIND = 32
-    FORM = "cssl"
+    CODE = 32
+    FIELDS = "cssl"
     hops: int
     """How many nodes have passed it on: a circle of parents ends by this count."""
     name: str
@@ -44,11 +44,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict(Frame):
+class OutlierEjection(Frame):
     """The root's finding that servers fail for many nodes of a zone; from parent to child down the tree."""
 
-    KIND = 33
-    FORM = "sle"
+    CODE = 33
+    FIELDS = "sle"
     zone: str
     """The zone whose nodes it concerns."""
     servers: tuple[str, ...]
--- a/cypressbeam/protocol/frames/membership.py
+++ b/cypressbeam/protocol/frames/membership.py
@@ -4,31 +4,31 @@
 
 from dataclasses import dataclass
 
-from cypressbeam.protocol.frames.codec import DIGEST, Frame
+from cypressbeam.protocol.frames.codec import DIGEST_BYTES, Frame
 from cypressbeam.protocol.frames.validation import (
-    MOST_NAMED,
+    MAX_GROUP_SIZE,
     check_epochs,
     check_member,
     check_number,
     check_view,
-    demand,
+    require,
 )
 
 ADD_MEMBER, REMOVE_MEMBER, REPLACE_MEMBER = 1, 2, 3
 
 
 @dataclass(frozen=True, slots=True)
-class Change(Frame):
+class MembershipChangeRequest(Frame):
     """A membership change: the node that took an operator's call sends it to the head of the chain, again and again
     until it is done."""
 
-    KIND = 42
-    FORM = "qscsslc"
-    ident: int
+    CODE = 42
+    FIELDS = "qscsslc"
+    request_id: int
     """A random number by which the reply finds the request."""
     origin: str
     """The address of the node that took the call."""
-    change: int
+    kind: int
     """1: add `new`; 2: remove `old`; 3: both, in this order."""
     old: str
     """An address, or nothing."""
@@ -41,17 +41,17 @@
 
     def check(self) -> None:
         """The kind of change and the group are possible."""
-        demand(self.change in (ADD_MEMBER, REMOVE_MEMBER, REPLACE_MEMBER), self, f"change {self.change} cannot be")
-        demand(0 < len(self.base) == len(set(self.base)) <= MOST_NAMED, self, "its group cannot be")
+        require(self.kind in (ADD_MEMBER, REMOVE_MEMBER, REPLACE_MEMBER), self, f"change {self.kind} cannot be")
+        require(0 < len(self.base) == len(set(self.base)) <= MAX_GROUP_SIZE, self, "its group cannot be")
 
 
 @dataclass(frozen=True, slots=True)
-class Progress(Frame):
+class MembershipChangeStatus(Frame):
     """The reply to `Change`, from the head to the request's origin: how far the change is."""
 
-    KIND = 43
-    FORM = "qhsl"
-    ident: int
+    CODE = 43
+    FIELDS = "qhsl"
+    request_id: int
     status: int
     """An HTTP status: 200 done, 202 under way, 404, 409 or 412 refused."""
     text: str
@@ -61,11 +61,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Level(Frame):
+class CatchUp(Frame):
     """State transfer: the head sends its view and newest entry to a machine that stands by and is to be a member."""
 
-    KIND = 44
-    FORM = "ssqllqqqqdb"
+    CODE = 44
+    FIELDS = "ssqllqqqqdb"
     name: str
     """The receiver's name."""
     origin: str
@@ -81,7 +81,7 @@
     revision: int
     base: int
     body: bytes
-    taken: bytes
+    applied_digests: bytes
     """The deduplication table, the first time; later nothing (deduplication.py)."""
 
     def check(self) -> None:
@@ -93,20 +93,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Levelled(Frame):
+class CatchUpAck(Frame):
     """The reply to `Level`: a view is on the disk of the machine that stands by, and that entry's body is there."""
 
-    KIND = 45
-    FORM = "sqqb"
+    CODE = 45
+    FIELDS = "sqqb"
     name: str
     """The sender's name."""
     epoch: int
     number: int
-    mark: bytes
+    digest: bytes
     """The body's digest; nothing where there is no entry yet."""
 
     def check(self) -> None:
         """An entry has a digest."""
         check_member(self, self.name)
         check_epochs(self, self.epoch)
-        demand(len(self.mark) == (DIGEST if self.number else 0), self, "its digest cannot be")
+        require(len(self.digest) == (DIGEST_BYTES if self.number else 0), self, "its digest cannot be")
--- a/cypressbeam/protocol/frames/registry.py
+++ b/cypressbeam/protocol/frames/registry.py
@@ -2,76 +2,94 @@
 
 from __future__ import annotations
 
-from cypressbeam.protocol.frames.blobs import Lacking, Slice, Want
-from cypressbeam.protocol.frames.chain import Committed, Forward, Order, Outcome, Read, Reading
+from cypressbeam.protocol.frames.blobs import BlobNotFound, Chunk, ChunkRequest
+from cypressbeam.protocol.frames.chain import (
+    CommitNotice,
+    ForwardEntry,
+    ReadRequest,
+    ReadResult,
+    WriteRequest,
+    WriteResult,
+)
 from cypressbeam.protocol.frames.codec import Frame
 from cypressbeam.protocol.frames.consensus import (
     Accept,
-    Confirm,
-    Confirmed,
-    Found,
-    Founded,
+    BootstrapAck,
+    BootstrapRequest,
     Prepare,
     Promise,
-    Pulse,
-    StaleDisk,
-    ViewIs,
+    QuorumReadAck,
+    QuorumReadCheck,
+    ReplicaHeartbeat,
+    RollbackNotice,
+    ViewAnnouncement,
+)
+from cypressbeam.protocol.frames.health import LeaveNotice, OutlierEjection, OutlierReport, SuspectReport
+from cypressbeam.protocol.frames.membership import CatchUp, CatchUpAck, MembershipChangeRequest, MembershipChangeStatus
+from cypressbeam.protocol.frames.status import ReplicaStatus, SpareAnnouncement, StatusQuery
+from cypressbeam.protocol.frames.tree import (
+    ConfigurationAnnouncement,
+    ConfigurationDelta,
+    EndpointUpdate,
+    JoinRequest,
+    KeepAlive,
+    LeaderRedirect,
+    ParentAssignment,
+    RootHeartbeat,
+    Subscribe,
+    Unsubscribed,
 )
-from cypressbeam.protocol.frames.health import Ailing, Leave, Suspect, Verdict
-from cypressbeam.protocol.frames.membership import Change, Level, Levelled, Progress
-from cypressbeam.protocol.frames.status import Ask, StandingBy, State
-from cypressbeam.protocol.frames.tree import Alive, Attach, Beat, Join, News, Place, Refer, Released, Servers, Update
 from cypressbeam.protocol.frames.validation import FrameError
 
-FRAMES: dict[int, type[Frame]] = {
-    kind.KIND: kind
+FRAME_TYPES: dict[int, type[Frame]] = {
+    kind.CODE: kind
     for kind in (
-        Join,
-        Refer,
-        Place,
-        Attach,
-        News,
-        Servers,
-        Beat,
-        Suspect,
-        Leave,
-        Order,
-        Outcome,
-        Forward,
-        Committed,
-        Read,
-        Reading,
-        Found,
-        Founded,
-        Pulse,
-        ViewIs,
+        JoinRequest,
+        LeaderRedirect,
+        ParentAssignment,
+        Subscribe,
+        ConfigurationAnnouncement,
+        EndpointUpdate,
+        RootHeartbeat,
+        SuspectReport,
+        LeaveNotice,
+        WriteRequest,
+        WriteResult,
+        ForwardEntry,
+        CommitNotice,
+        ReadRequest,
+        ReadResult,
+        BootstrapRequest,
+        BootstrapAck,
+        ReplicaHeartbeat,
+        ViewAnnouncement,
         Prepare,
         Promise,
         Accept,
-        Confirm,
-        Confirmed,
-        Ask,
-        State,
-        Want,
-        Slice,
-        Lacking,
-        Released,
-        Alive,
-        Ailing,
-        Verdict,
-        Change,
-        Progress,
-        Level,
-        Levelled,
-        StandingBy,
-        Update,
-        StaleDisk,
+        QuorumReadCheck,
+        QuorumReadAck,
+        StatusQuery,
+        ReplicaStatus,
+        ChunkRequest,
+        Chunk,
+        BlobNotFound,
+        Unsubscribed,
+        KeepAlive,
+        OutlierReport,
+        OutlierEjection,
+        MembershipChangeRequest,
+        MembershipChangeStatus,
+        CatchUp,
+        CatchUpAck,
+        SpareAnnouncement,
+        ConfigurationDelta,
+        RollbackNotice,
     )
 }
 
 
 def unpack(kind: int, body: bytes) -> Frame:
     """A message by its code. Raises FrameError."""
-    if kind not in FRAMES:
+    if kind not in FRAME_TYPES:
         raise FrameError(f"unknown kind {kind}")
-    return FRAMES[kind].unpack(body)
+    return FRAME_TYPES[kind].unpack(body)
--- a/cypressbeam/protocol/frames/status.py
+++ b/cypressbeam/protocol/frames/status.py
@@ -7,28 +7,28 @@
 from cypressbeam.protocol.frames.codec import Frame
 
 #: Flags of a machine of the core: it holds a view that is active, its disk takes writes, it is the root.
-ACTIVE, DISK_WORKS, ROOT = 1, 2, 4
+VIEW_ACTIVE, DISK_WORKS, IS_ROOT = 1, 2, 4
 
 
 @dataclass(frozen=True, slots=True)
-class Ask(Frame):
+class StatusQuery(Frame):
     """A status query, from the node that an operator asked to each machine of the core."""
 
-    KIND = 25
-    FORM = "qs"
-    ident: int
+    CODE = 25
+    FIELDS = "qs"
+    request_id: int
     """A random number by which replies find the query."""
     origin: str
     """The querying node's address."""
 
 
 @dataclass(frozen=True, slots=True)
-class State(Frame):
+class ReplicaStatus(Frame):
     """The reply to `Ask`: what a machine of the core holds."""
 
-    KIND = 26
-    FORM = "qsqllqqqqc"
-    ident: int
+    CODE = 26
+    FIELDS = "qsqllqqqqc"
+    request_id: int
     name: str
     """The machine's name as a member."""
     epoch: int
@@ -48,17 +48,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StandingBy(Frame):
+class SpareAnnouncement(Frame):
     """Sent beside `State`: the machines that stand by, and at the head also the members that are silent."""
 
-    KIND = 46
-    FORM = "qslls"
-    ident: int
+    CODE = 46
+    FIELDS = "qslls"
+    request_id: int
     name: str
     """The sender's name."""
-    standing_by: tuple[str, ...]
+    spares: tuple[str, ...]
     """Names of machines that stand by, as the sender hears them."""
-    silent: tuple[str, ...]
+    silent_members: tuple[str, ...]
     """A member's address and the seconds since it was heard, each."""
-    waits: str
+    replacement_status: str
     """What an automatic replacement waits for, in words; or nothing."""
--- a/cypressbeam/protocol/frames/tree.py
+++ b/cypressbeam/protocol/frames/tree.py
@@ -12,25 +12,25 @@
 
 #: Flags of a node: it serves clients; it may be a member of the core; it is named to found one; its event loop is
 #: late, and it should have no children.
-FRONT, QUORUM, BOOTSTRAP, SLOW = 1, 2, 4, 8
+SERVES_CLIENTS, MAY_BE_MEMBER, MAY_BOOTSTRAP, IS_OVERLOADED = 1, 2, 4, 8
 
 
 @dataclass(frozen=True, slots=True)
-class Join(Frame):
+class JoinRequest(Frame):
     """A node registers itself: to a seed, a machine of the core or the root; repeated, for the root's node registry is
     soft state. The root answers with `Place`, any other node with `Refer`."""
 
-    KIND = 1
-    FORM = "sssccssiee"
+    CODE = 1
+    FIELDS = "sssccssiee"
     name: str
     """The node's name, unique in the system."""
     ip: str
     zone: str
     flags: int
     """FRONT, QUORUM, BOOTSTRAP, SLOW."""
-    placed: int
+    has_assignment: int
     """1 from a node that already has an assignment, else 0."""
-    lost: str
+    lost_parent: str
     """The address of a parent that has fallen silent, or nothing."""
     identity: str = ""
     """Of a machine with a disk: its name as a member, address and identity."""
@@ -38,44 +38,44 @@
     """The rate of its link, in kbit/s."""
     epoch: int = 0
     """The highest that it has seen; 0: none."""
-    fed: int = 0
+    acknowledged_epoch: int = 0
     """The epoch of the newest assignment or heartbeat that it was given: proof to the root that it is heard."""
 
 
 @dataclass(frozen=True, slots=True)
-class Refer(Frame):
+class LeaderRedirect(Frame):
     """Where the root is: the answer of a node that is not the root to `Join`, and of any node to a message of an older
     epoch. A new root sends it unasked to the seeds."""
 
-    KIND = 2
-    FORM = "sel"
-    root: str
+    CODE = 2
+    FIELDS = "sel"
+    leader: str
     """The root's address; empty: the sender cannot vouch for any."""
     epoch: int = 0
     """The highest that the sender has seen a root lead in."""
-    members: tuple[str, ...] = ()
+    group: tuple[str, ...] = ()
     """Addresses of the core's group, as the sender knows it: others to ask."""
 
 
 @dataclass(frozen=True, slots=True)
-class Place(Frame):
+class ParentAssignment(Frame):
     """The root's answer to `Join`: the parents and the monitored peers that it assigns to the node."""
 
-    KIND = 3
-    FORM = "ellllhhhl"
+    CODE = 3
+    FIELDS = "ellllhhhl"
     epoch: int
     """In which the root leads."""
-    members: tuple[str, ...]
+    chain: tuple[str, ...]
     """Addresses of the chain, from head to tail."""
     parents: tuple[str, ...]
     """Addresses of parents, to be tried in this order."""
-    watches: tuple[str, ...]
+    probed_ips: tuple[str, ...]
     """Addresses of the nodes that this one is to probe."""
-    watch_names: tuple[str, ...]
+    probed_names: tuple[str, ...]
     """Their names, in the same order."""
-    fronts: int
+    edge_count: int
     """How many nodes serve clients."""
-    zone_fronts: int
+    zone_edge_count: int
     """How many of these are in the node's zone."""
     index: int
     """The node's number among those that serve clients, from 0."""
@@ -84,46 +84,46 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Attach(Frame):
+class Subscribe(Frame):
     """A child subscribes at its parent and tells what it has; the parent sends what it lacks, and all updates from then
     on. A parent that has no root itself answers with `Released`."""
 
-    KIND = 4
-    FORM = "sqqie"
+    CODE = 4
+    FIELDS = "sqqie"
     name: str
     """The child's name."""
     revision: int
     """Of the configuration that it has; 0: none."""
-    life: int
+    term: int
     """The root's term whose list of servers it has (see `Servers`); 0: none."""
-    seq: int
+    sequence: int
     """That list's sequence number."""
     epoch: int = 0
     """The highest that the child has seen."""
 
 
 @dataclass(frozen=True, slots=True)
-class News(Frame):
+class ConfigurationAnnouncement(Frame):
     """Parent to child: a configuration is committed. Its body is to be fetched from the sender (`Want`)."""
 
-    KIND = 5
-    FORM = "qbe"
+    CODE = 5
+    FIELDS = "qbe"
     revision: int
-    mark: bytes
+    digest: bytes
     """The body's digest."""
     epoch: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Update(Frame):
+class ConfigurationDelta(Frame):
     """Parent to child: a configuration is committed, and what it changes is small enough to be in the message."""
 
-    KIND = 50
-    FORM = "qbbbe"
+    CODE = 50
+    FIELDS = "qbbbe"
     revision: int
-    mark: bytes
+    digest: bytes
     """The body's digest."""
-    base: bytes
+    base_digest: bytes
     """The digest of the version before, on which the data is packed (delta.py)."""
     data: bytes
     """The body, packed on that base."""
@@ -131,16 +131,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Servers(Frame):
+class EndpointUpdate(Frame):
     """Parent to child: the list of servers, whole or as the changes from one sequence number to a later one."""
 
-    KIND = 6
-    FORM = "qiicbe"
-    life: int
+    CODE = 6
+    FIELDS = "qiicbe"
+    term: int
     """A random number that the root has drawn for its term; sequence numbers count within it."""
-    since: int
+    base_sequence: int
     """The sequence number that the changes apply to."""
-    seq: int
+    sequence: int
     """The sequence number that they lead to."""
     whole: int
     """1: the rows are the whole list; 0: changes."""
@@ -150,19 +150,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Beat(Frame):
+class RootHeartbeat(Frame):
     """The root's heartbeat, from parent to child down the tree, with what is newest at the root. A child that lacks one
     of these subscribes again."""
 
-    KIND = 7
-    FORM = "qiqhie"
-    life: int
+    CODE = 7
+    FIELDS = "qiqhie"
+    term: int
     """The root's term, as in `Servers`."""
-    seq: int
+    sequence: int
     """The newest sequence number of the list of servers."""
     revision: int
     """Of the newest committed configuration."""
-    fronts: int
+    edge_count: int
     """How many nodes serve clients; 0: not known yet."""
     number: int = 0
     """Rises with each heartbeat of a term: one that comes a second time has gone in a circle."""
@@ -171,18 +171,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Alive(Frame):
+class KeepAlive(Frame):
     """Keep-alive from parent to child while there is no heartbeat of the root to pass on: the sender searches for the
     root, and its children stay with it for a while."""
 
-    KIND = 31
-    FORM = ""
+    CODE = 31
+    FIELDS = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Released(Frame):
+class Unsubscribed(Frame):
     """Parent to child: the subscription has ended, and another parent is to be found. The connection stays for other
     messages."""
 
-    KIND = 30
-    FORM = ""
+    CODE = 30
+    FIELDS = ""
--- a/cypressbeam/storage/store.py
+++ b/cypressbeam/storage/store.py
@@ -18,8 +18,8 @@
 from typing import Any, Protocol, TypeVar
 
 from cypressbeam.consensus.chain import Entry, View
-from cypressbeam.consensus.deduplication import KEPT
-from cypressbeam.consensus.rollback_detection import NO_MARKS, Marks, pack_marks, unpack_marks
+from cypressbeam.consensus.deduplication import MAX_DIGESTS
+from cypressbeam.consensus.rollback_detection import NO_MARKS, HighWaterMarks, pack_marks, unpack_marks
 from cypressbeam.protocol.configuration import digest
 from cypressbeam.storage import files
 
@@ -63,11 +63,11 @@
     view: View | None
     last: Entry | None
     taken: dict[int, bytes]
-    own: Marks = NO_MARKS
+    own: HighWaterMarks = NO_MARKS
     """The incarnation that is on disk, and nothing else."""
-    raised: Marks = NO_MARKS
+    raised: HighWaterMarks = NO_MARKS
     """That of this start, which the first write puts on disk."""
-    marks: dict[str, Marks] = field(default_factory=dict)
+    marks: dict[str, HighWaterMarks] = field(default_factory=dict)
     """The most that other members have told."""
 
 
@@ -85,7 +85,7 @@
 
     async def try_disk(self) -> None: ...
 
-    def note(self, marks: dict[str, Marks]) -> bool:
+    def note(self, marks: dict[str, HighWaterMarks]) -> bool:
         """What others have told goes to disk with the next write, as does the incarnation of this start. Whether one
         should be made for that: not for numbers of entries, which each member's own entry tells near enough."""
 
@@ -111,10 +111,10 @@
         self.thread = threading.Thread(target=self._work, name="store", daemon=True)
         self.thread.start()
         self.database: Any = None
-        self.raised: Marks | None = None
+        self.raised: HighWaterMarks | None = None
         """The incarnation that the next write puts on disk."""
-        self.noted: dict[str, Marks] = {}
-        self.stored: dict[str, Marks] = {}
+        self.noted: dict[str, HighWaterMarks] = {}
+        self.stored: dict[str, HighWaterMarks] = {}
         """The marks that were on disk when the loop last heard of it: the thread may be further on."""
 
     def _work(self) -> None:
@@ -239,7 +239,7 @@
         self.raised = found.raised if found.raised != found.own else None
         return found
 
-    def note(self, marks: dict[str, Marks]) -> bool:
+    def note(self, marks: dict[str, HighWaterMarks]) -> bool:
         self.noted = dict(marks)
         return self.raised is not None or rises(self.noted) != rises(self.stored)
 
@@ -252,7 +252,7 @@
             if raised is not None:
                 database.executemany(
                     "insert or replace into meta values (?, ?)",
-                    [("incarnation", raised.incarnation), ("draw", raised.draw)],
+                    [("incarnation", raised.incarnation), ("draw", raised.incarnation_id)],
                 )
             write_marks(database, marks)
 
@@ -273,7 +273,7 @@
             database.execute("delete from view")
             database.execute(
                 "insert into view values (?, ?, ?, ?)",
-                (view.epoch, ",".join(view.chain), ",".join(view.group), view.began),
+                (view.epoch, ",".join(view.chain), ",".join(view.group), view.initial_number),
             )
             database.execute("delete from entry")
             write_taken(database, taken)
@@ -310,7 +310,7 @@
         return not self.thread.is_alive()
 
 
-def rises(marks: dict[str, Marks]) -> dict[str, Marks]:
+def rises(marks: dict[str, HighWaterMarks]) -> dict[str, HighWaterMarks]:
     """Without the numbers of entries."""
     return {name: replace(mark, number=0) for name, mark in marks.items()}
 
@@ -319,7 +319,7 @@
     database.execute("update meta set value = max(value, ?) where key = 'promised'", (epoch,))
 
 
-def write_marks(database: Any, marks: dict[str, Marks]) -> None:
+def write_marks(database: Any, marks: dict[str, HighWaterMarks]) -> None:
     """Compared with what is on disk, not with what the loop knows of it: that may be older."""
     packed = pack_marks(marks)
     held = database.execute("select value from meta where key = 'marks'").fetchone()
@@ -351,7 +351,7 @@
     database.execute("insert or replace into taken values (?, ?)", (entry.revision, mark))
     database.execute(
         "delete from taken where revision <= (select revision from taken order by revision desc limit 1 offset ?)",
-        (KEPT,),
+        (MAX_DIGESTS,),
     )
 
 
@@ -381,12 +381,12 @@
             raise TornError(f"entry {last.number} does not match its digest")
     if last is not None and taken[last.revision] != mark:
         raise TornError(f"entry {last.number} does not match the digest that was taken")
-    own = Marks(meta.get("incarnation", 0), meta.get("draw", 0))
+    own = HighWaterMarks(meta.get("incarnation", 0), meta.get("draw", 0))
     # The first start of a disk has its incarnation on it already.
     raised = (
         own
         if view is None and last is None and own.incarnation == 1
-        else Marks(own.incarnation + 1, secrets.randbits(DRAW_BITS))
+        else HighWaterMarks(own.incarnation + 1, secrets.randbits(DRAW_BITS))
     )
     return Loaded(
         str(meta["identity"]),
--- a/cypressbeam/transport/blobs/fetcher.py
+++ b/cypressbeam/transport/blobs/fetcher.py
@@ -154,7 +154,7 @@
         bases = fetch.base
         if fetch.total < 0 and not fetch.whole:
             bases = b"".join(self.store.held)
-        link.send(frames.Want(mark, bases, at, fetch.window))
+        link.send(frames.ChunkRequest(mark, bases, at, fetch.window))
 
     def ask_elsewhere(self, mark: bytes, fetch: Fetch) -> None:
         """Ask the next source, and for more: each window takes long now. What the one before still sends is taken as
@@ -179,19 +179,23 @@
             elif now_s >= fetch.due_s:
                 self.ask_elsewhere(mark, fetch)
 
-    def on_slice(self, link: Connection, frame: frames.Slice) -> None:
+    def on_slice(self, link: Connection, frame: frames.Chunk) -> None:
         """A chunk has come."""
-        fetch = self.fetches.get(frame.mark)
+        fetch = self.fetches.get(frame.digest)
         if fetch is None:
             return
-        if (frame.base, frame.total) != (fetch.base, fetch.total):
-            if frame.at or (fetch.got and self.comes(frame.mark)):
+        if (frame.base_digest, frame.total) != (fetch.base, fetch.total):
+            if frame.offset or (fetch.got and self.comes(frame.digest)):
                 return  # of another packed form: not its beginning, or not needed while the first one moves
-            if frame.base and frame.base not in self.store.held:
+            if frame.base_digest and frame.base_digest not in self.store.held:
                 return  # it has gone from here since it was named
-            fetch.base, fetch.total, fetch.base_body = frame.base, frame.total, self.store.held.get(frame.base, b"")
+            fetch.base, fetch.total, fetch.base_body = (
+                frame.base_digest,
+                frame.total,
+                self.store.held.get(frame.base_digest, b""),
+            )
             fetch.got.clear()
-        if frame.at != len(fetch.got):
+        if frame.offset != len(fetch.got):
             return  # it came twice, or after one that was lost with its connection
         fetch.moved_s = self.loop.time()
         fetch.way_s = fetch.way_s or fetch.moved_s - fetch.began_s
@@ -201,10 +205,10 @@
         self.on_progress(link.ip)
         fetch.got += frame.data
         if len(fetch.got) >= fetch.total:
-            self.finish(frame.mark, fetch)
+            self.finish(frame.digest, fetch)
             return
         if len(fetch.got) >= fetch.wanted - fetch.window // 2:
-            self.ask_on(link, frame.mark, fetch)
+            self.ask_on(link, frame.digest, fetch)
         self.on_moved()
 
     def ask_on(self, link: Connection, mark: bytes, fetch: Fetch) -> None:
@@ -214,17 +218,17 @@
             fetch.window = min(2 * fetch.window, MOST_WINDOWS * self.window)
         if link is fetch.link:
             more = fetch.window - (fetch.wanted - len(fetch.got))
-            link.send(frames.Want(mark, fetch.base, fetch.wanted, more))
+            link.send(frames.ChunkRequest(mark, fetch.base, fetch.wanted, more))
             fetch.wanted += more
         elif link.ip in fetch.sources:  # it was slow, another was asked, and it is before that one: it goes on
             fetch.sources.remove(link.ip)
             fetch.sources.insert(0, link.ip)
             self.ask(mark, fetch)
 
-    def on_lacking(self, link: Connection, frame: frames.Lacking) -> None:
+    def on_lacking(self, link: Connection, frame: frames.BlobNotFound) -> None:
         """A source does not have it; the next one may. Where there is none the fetch is over: a version that was
         followed by others has gone from those who had it, and must not hold up the newest."""
-        fetch = self.fetches.get(frame.mark)
+        fetch = self.fetches.get(frame.digest)
         if fetch is None or link.ip not in fetch.sources:
             return
         first = fetch.sources[0] == link.ip
@@ -233,10 +237,10 @@
         if not fetch.sources:
             fetch.sources += [ip for ip in self.others() if ip not in fetch.spent]
         if not fetch.sources:
-            del self.fetches[frame.mark]
+            del self.fetches[frame.digest]
         elif first:
             fetch.begin_anew()
-            self.ask(frame.mark, fetch)
+            self.ask(frame.digest, fetch)
 
     def finish(self, mark: bytes, fetch: Fetch) -> None:
         """All bytes have come: unpack them, and compare the digest."""
--- a/cypressbeam/transport/blobs/server.py
+++ b/cypressbeam/transport/blobs/server.py
@@ -40,15 +40,18 @@
         self.pumping = False
         self.handed_bytes = 0
 
-    def on_want(self, link: Connection, frame: frames.Want) -> None:
+    def on_want(self, link: Connection, frame: frames.ChunkRequest) -> None:
         """A node wants a part of a body, and names what it has that might serve as a base."""
-        bases = [frame.bases[at : at + frames.DIGEST] for at in range(0, len(frame.bases), frames.DIGEST)]
-        key = (link, frame.mark)
+        bases = [
+            frame.base_digests[at : at + frames.DIGEST_BYTES]
+            for at in range(0, len(frame.base_digests), frames.DIGEST_BYTES)
+        ]
+        key = (link, frame.digest)
         serving = self.serving.get(key)
-        if serving is not None and serving.end == frame.at and serving.base == frame.bases:
+        if serving is not None and serving.end == frame.offset and serving.base == frame.base_digests:
             serving.end += frame.length
         else:
-            self.serving[key] = Serving(bases, frame.at, frame.at + frame.length)
+            self.serving[key] = Serving(bases, frame.offset, frame.offset + frame.length)
         self.pump()
 
     def settle_base(self, mark: bytes, serving: Serving) -> None:
@@ -93,7 +96,7 @@
             (link, mark), serving, part, total = ready
             self.serving[link, mark] = self.serving.pop((link, mark))  # to the end of the turns
             assert serving.base is not None
-            link.send(frames.Slice(mark, serving.base, total, serving.at, part))
+            link.send(frames.Chunk(mark, serving.base, total, serving.at, part))
             serving.at += len(part)
             self.handed_bytes += len(part)
             self.free_s = max(self.free_s, now_s) + len(part) / self.rate.per_s
@@ -114,7 +117,7 @@
             if found is None:
                 if key[1] not in self.fetcher.fetches:
                     del self.serving[key]
-                    key[0].send(frames.Lacking(key[1]))
+                    key[0].send(frames.BlobNotFound(key[1]))
                 continue
             data, total = found
             part = bytes(data[serving.at : min(serving.end, serving.at + self.rate.slice_bytes)])
--- a/cypressbeam/transport/blobs/transfer.py
+++ b/cypressbeam/transport/blobs/transfer.py
@@ -22,9 +22,9 @@
         self.fetcher = Fetcher(connections, self.store, rate.window_bytes, lambda: self.server.pump())
         self.server = ChunkServer(self.store, self.fetcher, rate)
         self.handlers: dict[type[frames.Frame], Callable[[Connection, Any], None]] = {
-            frames.Slice: lambda link, frame: self.fetcher.on_slice(link, frame),
-            frames.Want: lambda link, frame: self.server.on_want(link, frame),
-            frames.Lacking: lambda link, frame: self.fetcher.on_lacking(link, frame),
+            frames.Chunk: lambda link, frame: self.fetcher.on_slice(link, frame),
+            frames.ChunkRequest: lambda link, frame: self.server.on_want(link, frame),
+            frames.BlobNotFound: lambda link, frame: self.fetcher.on_lacking(link, frame),
         }
 
     def link_lost(self, link: Connection) -> None:
--- a/cypressbeam/transport/peers.py
+++ b/cypressbeam/transport/peers.py
@@ -65,7 +65,7 @@
         self.peers.on_up(self.ip)
 
     def send(self, frame: frames.Frame) -> None:
-        if body := frame.body_field():
+        if body := frame.body_or_digest():
             self.peers.blobs.store.put(body)
         self.send_packed(frame.pack())
 
@@ -98,16 +98,16 @@
     def data_received(self, data: bytes) -> None:
         self.heard_s = self.peers.heard[self.ip] = self.peers.loop.time()
         self.buffer += data
-        while len(self.buffer) >= frames.HEAD.size and not self.closed:
-            length, kind = frames.HEAD.unpack_from(self.buffer)
-            end = frames.HEAD.size + length
-            if length > frames.MOST_FRAME:
+        while len(self.buffer) >= frames.HEADER.size and not self.closed:
+            length, kind = frames.HEADER.unpack_from(self.buffer)
+            end = frames.HEADER.size + length
+            if length > frames.MAX_FRAME_BYTES:
                 log.warning("node %s: a frame of %d bytes", self.ip, length)
                 self.close()
                 return
             if len(self.buffer) < end:
                 return
-            body = bytes(self.buffer[frames.HEAD.size : end])
+            body = bytes(self.buffer[frames.HEADER.size : end])
             del self.buffer[:end]
             self.take(kind, body)
 
@@ -118,7 +118,7 @@
             log.warning("node %s: %s", self.ip, err)
             self.close()
             return
-        if mark := frame.body_field():
+        if mark := frame.body_or_digest():
             self.peers.blobs.fetcher.need(
                 mark, self.ip, lambda whole: self.hand(replace(cast(Any, frame), body=whole)), key=(kind, body)
             )
--- a/lab/fetches.py
+++ b/lab/fetches.py
@@ -110,7 +110,9 @@
         edges = {node.settings.ip for node in self.cluster.edges}
         for node in [node for node in held if node.core is None] + cores[: CORES // 2]:
 
-            def on_want(link: Link, frame: frames.Want, usual: Callable[[Link, frames.Want], None]) -> None:
+            def on_want(
+                link: Link, frame: frames.ChunkRequest, usual: Callable[[Link, frames.ChunkRequest], None]
+            ) -> None:
                 if link.ip not in edges:
                     usual(link, frame)
 
--- a/lab/footprint.py
+++ b/lab/footprint.py
@@ -300,12 +300,12 @@
 # -- nodes and the core ------------------------------------------------------------------------------------
 
 
-def join_of(number: int, lost: str = "") -> frames.Join:
-    return frames.Join(
+def join_of(number: int, lost: str = "") -> frames.JoinRequest:
+    return frames.JoinRequest(
         f"edge-{number}",
         f"10.{number % ZONES}.{number // 200}.{1 + number % 200}",
         f"zone-{number % ZONES}",
-        frames.FRONT,
+        frames.SERVES_CLIENTS,
         1,
         lost,
     )
@@ -323,7 +323,7 @@
 def roster_costs(kind: type[Roster], size: int) -> Found:
     roster = kind("edge-0")
 
-    def tell(number: int, at_s: float) -> frames.Place:
+    def tell(number: int, at_s: float) -> frames.ParentAssignment:
         roster.join(join_of(number), at_s)
         return roster.place(f"edge-{number}", 1, ("10.0.0.1",) * 5, "10.0.0.1", size)
 
--- a/lab/histories/callers.py
+++ b/lab/histories/callers.py
@@ -61,28 +61,28 @@
             return
         if core.keepers:
             frame = (
-                frames.Order(ident, CLIENT, call.base, call.body)
+                frames.WriteRequest(ident, CLIENT, call.base, call.body)
                 if call.kind == "replace"
-                else frames.Read(ident, CLIENT)
+                else frames.ReadRequest(ident, CLIENT)
             )
             core.send(CLIENT, core.chance.choice(sorted(core.keepers)), frame)
         core.at(AGAIN_S, "press", ident)
 
-    def answer(self, frame: frames.Outcome | frames.Reading) -> None:
+    def answer(self, frame: frames.WriteResult | frames.ReadResult) -> None:
         """A reply; 503 asks for the call to be sent again."""
-        call = self.calls[frame.ident]
-        if self.open.get(call.operator) != frame.ident or frame.status == 503:
+        call = self.calls[frame.request_id]
+        if self.open.get(call.operator) != frame.request_id or frame.status == 503:
             return
         self.close(call.operator)
         call.ended_s, call.status = self.core.now_s, frame.status
-        if isinstance(frame, frames.Reading):
+        if isinstance(frame, frames.ReadResult):
             call.seen = revision(frame.body) if frame.body else 0
             call.body = frame.body
         elif frame.status == 200:
             call.seen = revision(call.body)
         elif frame.status == 412:
             call.seen = int(frame.text.rpartition(" ")[2])
-        call.text = frame.text if isinstance(frame, frames.Outcome) else ""
+        call.text = frame.text if isinstance(frame, frames.WriteResult) else ""
         if call.seen is not None:
             self.known[call.operator] = call.seen
 
--- a/lab/histories/disks.py
+++ b/lab/histories/disks.py
@@ -14,9 +14,9 @@
 from typing import Any
 
 from cypressbeam.consensus import deduplication
-from cypressbeam.consensus.chain import Entry, Sync, View
+from cypressbeam.consensus.chain import Entry, PersistEntry, View
 from cypressbeam.consensus.replica import Keeper, SavePromise, SaveView
-from cypressbeam.consensus.rollback_detection import Marks
+from cypressbeam.consensus.rollback_detection import HighWaterMarks
 from lab.histories.invariants import digest
 
 #: Copies of each disk that a history keeps at most.
@@ -32,17 +32,17 @@
     view: View | None = None
     last: Entry | None = None
     taken: dict[int, bytes] = field(default_factory=dict)
-    own: Marks = field(default_factory=Marks)
+    own: HighWaterMarks = field(default_factory=HighWaterMarks)
     """The incarnation of the start that wrote last."""
-    marks: dict[str, Marks] = field(default_factory=dict)
+    marks: dict[str, HighWaterMarks] = field(default_factory=dict)
 
     def write(self, action: Any, keeper: Keeper | None = None) -> None:
         """Put on disk what an action of the rules asks for, and the marks of the keeper that asks."""
         if keeper is not None:
             self.own, self.marks = keeper.raised, dict(keeper.marks)
-        if isinstance(action, Sync):
+        if isinstance(action, PersistEntry):
             self.last = action.entry
-            deduplication.note(self.taken, action.entry.revision, action.entry.base, digest(action.entry.body))
+            deduplication.record(self.taken, action.entry.revision, action.entry.base, digest(action.entry.body))
         elif isinstance(action, SavePromise):
             self.promised = max(self.promised, action.epoch)
         elif isinstance(action, SaveView):
