--- a/lab/histories/faults.py
+++ b/lab/histories/faults.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from cypressbeam.consensus import deduplication, replica
-from cypressbeam.consensus.chain import Action, Entry, Member, Tell, View, answer
+from cypressbeam.consensus.chain import ChainEffect, ChainReplica, Entry, SendMessage, View, write_result
 from cypressbeam.consensus.replica import Keeper
 from cypressbeam.protocol import frames
 from lab.histories.downstream import DownstreamNode
@@ -52,13 +52,17 @@
 
 def acknowledge_at_the_head(patch: Patch) -> None:
     """An order is answered once its first copy is on disk."""
-    real = Member.synced
-
-    def synced(self: Member, entry: Entry, now_s: float) -> list[Any]:
-        early = [Tell(origin, frames.Outcome(ident, 200, "early")) for ident, origin in self.asked if self.is_head()]
+    real = ChainReplica.entry_persisted
+
+    def synced(self: ChainReplica, entry: Entry, now_s: float) -> list[Any]:
+        early = [
+            SendMessage(origin, frames.WriteResult(ident, 200, "early"))
+            for ident, origin in self.pending_callers
+            if self.is_head()
+        ]
         return [*early, *real(self, entry, now_s)]
 
-    patch(Member, "synced", synced)
+    patch(ChainReplica, "entry_persisted", synced)
 
 
 def begin_with_the_oldest(patch: Patch) -> None:
@@ -77,16 +81,22 @@
 
 def acknowledge_while_cut_off(patch: Patch) -> None:
     """A head that can't pass an entry on takes it for committed after a while: two sides of a cut have one each."""
-    real = Member.tick
-
-    def tick(self: Member, now_s: float) -> list[Any]:
-        if self.is_head() and self.active and self.busy() and self.asked and now_s > self.sent_s + 0.25:
+    real = ChainReplica.tick
+
+    def tick(self: ChainReplica, now_s: float) -> list[Any]:
+        if (
+            self.is_head()
+            and self.active
+            and self.has_uncommitted()
+            and self.pending_callers
+            and now_s > self.forwarded_s + 0.25
+        ):
             self.committed = self.number
-            asked, self.asked = self.asked, []
-            return [Tell(origin, frames.Outcome(ident, 200, "alone")) for ident, origin in asked]
+            asked, self.pending_callers = self.pending_callers, []
+            return [SendMessage(origin, frames.WriteResult(ident, 200, "alone")) for ident, origin in asked]
         return real(self, now_s)
 
-    patch(Member, "tick", tick)
+    patch(ChainReplica, "tick", tick)
 
 
 def count_old_pulses(patch: Patch) -> None:
@@ -108,8 +118,8 @@
     """A majority's confirmation counts for a read, or a refusal, however long ago it was asked for."""
     real = Keeper.on_confirmed
 
-    def on_confirmed(self: Keeper, frame: frames.Confirmed, now_s: float) -> list[Any]:
-        asked = self.reads.get(frame.ident)
+    def on_confirmed(self: Keeper, frame: frames.QuorumReadAck, now_s: float) -> list[Any]:
+        asked = self.reads.get(frame.request_id)
         return real(self, frame, min(now_s, asked.due_s) if asked is not None else now_s)
 
     patch(Keeper, "on_confirmed", on_confirmed)
@@ -122,43 +132,43 @@
 
 def refuse_what_is_forgotten(patch: Patch) -> None:
     """What is not known as taken is taken for never taken, however long ago it may have been."""
-    patch(Member, "may_be_taken", lambda self, base, revision: False)
+    patch(ChainReplica, "may_have_been_applied", lambda self, base, revision: False)
 
 
 def refuse_a_later_base(patch: Patch) -> None:
     """An order is refused because its base is not in force yet; a late copy of it is taken then."""
-    patch(Member, "may_come", lambda self, base, revision: False)
+    patch(ChainReplica, "base_may_become_current", lambda self, base, revision: False)
 
 
 def keep_a_refused_write(patch: Patch) -> None:
     """What a disk refused and kept all the same counts as taken after the next start."""
-    real = deduplication.note
-    patch(deduplication, "note", lambda kept, revision, base, mark: real(kept, revision, revision, mark))
+    real = deduplication.record
+    patch(deduplication, "record", lambda kept, revision, base, mark: real(kept, revision, revision, mark))
 
 
 def join_by_number(patch: Patch) -> None:
     """An order gets the answer of another one under the same number: two operators are confirmed."""
 
-    def join_same(self: Member) -> None:
-        entry = self.syncing or self.last
-        for order in list(self.waiting):
+    def join_same(self: ChainReplica) -> None:
+        entry = self.persisting or self.last
+        for order in list(self.queue):
             if entry is not None and self.check(order.body) == entry.revision:
-                self.waiting.remove(order)
-                self.asked.append((order.ident, order.origin))
+                self.queue.remove(order)
+                self.pending_callers.append((order.request_id, order.origin))
 
-    patch(Member, "join_same", join_same)
+    patch(ChainReplica, "coalesce_duplicates", join_same)
 
 
 def know_by_number(patch: Patch) -> None:
     """What was taken is known by its number, and not by its digest."""
-    real = Member.decide
+    real = ChainReplica.decide
 
-    def decide(self: Member, order: frames.Order, now_s: float) -> list[Action]:
-        if self.check(order.body) in self.taken:
-            return [answer(order, 200, "a number taken before")]
+    def decide(self: ChainReplica, order: frames.WriteRequest, now_s: float) -> list[ChainEffect]:
+        if self.check(order.body) in self.applied_digests:
+            return [write_result(order, 200, "a number taken before")]
         return real(self, order, now_s)
 
-    patch(Member, "decide", decide)
+    patch(ChainReplica, "decide", decide)
 
 
 def count_the_newest_as_committed(patch: Patch) -> None:
--- a/lab/histories/network.py
+++ b/lab/histories/network.py
@@ -62,7 +62,7 @@
         """Whether a message gets to a machine, and not into a cut; there the fetch of its body breaks off."""
         if (origin, ip) not in self.cut:
             return True
-        body = frame.body_field()
+        body = frame.body_or_digest()
         if self.bodies[ip].get(body, 0.0) > self.loop.now_s:
             del self.bodies[ip][body]
         return False
--- a/lab/histories/operators.py
+++ b/lab/histories/operators.py
@@ -154,7 +154,7 @@
         order, keepers = self.copies[ident], self.world.keepers
         resting = not self.finishing and self.world.now_s > self.until_s + REST_S
         if keepers and not resting:
-            frame = frames.Order(ident, CLIENT, order.call.base, order.body)
+            frame = frames.WriteRequest(ident, CLIENT, order.call.base, order.body)
             self.world.send(CLIENT, self.chance.choice(sorted(keepers)), frame)
         if times > 1:
             self.world.at(AGAIN_S, "crowd", "press", ident, times - 1)
@@ -168,9 +168,9 @@
         if order.call.status in (0, 200):
             self.send(order)
 
-    def answer(self, frame: frames.Outcome) -> None:
+    def answer(self, frame: frames.WriteResult) -> None:
         """The caller hears it, or not; what was said counts in both cases."""
-        order = self.copies[frame.ident]
+        order = self.copies[frame.request_id]
         order.statuses.add(frame.status)
         call = order.call
         lost = self.chance.random() < (LOST_BRISK if self.brisk else LOST)
@@ -223,8 +223,8 @@
 @contextmanager
 def few_kept() -> Iterator[None]:
     """While few digests are kept."""
-    before, deduplication.KEPT = deduplication.KEPT, KEPT
+    before, deduplication.MAX_DIGESTS = deduplication.MAX_DIGESTS, KEPT
     try:
         yield
     finally:
-        deduplication.KEPT = before
+        deduplication.MAX_DIGESTS = before
--- a/lab/histories/simulated_core.py
+++ b/lab/histories/simulated_core.py
@@ -10,9 +10,9 @@
 from typing import Any
 
 from cypressbeam.consensus import replica
-from cypressbeam.consensus.chain import Entry, Publish, Sync, Tell, View, ip_of
+from cypressbeam.consensus.chain import Entry, PersistEntry, Publish, SendMessage, View, ip_of
 from cypressbeam.consensus.replica import Keeper, Lead, SavePromise, SaveView, StartAnew, TryDisk
-from cypressbeam.consensus.rollback_detection import Marks
+from cypressbeam.consensus.rollback_detection import HighWaterMarks
 from cypressbeam.protocol import frames
 from lab.histories.disks import Copies, Disk
 from lab.histories.downstream import Announcement
@@ -40,18 +40,18 @@
 
 #: Which part of the rules takes a frame. Other modules may add theirs.
 TAKES: dict[type[frames.Frame], str] = {
-    frames.Pulse: "on_pulse",
-    frames.Order: "order",
-    frames.Forward: "forward",
-    frames.Committed: "committed",
-    frames.Read: "read",
-    frames.ViewIs: "on_view",
+    frames.ReplicaHeartbeat: "on_pulse",
+    frames.WriteRequest: "order",
+    frames.ForwardEntry: "forward",
+    frames.CommitNotice: "committed",
+    frames.ReadRequest: "read",
+    frames.ViewAnnouncement: "on_view",
     frames.Prepare: "on_prepare",
     frames.Promise: "on_promise",
     frames.Accept: "on_accept",
-    frames.Confirm: "on_confirm",
-    frames.Confirmed: "on_confirmed",
-    frames.StaleDisk: "on_stale",
+    frames.QuorumReadCheck: "on_confirm",
+    frames.QuorumReadAck: "on_confirmed",
+    frames.RollbackNotice: "on_stale",
 }
 
 #: Events of a machine, which wait while it stands still.
@@ -129,7 +129,7 @@
         self.told[ip] = 0
         self.network.bodies[ip] = {disk.last.body: 0.0} if disk.last is not None else {}
         keeper = self.keepers[ip] = Keeper(disk.name, self.copies, revision, digest, self.chance.random)
-        keeper.remember(disk.own, Marks(disk.own.incarnation + 1, self.lives[ip]), dict(disk.marks))
+        keeper.remember(disk.own, HighWaterMarks(disk.own.incarnation + 1, self.lives[ip]), dict(disk.marks))
         self.carry_out(ip, keeper.load(disk.view, disk.promised, disk.last, dict(disk.taken), self.now_s))
         self.at(TICK_S, "tick", ip, self.lives[ip])
 
@@ -179,7 +179,7 @@
     def carry_out(self, ip: str, actions: Iterable[Any]) -> None:
         """Do what a machine's rules ask for."""
         for action in actions:
-            if isinstance(action, Tell):
+            if isinstance(action, SendMessage):
                 if action.ip == CLIENT:
                     self.may_answer(ip, action.frame)
                 self.send(ip, action.ip, action.frame)
@@ -213,13 +213,13 @@
                 self.disks[ip].write(action, keeper)
             self.carry_out(ip, keeper.write_failed(action, self.now_s))
             return
-        if not (self.lying and isinstance(action, Sync)):
+        if not (self.lying and isinstance(action, PersistEntry)):
             self.disks[ip].write(action, keeper)
         self.carry_out(ip, self.write_done(ip, keeper, action))
 
     def write_done(self, ip: str, keeper: Keeper, action: Any) -> Iterable[Any]:
         """Tell the rules that a write is on disk; gives what they ask for then."""
-        if isinstance(action, Sync):
+        if isinstance(action, PersistEntry):
             self.observer.on_synced(action.entry)
             return keeper.synced(action.entry, self.now_s)
         if isinstance(action, SavePromise):
@@ -251,8 +251,8 @@
 
     def may_answer(self, ip: str, frame: frames.Frame) -> None:
         """What is in force is told only by a machine in contact with a majority."""
-        if isinstance(frame, frames.Reading) or (
-            isinstance(frame, frames.Outcome) and frame.status in replica.REFUSALS
+        if isinstance(frame, frames.ReadResult) or (
+            isinstance(frame, frames.WriteResult) and frame.status in replica.REFUSALS
         ):
             demand(self.alone_s(ip) <= ANSWER_BOUND_S + LEEWAY_S, f"{ip} answers after {self.alone_s(ip):.3f} s alone")
 
@@ -293,7 +293,7 @@
 
     def take(self, ip: str, origin: str, frame: frames.Frame, time: VectorTime) -> None:
         """It is carried out once its body is there too."""
-        wait_s = self.network.body_due_s(origin, ip, frame.body_field())
+        wait_s = self.network.body_due_s(origin, ip, frame.body_or_digest())
         if wait_s > 0.0:
             self.at(wait_s, "frame", ip, origin, frame, time)
         else:
@@ -304,7 +304,7 @@
     def deliver(self, ip: str, frame: frames.Frame) -> None:
         """Give a message to a machine's rules."""
         take = getattr(self.keepers[ip], TAKES[type(frame)])
-        self.carry_out(ip, take(frame) if type(frame) is frames.Confirm else take(frame, self.now_s))
+        self.carry_out(ip, take(frame) if type(frame) is frames.QuorumReadCheck else take(frame, self.now_s))
 
     def answer(self, frame: frames.Frame) -> None:
         """A reply is at the operators; here there are none."""
--- a/lab/histories/world.py
+++ b/lab/histories/world.py
@@ -25,7 +25,7 @@
 
     def sent(self, ident: int) -> bool: ...
 
-    def answer(self, frame: frames.Outcome) -> None: ...
+    def answer(self, frame: frames.WriteResult) -> None: ...
 
     def begin(self, until_s: float) -> None: ...
 
@@ -74,8 +74,8 @@
 
     def answer(self, frame: frames.Frame) -> None:
         """A reply, to whoever has called."""
-        assert isinstance(frame, (frames.Outcome, frames.Reading))
-        if self.crowd is not None and isinstance(frame, frames.Outcome) and self.crowd.sent(frame.ident):
+        assert isinstance(frame, (frames.WriteResult, frames.ReadResult))
+        if self.crowd is not None and isinstance(frame, frames.WriteResult) and self.crowd.sent(frame.request_id):
             self.crowd.answer(frame)
         else:
             self.callers.answer(frame)
--- a/lab/membership.py
+++ b/lab/membership.py
@@ -177,7 +177,7 @@
         body = self.configuration(self.revision)
         head = next(node for node in self.nodes.values() if node.settings.ip == ip)
         assert head.core is not None
-        self.at(head, head.core.on_core, frames.Order(self.revision, head.settings.ip, self.revision - 1, body))
+        self.at(head, head.core.on_core, frames.WriteRequest(self.revision, head.settings.ip, self.revision - 1, body))
 
     def poll(self, servers: int, drained: int = 0) -> tuple[int, int]:
         """A new list at the root; its life and number."""
--- a/lab/membership_churn.py
+++ b/lab/membership_churn.py
@@ -17,8 +17,8 @@
 
 from cypressbeam.consensus import membership
 from cypressbeam.consensus.chain import View, ip_of
-from cypressbeam.consensus.membership import ADD, REMOVE, REPLACE, Members
-from cypressbeam.consensus.replacement import Replacement
+from cypressbeam.consensus.membership import ADD, REMOVE, REPLACE, MembershipManager
+from cypressbeam.consensus.replacement import ReplacementManager
 from cypressbeam.consensus.replica import COUNTED, Keeper
 from cypressbeam.protocol import frames
 from lab.histories import faults, plans, runner
@@ -49,8 +49,8 @@
 class Turnover(World):
     def __init__(self, seed: int, replace_after_s: float = REPLACE_AFTER_S, **options: Any) -> None:
         self.replace_after_s = replace_after_s
-        self.members: dict[str, Members] = {}
-        self.replacements: dict[str, Replacement] = {}
+        self.members: dict[str, MembershipManager] = {}
+        self.replacements: dict[str, ReplacementManager] = {}
         self.asked: dict[int, Asked] = {}
         self.steps = 0
         """Views that became active with another group than the one before."""
@@ -59,8 +59,8 @@
 
     def start(self, ip: str) -> None:
         super().start(ip)
-        self.members[ip] = Members(self.keepers[ip], LOSSES)
-        self.replacements[ip] = Replacement(self.members[ip], self.replace_after_s)
+        self.members[ip] = MembershipManager(self.keepers[ip], LOSSES)
+        self.replacements[ip] = ReplacementManager(self.members[ip], self.replace_after_s)
 
     def group(self) -> tuple[str, ...]:
         """Addresses of the newest group that anybody holds."""
@@ -71,20 +71,20 @@
 
     def deliver(self, ip: str, frame: frames.Frame) -> None:
         here = self.members[ip]
-        if isinstance(frame, frames.Change):
-            self.carry_out(ip, self.replacements[ip].order(frame, self.now_s))
-        elif isinstance(frame, frames.Level):
-            self.carry_out(ip, here.on_level(frame, self.now_s))
-        elif isinstance(frame, frames.Levelled):
-            self.carry_out(ip, here.on_levelled(frame))
+        if isinstance(frame, frames.MembershipChangeRequest):
+            self.carry_out(ip, self.replacements[ip].on_change_request(frame, self.now_s))
+        elif isinstance(frame, frames.CatchUp):
+            self.carry_out(ip, here.on_catch_up(frame, self.now_s))
+        elif isinstance(frame, frames.CatchUpAck):
+            self.carry_out(ip, here.on_catch_up_ack(frame))
         else:
             super().deliver(ip, frame)
 
     def answer(self, frame: frames.Frame) -> None:
-        if not isinstance(frame, frames.Progress):
+        if not isinstance(frame, frames.MembershipChangeStatus):
             super().answer(frame)
         elif frame.status != membership.WAITS:
-            self.asked[frame.ident].status = frame.status
+            self.asked[frame.request_id].status = frame.status
 
     def step(self) -> None:
         _, _, (kind, _, *rest) = self.events[0]
@@ -121,7 +121,7 @@
             self.send(
                 CLIENT,
                 self.chance.choice(sorted(self.keepers)),
-                frames.Change(ident, CLIENT, asked.kind, asked.old, asked.new, asked.base),
+                frames.MembershipChangeRequest(ident, CLIENT, asked.kind, asked.old, asked.new, asked.base),
             )
         self.at(AGAIN_S, "ask", "", ident)
 
@@ -145,7 +145,10 @@
         """Some machine says so. One that stood still may say it long after later views."""
         committed = self.observer.committed.items()
         below = max((number for number, entry in committed if entry.epoch < view.epoch), default=0)
-        demand(view.began >= below, f"epoch {view.epoch} begins with {view.began}, {below} was committed below it")
+        demand(
+            view.initial_number >= below,
+            f"epoch {view.epoch} begins with {view.initial_number}, {below} was committed below it",
+        )
         for name in view.chain:
             disk = self.disks[ip_of(name)]
             held = disk.view.epoch if disk.view is not None else 0
@@ -209,20 +212,20 @@
 def two_at_once(patch: Patch) -> None:
     """A replacement is one step: the majorities of the two groups need not meet."""
 
-    def steps(self: membership.Change) -> list[frozenset[str]]:
+    def steps(self: membership.MembershipChange) -> list[frozenset[str]]:
         return [self.base, frozenset((self.base | {self.new}) - {self.old, ""})]
 
-    def judge(change: membership.Change, known: membership.Known) -> membership.Verdict:
+    def judge(change: membership.MembershipChange, known: membership.MembershipState) -> membership.ChangeDecision:
         now = frozenset(ip_of(name) for name in known.view.group)
-        new = known.standing_by.get(change.new)
+        new = known.spares.get(change.new)
         if change.kind != REPLACE or now != change.base or new is None:
             return real(change, known)
         kept = tuple(name for name in known.view.group if ip_of(name) != change.old)
-        return membership.Verdict(membership.WAITS, "at once", (*kept, new))
+        return membership.ChangeDecision(membership.WAITS, "at once", (*kept, new))
 
-    real = membership.judge
-    patch(membership.Change, "steps", steps)
-    patch(membership, "judge", judge)
+    real = membership.next_step
+    patch(membership.MembershipChange, "steps", steps)
+    patch(membership, "next_step", judge)
 
 
 def count_before_level(patch: Patch) -> None:
@@ -245,15 +248,15 @@
 
 def step_from_any_view(patch: Patch) -> None:
     """Any machine changes the group on top of what it holds, settled or not, and to several groups."""
-    patch(Members, "may_step", lambda self, epoch, wanted: True)
-    patch(Members, "heads", lambda self, now_s: self.keeper.member is not None)
+    patch(MembershipManager, "may_propose_group", lambda self, epoch, wanted: True)
+    patch(MembershipManager, "is_active_head", lambda self, now_s: self.replica.member is not None)
 
 
 def keep_a_proposal(patch: Patch) -> None:
     """A proposal goes on with the group that it began with, though its machine has heard of a newer view."""
     real = Keeper.on_view
 
-    def on_view(self: Keeper, frame: frames.ViewIs, now_s: float) -> list[Any]:
+    def on_view(self: Keeper, frame: frames.ViewAnnouncement, now_s: float) -> list[Any]:
         proposal = self.proposal
         done = real(self, frame, now_s)
         self.proposal = proposal
--- a/lab/packed_blobs.py
+++ b/lab/packed_blobs.py
@@ -115,12 +115,12 @@
         self.ranks: dict[str, tuple[tuple[bool, bool, int, int], str]] = {}
 
     def rank(self, known: Known) -> tuple[tuple[bool, bool, int, int], str]:
-        slow = known.doubtful() or bool(known.flags & frames.SLOW)
+        slow = known.doubtful() or bool(known.flags & frames.IS_OVERLOADED)
         return (known.name != self.me, slow, -known.kbps, weight("tree", known.name)), known.name
 
-    def join(self, frame: frames.Join, now_s: float, epoch: int = 0) -> None:
+    def join(self, frame: frames.JoinRequest, now_s: float, epoch: int = 0) -> None:
         known = self.nodes.get(frame.name)
-        doubted = bool(frame.lost) or (known is not None and known.doubtful())
+        doubted = bool(frame.lost_parent) or (known is not None and known.doubtful())
         if (
             known is None
             or doubted
@@ -130,7 +130,7 @@
             for other in self.nodes.values() if doubted else ():
                 self.enlist(other)
         else:
-            known.listen(frame.fed, now_s)
+            known.listen(frame.acknowledged_epoch, now_s)
             known.seen_s = now_s
             self.enlist(known)
             if known.doubtful():
@@ -156,7 +156,7 @@
         self.nodes[known.name] = known
         self.enlist(known)
         insort(self.ring, (weight("ring", known.name), known.name))
-        if known.flags & frames.FRONT:
+        if known.flags & frames.SERVES_CLIENTS:
             insort(self.names, known.name)
             self.counts.update((known.zone, ""))
 
@@ -165,7 +165,7 @@
         if known is not None:
             self.delist(known)
             del self.ring[bisect_left(self.ring, (weight("ring", name), name))]
-            if known.flags & frames.FRONT:
+            if known.flags & frames.SERVES_CLIENTS:
                 del self.names[bisect_left(self.names, name)]
                 self.counts.subtract((known.zone, ""))
 
--- a/lab/partitions.py
+++ b/lab/partitions.py
@@ -38,7 +38,14 @@
 
 Machine = tuple[Host, Settings]
 #: Frames that say who leads or what is in force.
-WORDS = (frames.Beat, frames.News, frames.Update, frames.Servers, frames.Verdict, frames.Place)
+WORDS = (
+    frames.RootHeartbeat,
+    frames.ConfigurationAnnouncement,
+    frames.ConfigurationDelta,
+    frames.EndpointUpdate,
+    frames.OutlierEjection,
+    frames.ParentAssignment,
+)
 
 
 @dataclass(frozen=True)
@@ -85,7 +92,9 @@
         before = self.state()
         super().on_frame(link, frame)
         epoch = getattr(frame, "epoch", None)
-        if epoch is None or not isinstance(frame, (*WORDS, frames.Refer, frames.Join, frames.Attach)):
+        if epoch is None or not isinstance(
+            frame, (*WORDS, frames.LeaderRedirect, frames.JoinRequest, frames.Subscribe)
+        ):
             return
         if isinstance(frame, WORDS) and epoch < self.highest and self.state() != before:
             self.history.breach(
@@ -153,9 +162,9 @@
 
     def heard(self, node: GatewayNode, link: Link, frame: frames.Frame) -> None:
         """What comes from a machine that is cut off, and must know that."""
-        if isinstance(frame, frames.Pulse):
+        if isinstance(frame, frames.ReplicaHeartbeat):
             self.pulses[node.settings.ip, link.ip] = self.now_s
-        said = isinstance(frame, WORDS) or (isinstance(frame, frames.Refer) and frame.root)
+        said = isinstance(frame, WORDS) or (isinstance(frame, frames.LeaderRedirect) and frame.leader)
         if said and self.is_struck(link.ip) and not self.is_struck(node.settings.ip) and not self.passed_on(frame):
             lately = 1 + sum(self.now_s - at_s <= KNOWS_S for (at, _), at_s in self.pulses.items() if at == link.ip)
             if lately <= self.case.cores // 2:
@@ -166,10 +175,10 @@
         root = self.leader()
         if root is None or root.core is None or root.core.view is None:
             return False
-        if isinstance(frame, (frames.Beat, frames.Servers)):
-            return frame.life == root.relay.listing.life
+        if isinstance(frame, (frames.RootHeartbeat, frames.EndpointUpdate)):
+            return frame.term == root.relay.listing.life
         return (
-            isinstance(frame, (frames.News, frames.Update, frames.Verdict))
+            isinstance(frame, (frames.ConfigurationAnnouncement, frames.ConfigurationDelta, frames.OutlierEjection))
             and getattr(frame, "epoch", 0) == root.core.view.epoch
         )
 
--- a/lab/repair.py
+++ b/lab/repair.py
@@ -85,7 +85,11 @@
         """An operator's order, given to some machine of the core."""
         node = self.newest()
         assert node.core is not None
-        self.at(node, node.core.on_core, frames.Change(1, node.settings.ip, kind, old, new, tuple(sorted(base))))
+        self.at(
+            node,
+            node.core.on_core,
+            frames.MembershipChangeRequest(1, node.settings.ip, kind, old, new, tuple(sorted(base))),
+        )
 
     async def change_until(self, kind: int, old: str, new: str, most_s: float = STANDS_S) -> float:
         """Give an order again and again, as `cypressbeam member` does; seconds until the group is as wanted, and
--- a/lab/replacements.py
+++ b/lab/replacements.py
@@ -25,8 +25,8 @@
 from unittest import mock
 
 from cypressbeam.consensus.chain import View, ip_of
-from cypressbeam.consensus.membership import REPLACE, Change
-from cypressbeam.consensus.replacement import Replacement
+from cypressbeam.consensus.membership import REPLACE, MembershipChange
+from cypressbeam.consensus.replacement import ReplacementManager
 from cypressbeam.consensus.replica import COUNTED
 from cypressbeam.node import gateway_node as nodes
 from cypressbeam.protocol.settings import REPLACE_SHARE, Settings
@@ -110,7 +110,7 @@
         up = {node.settings.ip for node in self.cores_up()}
         for node in self.cores_up():
             member = node.core.keeper.member if node.core is not None and node.core.keeper is not None else None
-            if member is None or not member.active or member.sealed or not member.level():
+            if member is None or not member.active or member.sealed or not member.is_caught_up():
                 continue
             group = {ip_of(name) for name in member.view.group}
             if ip not in group and group <= up and len(group) % 2 == 1 and self.has_copies(member.view):
@@ -303,7 +303,7 @@
 
 def no_handover() -> AbstractContextManager[Any]:
     """A member that is told to stop does not ask for its replacement."""
-    return mock.patch.object(Replacement, "departure", lambda self, now_s: None)
+    return mock.patch.object(ReplacementManager, "departure_change", lambda self, now_s: None)
 
 
 def hand_over_too_late() -> AbstractContextManager[Any]:
@@ -320,23 +320,23 @@
 @contextlib.contextmanager
 def no_way_back() -> Iterator[None]:
     """A former member is never taken in again."""
-    real = Replacement.spares
+    real = ReplacementManager.spares
 
-    def spares(self: Replacement, now_s: float) -> list[str]:
+    def spares(self: ReplacementManager, now_s: float) -> list[str]:
         heard = self.replica.heard
         return [ip for ip in real(self, now_s) if heard[ip].standing != COUNTED]
 
-    with mock.patch.object(Replacement, "spares", spares):
+    with mock.patch.object(ReplacementManager, "spares", spares):
         yield
 
 
 def leave_it_half_done() -> AbstractContextManager[Any]:
     """The spare is added, and the old member stays in the group."""
 
-    def steps(self: Change) -> list[frozenset[str]]:
+    def steps(self: MembershipChange) -> list[frozenset[str]]:
         return [self.base, self.base | {self.new}] if self.kind == REPLACE else [self.base, self.base - {self.old}]
 
-    return mock.patch.object(Change, "steps", steps)
+    return mock.patch.object(MembershipChange, "steps", steps)
 
 
 FAULTS: dict[str, Callable[[], AbstractContextManager[Any]]] = {
--- a/lab/rules_core.py
+++ b/lab/rules_core.py
@@ -45,12 +45,12 @@
     state(
         "a member syncs before it passes on",
         CHAIN,
-        "        self.asked = [(frame.ident, frame.origin)] if frame.origin else []\n"
-        "        self.syncing = Entry(frame.number, frame.epoch, frame.revision, frame.base, frame.body)\n"
-        "        return [Sync(self.syncing)]\n",
-        "        self.asked = [(frame.ident, frame.origin)] if frame.origin else []\n"
-        "        self.syncing = Entry(frame.number, frame.epoch, frame.revision, frame.base, frame.body)\n"
-        "        return [Sync(self.syncing), *self.synced(self.syncing, now_s)]\n",
+        "        self.pending_callers = [(frame.request_id, frame.origin)] if frame.origin else []\n"
+        "        self.persisting = Entry(frame.number, frame.epoch, frame.revision, frame.base, frame.body)\n"
+        "        return [PersistEntry(self.persisting)]\n",
+        "        self.pending_callers = [(frame.request_id, frame.origin)] if frame.origin else []\n"
+        "        self.persisting = Entry(frame.number, frame.epoch, frame.revision, frame.base, frame.body)\n"
+        "        return [PersistEntry(self.persisting), *self.synced(self.persisting, now_s)]\n",
     ),
     state(
         "entries of another epoch are refused",
@@ -76,13 +76,13 @@
     state(
         "entries come in their order",
         CHAIN,
-        "if self.syncing is not None or frame.number != self.number + 1:",
-        "if self.syncing is not None:",
+        "if self.persisting is not None or frame.number != self.number + 1:",
+        "if self.persisting is not None:",
     ),
     state(
         "one write at a time",
         CHAIN,
-        "if self.syncing is not None or frame.number != self.number + 1:",
+        "if self.persisting is not None or frame.number != self.number + 1:",
         "if frame.number != self.number + 1:",
     ),
     state(
@@ -106,7 +106,8 @@
     state(
         "only the tail commits by its sync",
         CHAIN,
-        "        if not self.is_tail():\n            return self.send_down(now_s)\n"
+        "        if not self.is_tail():\n"
+        "            return self.forward_to_successor(now_s)\n"
         "        self.committed = entry.number",
         "        self.committed = entry.number",
     ),
@@ -119,32 +120,38 @@
     state(
         "word of a commit goes up the chain",
         CHAIN,
-        "            actions.append(Tell(previous, frames.Committed(self.view.epoch, frame.number)))\n        # After",
+        "            actions.append(SendMessage(previous, frames.CommitNotice(self.view.epoch, frame.number)))\n"
+        "        # After",
         "            pass\n        # After",
     ),
     state(
         "an entry that is not committed is sent again",
         CHAIN,
-        "if self.active and not self.sealed and self.number > self.committed and now_s - self.sent_s >= RESEND_S:",
+        "if (\n"
+        "            self.active\n"
+        "            and not self.sealed\n"
+        "            and self.number > self.committed\n"
+        "            and now_s - self.forwarded_s >= RESEND_INTERVAL_S\n"
+        "        ):",
         "if False:",
     ),
     state(
         "one that is known already is told of again",
         CHAIN,
         "        if self.committed >= frame.number and previous is not None:\n"
-        "            return [Tell(previous, frames.Committed(self.view.epoch, self.committed))]\n",
+        "            return [SendMessage(previous, frames.CommitNotice(self.view.epoch, self.committed))]\n",
         "",
     ),
     state(
         "a tail that lacks what others told publishes nothing",
         CHAIN,
-        "        if self.is_tail() and not self.level():\n            return []\n",
+        "        if self.is_tail() and not self.is_caught_up():\n            return []\n",
         "",
     ),
     state(
         "what a view began with is committed once it is active",
         CHAIN,
-        "self.number if self.is_tail() else self.view.began)",
+        "self.number if self.is_tail() else self.view.initial_number)",
         "0)",
     ),
     state(
@@ -163,9 +170,10 @@
     state(
         "a promise seals lower epochs",
         AGREEMENT,
-        "        self.promised, self.promised_since = frame.epoch, frame.since\n"
-        "        if self.member is not None:\n            self.member.sealed = True\n",
-        "        self.promised, self.promised_since = frame.epoch, frame.since\n",
+        "        self.promised, self.promised_since = frame.epoch, frame.digests_since\n"
+        "        if self.member is not None:\n"
+        "            self.member.sealed = True\n",
+        "        self.promised, self.promised_since = frame.epoch, frame.digests_since\n",
     ),
     state(
         "a view that was promised over is held sealed",
@@ -348,14 +356,14 @@
     state(
         "a proposer that hears of a newer view by a promise drops its own",
         AGREEMENT,
-        "if self.view is not None and frame.view > self.view.epoch:",
+        "if self.view is not None and frame.view_epoch > self.view.epoch:",
         "if False:",
     ),
     state(
         "reads and refusals need a majority's word",
         AGREEMENT,
-        "if len(asked.names) < self.majority(self.view.group) or member is None or",
-        "if member is None or",
+        "            len(asked.names) < self.majority(self.view.group)\n            or member is None\n",
+        "            member is None\n",
     ),
     state(
         "within 0.8 s",
@@ -384,14 +392,14 @@
     state(
         "a sealed member answers no read",
         AGREEMENT,
-        "or member is None or member.sealed or not member.level():",
-        "or member is None or not member.level():",
+        "            or member.sealed\n            or not member.is_caught_up()\n",
+        "            or not member.is_caught_up()\n",
     ),
     state(
         "nor one that lacks what others told",
         AGREEMENT,
-        "or member is None or member.sealed or not member.level():",
-        "or member is None or member.sealed:",
+        "            or member.sealed\n            or not member.is_caught_up()\n",
+        "            or member.sealed\n",
     ),
     state(
         "a read tells only what is committed",
@@ -408,15 +416,16 @@
     state(
         "who leads no more answers no read",
         AGREEMENT,
-        "return self.confirm(frame.ident, frame.origin, None, now_s) if self.leads(now_s) else []",
-        "return self.confirm(frame.ident, frame.origin, None, now_s)",
+        "return self.confirm(frame.request_id, frame.origin, None, now_s) if self.leads(now_s) else []",
+        "return self.confirm(frame.request_id, frame.origin, None, now_s)",
     ),
     state(
         "nor takes an order",
         AGREEMENT,
-        "        if self.member is None or not self.leads(now_s):\n            return []\n"
-        "        return self.note_syncs(self.member.order",
-        "        if self.member is None:\n            return []\n        return self.note_syncs(self.member.order",
+        "        if self.member is None or not self.leads(now_s):\n"
+        "            return []\n"
+        "        return self.note_syncs(self.member.submit",
+        "        if self.member is None:\n            return []\n        return self.note_syncs(self.member.submit",
     ),
     state(
         "a call goes on from machine to machine twice at most",
@@ -427,7 +436,7 @@
     state(
         "contact is as old as the pulse that was echoed",
         AGREEMENT,
-        "return self.sent.get(frame.echo, NEVER_S)",
+        "return self.sent.get(frame.echoed_sequence, NEVER_S)",
         "return now_s",
     ),
     state(
@@ -506,8 +515,10 @@
     state(
         "a view that could not be written may be offered again",
         AGREEMENT,
-        "            self.accepting = None\n        actions: list[Action] = []\n        if isinstance(what, Sync)",
-        "            pass\n        actions: list[Action] = []\n        if isinstance(what, Sync)",
+        "            self.accepting = None\n"
+        "        actions: list[Action] = []\n"
+        "        if isinstance(what, PersistEntry)",
+        "            pass\n        actions: list[ChainEffect] = []\n        if isinstance(what, PersistEntry)",
     ),
     state("a lost disk is a newcomer", AGREEMENT, "        if self.newcomers(now_s):\n            return True\n", ""),
     state(
@@ -522,14 +533,16 @@
     disk(
         "who tells less than it told is not heard",
         AGREEMENT,
-        "        if known is not None and told.behind(known):\n            return True\n",
+        "        if known is not None and told.is_behind(known):\n            return True\n",
         "",
     ),
     disk(
         "nor do its promises count",
         AGREEMENT,
-        "        if self.refuses(frame.name, Marks(frame.incarnation, frame.draw, "
-        "frame.epoch, frame.held, frame.number)):\n            return self.accuse(frame.name)\n",
+        "        if self.refuses(\n"
+        "            frame.name, HighWaterMarks(frame.incarnation, frame.draw, frame.epoch, frame.stored_epoch, frame.number)\n"
+        "        ):\n"
+        "            return self.accuse(frame.name)\n",
         "",
     ),
     disk(
@@ -541,14 +554,14 @@
     disk(
         "a machine judges itself by its own disk",
         AGREEMENT,
-        "if frame.name == self.name and own.behind(told):",
+        "if frame.name == self.name and own.is_behind(told):",
         "if frame.name == self.name:",
     ),
     disk(
         "an accusation of another machine is none",
         AGREEMENT,
-        "if frame.name == self.name and own.behind(told):",
-        "if own.behind(told):",
+        "if frame.name == self.name and own.is_behind(told):",
+        "if own.is_behind(told):",
     ),
     disk(
         "one whose disk is older seals itself",
@@ -585,8 +598,8 @@
     disk(
         "one before it in the chain may have one more",
         AGREEMENT,
-        "return frame.entry > own.number + before",
-        "return frame.entry > own.number",
+        "return frame.stored_number > own.number + before",
+        "return frame.stored_number > own.number",
     ),
     disk(
         "it starts anew only once a majority has something newer",
@@ -621,7 +634,7 @@
     disk(
         "two starts from one copy are told apart",
         MARKS,
-        "or (self.incarnation == told.incarnation and self.draw != told.draw)",
+        "or (self.incarnation == told.incarnation and self.incarnation_id != told.incarnation_id)",
         "",
     ),
     disk("a lower promise is an older copy", MARKS, "            or self.promised < told.promised\n", ""),
@@ -640,14 +653,14 @@
     disk(
         "the incarnation is told once a write has put it on disk",
         AGREEMENT,
-        "        self.own = replace(self.own, incarnation=self.raised.incarnation, draw=self.raised.draw)\n",
+        "        self.own = replace(self.own, incarnation=self.raised.incarnation, incarnation_id=self.raised.incarnation_id)\n",
         "",
     ),
     disk(
         "each start raises the incarnation",
         STORE,
         "own.incarnation + 1, secrets.randbits(DRAW_BITS))",
-        "        own.incarnation, own.draw)",
+        "        own.incarnation, own.incarnation_id)",
     ),
     disk(
         "with the first write",
--- a/lab/rules_fencing.py
+++ b/lab/rules_fencing.py
@@ -76,9 +76,9 @@
     fencing(
         "news is fenced",
         REPLICA,
-        "if not self.fence.rejects(link, frame.epoch) and self.wants(frame.revision, frame.mark):\n"
+        "if not self.fence.rejects(link, frame.epoch) and self.wants(frame.revision, frame.digest):\n"
         "            self.fetch(link.ip)",
-        "if self.wants(frame.revision, frame.mark):\n            self.fetch(link.ip)",
+        "if self.wants(frame.revision, frame.digest):\n            self.fetch(link.ip)",
     ),
     fencing(
         "an update is fenced",
@@ -105,12 +105,15 @@
         "if self.position.is_root:",
     ),
     fencing(
-        "a root that is named is fenced", RELAY, "if frame.root and self.fence.rejects(link, frame.epoch):", "if False:"
+        "a root that is named is fenced",
+        RELAY,
+        "if frame.leader and self.fence.rejects(link, frame.epoch):",
+        "if False:",
     ),
     fencing(
         "who names nobody is not answered",
         RELAY,
-        "if frame.root and self.fence.rejects(link, frame.epoch):",
+        "if frame.leader and self.fence.rejects(link, frame.epoch):",
         "if self.fence.rejects(link, frame.epoch):",
     ),
     fencing(
@@ -146,8 +149,10 @@
     fencing(
         "news carries the epoch under which it stands",
         REPLICA,
-        "else frames.News(self.revision, mark, self.standing())\n        )\n        self.announced",
-        "else frames.News(self.revision, mark, 0))\n        self.announced",
+        "else frames.ConfigurationAnnouncement(self.revision, mark, self.standing())\n"
+        "        )\n"
+        "        self.announced",
+        "else frames.ConfigurationAnnouncement(self.revision, mark, 0))\n        self.announced",
     ),
     fencing(
         "a small change carries the epoch",
@@ -158,8 +163,8 @@
     fencing(
         "what a child lacks is told under the epoch of now",
         REPLICA,
-        "        return frames.News(newest, mark, self.standing())",
-        "        return frames.News(newest, mark, 0)",
+        "        return frames.ConfigurationAnnouncement(newest, mark, self.standing())",
+        "        return frames.ConfigurationAnnouncement(newest, mark, 0)",
     ),
     fencing(
         "a small change that a child lacks is told under the epoch of now",
@@ -170,8 +175,8 @@
     fencing(
         "a relay that begins to fetch tells of it under its beat's epoch",
         REPLICA,
-        "self.tell(frames.News(revision, mark, self.standing()))",
-        "self.tell(frames.News(revision, mark, 0))",
+        "self.tell(frames.ConfigurationAnnouncement(revision, mark, self.standing()))",
+        "self.tell(frames.ConfigurationAnnouncement(revision, mark, 0))",
     ),
     fencing(
         "a node's own news stands under its beat's epoch, not under what it has seen",
@@ -285,7 +290,7 @@
     fencing(
         "a root without a majority sends no beat",
         FEED,
-        "        if not fence.vouched():\n            self.children.tell(frames.Alive())\n            return\n",
+        "        if not fence.vouched():\n            self.children.tell(frames.KeepAlive())\n            return\n",
         "",
     ),
     fencing(
@@ -397,7 +402,7 @@
     fencing(
         "an epoch that cannot be is no frame",
         CODEC,
-        'if form == "e" and value and not LEAST_EPOCH <= value <= MOST_EPOCH:',
+        'if form == "e" and value and not MIN_EPOCH <= value <= MAX_EPOCH:',
         "if False:",
     ),
     fencing(
@@ -497,11 +502,13 @@
     members(
         "a newcomer must stand by",
         MEMBERS,
-        "    if name is None:\n        return Verdict(UNKNOWN",
-        "    if False:\n        return Verdict(UNKNOWN",
+        "    if name is None:\n        return ChangeDecision(UNKNOWN",
+        "    if False:\n        return ChangeDecision(UNKNOWN",
+    ),
+    members("nine members are the most", MEMBERS, "if len(known.view.group) >= MAX_MEMBERS:", "if False:"),
+    members(
+        "a newcomer is level before it counts", MEMBERS, "    if name not in known.caught_up:\n", "    if False:\n"
     ),
-    members("nine members are the most", MEMBERS, "if len(known.view.group) >= MOST_MEMBERS:", "if False:"),
-    members("a newcomer is level before it counts", MEMBERS, "    if name not in known.level:\n", "    if False:\n"),
     members("enough members are left", MEMBERS, "    if len(group) < least:\n", "    if False:\n"),
     members("enough whole copies are left", MEMBERS, "    if len(chain) < copies:\n", "    if False:\n"),
     members(
@@ -519,14 +526,16 @@
     members(
         "to one other group only",
         MEMBERS,
-        "return fresh and (self.proposed is None or self.proposed[0] != epoch or self.proposed[1] == wanted)",
+        "return fresh and (\n"
+        "            self.proposed_group is None or self.proposed_group[0] != epoch or self.proposed_group[1] == wanted\n"
+        "        )",
         "return fresh",
     ),
     members(
         "not from memory that a restart has emptied",
         MEMBERS,
-        "return fresh and (self.proposed is None or",
-        "return (self.proposed is None or",
+        "return fresh and (\n            self.proposed_group is None or",
+        "return (self.proposed_group is None or",
     ),
     members(
         "the new chain holds the newcomer",
@@ -561,10 +570,10 @@
     members(
         "a stand-by may be one entry behind",
         MEMBERS,
-        "least = max(number - LEVEL_LAG, min(number, 1))",
+        "least = max(number - MAX_SPARE_LAG, min(number, 1))",
         "least = number",
     ),
-    members("and no more", MEMBERS, "least = max(number - LEVEL_LAG, min(number, 1))", "least = 0"),
+    members("and no more", MEMBERS, "least = max(number - MAX_SPARE_LAG, min(number, 1))", "least = 0"),
     members(
         "no step while a proposal is under way or a newcomer waits",
         MEMBERS,
--- a/lab/rules_orders.py
+++ b/lab/rules_orders.py
@@ -38,31 +38,31 @@
     orders(
         "what was taken is answered 200, before it is checked",
         CHAIN,
-        "if self.digest(order.body) in self.taken.values():",
+        "if self.digest(order.body) in self.applied_digests.values():",
         "if False:",
     ),
     orders(
         "an order on an older base is refused unread",
         CHAIN,
-        "if deduplication.forgotten(self.taken, self.number) <= order.base < self.revision:",
+        "if deduplication.forgotten_up_to(self.applied_digests, self.number) <= order.base < self.revision:",
         "if False:",
     ),
     orders(
         "not where its digest may have gone",
         CHAIN,
-        "if deduplication.forgotten(self.taken, self.number) <= order.base < self.revision:",
+        "if deduplication.forgotten_up_to(self.applied_digests, self.number) <= order.base < self.revision:",
         "if order.base < self.revision:",
     ),
     orders(
         "no valid configuration is refused",
         CHAIN,
-        "            return [answer(order, 400, str(err))]\n",
+        "            return [write_result(order, 400, str(err))]\n",
         "            revision = self.revision + 1\n",
     ),
     orders(
         "one whose base may come into force yet is not refused",
         CHAIN,
-        "if self.may_come(order.base, revision):",
+        "if self.base_may_become_current(order.base, revision):",
         "if False:",
     ),
     orders(
@@ -72,7 +72,10 @@
         "return self.revision < base",
     ),
     orders(
-        "one that may have been taken is not refused", CHAIN, "if self.may_be_taken(order.base, revision):", "if False:"
+        "one that may have been taken is not refused",
+        CHAIN,
+        "if self.may_have_been_applied(order.base, revision):",
+        "if False:",
     ),
     orders(
         "it is one only if its base is below its number",
@@ -85,20 +88,20 @@
     orders(
         "orders are decided one at a time, once what came before is committed",
         CHAIN,
-        "return self.syncing is not None or self.number > self.committed",
-        "return self.syncing is not None",
+        "return self.persisting is not None or self.number > self.committed",
+        "return self.persisting is not None",
     ),
     orders(
         "none while a write is under way",
         CHAIN,
-        "return self.syncing is not None or self.number > self.committed",
+        "return self.persisting is not None or self.number > self.committed",
         "return self.number > self.committed",
     ),
     orders(
         "the same bytes get the answer of those under way",
         CHAIN,
-        "            if self.busy():\n                self.join_same()\n",
-        "            if self.busy():\n",
+        "            if self.has_uncommitted():\n                self.coalesce_duplicates()\n",
+        "            if self.has_uncommitted():\n",
     ),
     orders(
         "by their bytes, not by their base", CHAIN, "if order.body == entry.body]:", "if order.base == entry.base]:"
@@ -106,10 +109,13 @@
     orders(
         "an order that comes again waits once",
         CHAIN,
-        "if any(other.ident == order.ident for other in self.waiting) or (order.ident, order.origin) in self.asked:",
+        "if (\n"
+        "            any(other.request_id == order.request_id for other in self.queue)\n"
+        "            or (order.request_id, order.origin) in self.pending_callers\n"
+        "        ):",
         "if False:",
     ),
-    orders("too many that wait are told to come back", CHAIN, "if len(self.waiting) >= MOST_WAITING:", "if False:"),
+    orders("too many that wait are told to come back", CHAIN, "if len(self.queue) >= MAX_QUEUED_WRITES:", "if False:"),
     orders(
         "only the head decides",
         CHAIN,
@@ -131,14 +137,18 @@
     orders(
         "the tail answers the first asker",
         CHAIN,
-        '        actions += [Tell(origin, frames.Outcome(ident, 200, "taken")) for ident, origin in self.asked]\n',
+        "        actions += [\n"
+        '            SendMessage(origin, frames.WriteResult(ident, 200, "taken")) for ident, origin in self.pending_callers\n'
+        "        ]\n",
         "",
     ),
     orders(
         "the head answers the others",
         CHAIN,
-        '            actions += [Tell(origin, frames.Outcome(ident, 200, "taken")) for '
-        "ident, origin in self.asked[1:]]\n",
+        "            actions += [\n"
+        '                SendMessage(origin, frames.WriteResult(ident, 200, "taken"))\n'
+        "                for ident, origin in self.pending_callers[1:]\n"
+        "            ]\n",
         "",
     ),
     orders(
@@ -150,13 +160,13 @@
     orders(
         "a disk that refuses is no clear answer",
         CHAIN,
-        'return [Tell(origin, frames.Outcome(ident, 503, "the disk refuses")) for ident, origin in asked]',
-        'return [Tell(origin, frames.Outcome(ident, 400, "the disk refuses")) for ident, origin in asked]',
+        'return [SendMessage(origin, frames.WriteResult(ident, 503, "the disk refuses")) for ident, origin in asked]',
+        'return [SendMessage(origin, frames.WriteResult(ident, 400, "the disk refuses")) for ident, origin in asked]',
     ),
     orders(
         "what waited is decided once the entry is committed",
         CHAIN,
-        "return actions + self.take_next(now_s)",
+        "return actions + self.process_queue(now_s)",
         "return actions",
     ),
     orders(
@@ -166,16 +176,16 @@
         "                    and action.frame.status == 0):",
     ),
     orders("both kinds of refusal do", AGREEMENT, "REFUSALS = (INVALID, 412)", "REFUSALS = (412,)"),
-    orders("a refusal's text fits into its frame", CHAIN, "text[:MOST_TEXT]", "text"),
+    orders("a refusal's text fits into its frame", CHAIN, "text[:MAX_RESULT_TEXT]", "text"),
     orders("an entry drops the digests above its base", TAKEN, "        del taken[wrong]\n", "        pass\n"),
     orders("on disk too", STORE, '    database.execute("delete from taken where revision > ?", (entry.base,))\n', ""),
     orders(
         "the newest digests are kept, in memory",
         TAKEN,
-        "    while len(taken) > KEPT:\n        del taken[next(iter(taken))]\n",
+        "    while len(taken) > MAX_DIGESTS:\n        del taken[next(iter(taken))]\n",
         "",
     ),
-    orders("and on disk", STORE, "        (KEPT,),\n", "        (10**9,),\n"),
+    orders("and on disk", STORE, "        (MAX_DIGESTS,),\n", "        (10**9,),\n"),
     orders("digests are missing when there are fewer than entries", TAKEN, "if len(taken) >= number:", "if True:"),
     orders(
         "all below the lowest are missing then",
@@ -190,7 +200,7 @@
         "return next(iter(taken)) - 1 if taken else 0",
     ),
     orders("digests that cannot be are refused: cut off", TAKEN, "if len(data) % RECORD.size:", "if False:"),
-    orders("too many", TAKEN, "if len(found) > KEPT:", "if False:"),
+    orders("too many", TAKEN, "if len(found) > MAX_DIGESTS:", "if False:"),
     orders("out of order", TAKEN, "if any(one[0] >= other[0] for one, other in pairwise(found)):", "if False:"),
     orders(
         "one's own digests count up to the revision that all hold",
@@ -213,7 +223,7 @@
     orders(
         "who lacks the base takes no part",
         AGREEMENT,
-        "if frame.since and frame.since not in self.all_taken():",
+        "if frame.digests_since and frame.digests_since not in self.all_taken():",
         "if False:",
     ),
     orders(
@@ -225,9 +235,9 @@
     orders(
         "a member that takes a view up keeps its own digests",
         AGREEMENT,
-        "taken = digests.merge(self.all_taken(), frame.since, digests.unpack(frame.taken))\n"
+        "taken = digests.merge(self.all_taken(), frame.digests_since, digests.unpack(frame.applied_digests))\n"
         "        return self.accept_view",
-        "taken = digests.unpack(frame.taken)\n        return self.accept_view",
+        "taken = digests.unpack(frame.applied_digests)\n        return self.accept_view",
     ),
     orders(
         "an edge node passes on what it can't read",
@@ -417,7 +427,7 @@
     orders(
         "which stays known of a disk in trouble",
         AGREEMENT,
-        "        if frame.disk:\n            self.checks_of[ip]",
+        "        if frame.disk_flags:\n            self.checks_of[ip]",
         "        if True:\n            self.checks_of[ip]",
     ),
 )
--- a/lab/rules_replacement.py
+++ b/lab/rules_replacement.py
@@ -27,7 +27,7 @@
     replacement(
         "every member counts the silence of the others",
         "        self.silence.update(others, self.replica.heard_lately, now_s)\n",
-        "        if self.members.heads(now_s):\n"
+        "        if self.membership.is_active_head(now_s):\n"
         "            self.silence.update(others, self.replica.heard_lately, now_s)\n",
     ),
     replacement(
@@ -35,16 +35,16 @@
         "        if stood_still:\n            self.since_s.clear()\n",
         "",
     ),
-    replacement("so does one without a majority in reach", "if not ran or not self.in_contact(now_s):", "if not ran:"),
+    replacement("so does one without a majority in reach", "if not ran or not self.has_quorum(now_s):", "if not ran:"),
     replacement(
         "only the head replaces",
-        '        if not self.members.heads(now_s):\n            self.status = ""\n            return []\n',
+        '        if not self.membership.is_active_head(now_s):\n            self.status = ""\n            return []\n',
         "",
     ),
     replacement(
         "a replacement after 0 s is none",
-        "self.silence.longest(self.replace_after_s, now_s) if self.replace_after_s else []",
-        "self.silence.longest(self.replace_after_s, now_s)",
+        "self.silence.silent_for(self.replace_after_s, now_s) if self.replace_after_s else []",
+        "self.silence.silent_for(self.replace_after_s, now_s)",
     ),
     replacement(
         "spares that were never members go before former ones",
@@ -53,7 +53,7 @@
     ),
     replacement(
         "a replacement that was begun goes on though the member is back",
-        "            return self.rest_of(begun)\n",
+        "            return self.second_step(begun)\n",
         "            pass\n",
     ),
     replacement(
@@ -68,8 +68,8 @@
     ),
     replacement(
         "a group of an even number removes its silent member",
-        "        if self.has_one_too_many(group):\n            return Change(REMOVE, gone[0]",
-        "        if False:\n            return Change(REMOVE, gone[0]",
+        "        if self.has_surplus_member(group):\n            return MembershipChange(REMOVE, gone[0]",
+        "        if False:\n            return MembershipChange(REMOVE, gone[0]",
     ),
     replacement(
         "unless it is no larger than the least",
@@ -98,11 +98,11 @@
     ),
     replacement(
         "who leaves waits for nothing without a spare",
-        "return Change(REPLACE, own, spares[0], group) if spares else None",
-        'return Change(REPLACE, own, spares[0] if spares else "", group)',
+        "return MembershipChange(REPLACE, own, spares[0], group) if spares else None",
+        'return MembershipChange(REPLACE, own, spares[0] if spares else "", group)',
     ),
     replacement(
-        "nor without a majority in reach", "        if not self.in_contact(now_s):\n            return None\n", ""
+        "nor without a majority in reach", "        if not self.has_quorum(now_s):\n            return None\n", ""
     ),
     replacement(
         "who has left waits until its successors hold their view",
--- a/lab/simulation/disk.py
+++ b/lab/simulation/disk.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from cypressbeam.consensus.chain import Entry, View
-from cypressbeam.consensus.rollback_detection import Marks
+from cypressbeam.consensus.rollback_detection import HighWaterMarks
 from cypressbeam.protocol.configuration import digest
 from cypressbeam.storage.store import Loaded
 
@@ -22,8 +22,8 @@
         self.copies: list[Loaded] = []
         """What it held at earlier times, for whoever puts an older copy in its place."""
         self.starts = 0
-        self.raised = Marks()
-        self.noted: dict[str, Marks] = {}
+        self.raised = HighWaterMarks()
+        self.noted: dict[str, HighWaterMarks] = {}
 
     async def load(self, anew: bool = False) -> Loaded:
         """What is on the disk; with `anew` an empty one under another identity."""
@@ -33,10 +33,10 @@
         self.starts += 1
         if anew:
             self.kept = Loaded(f"{self.kept.identity}.{self.starts}", 0, None, None, {})
-        self.raised, self.noted = Marks(self.kept.own.incarnation + 1, self.starts), self.kept.marks
+        self.raised, self.noted = HighWaterMarks(self.kept.own.incarnation + 1, self.starts), self.kept.marks
         return replace(self.kept, taken=dict(self.kept.taken), raised=self.raised)
 
-    def note(self, marks: dict[str, Marks]) -> bool:
+    def note(self, marks: dict[str, HighWaterMarks]) -> bool:
         """High-water marks that go onto the disk with the next write; whether there is anything to write."""
         self.noted = dict(marks)
         return self.raised != self.kept.own
--- a/tests/core_parts.py
+++ b/tests/core_parts.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from typing import Any
 
-from cypressbeam.consensus.chain import Entry, Member, Tell, View
+from cypressbeam.consensus.chain import ChainReplica, Entry, SendMessage, View
 from cypressbeam.consensus.replica import Keeper
 from cypressbeam.protocol import frames
 from lab.histories import invariants
@@ -17,19 +17,19 @@
 ONE, TWO = Entry(1, 256, 10, 0, b"10:x"), Entry(2, 256, 20, 10, b"20:x")
 
 
-def member(ip: str, last: Entry | None = None, committed: int = 0, **changes: Any) -> Member:
-    made = Member(ip, VIEW, invariants.revision, invariants.digest, last, active=True, committed=committed)
+def member(ip: str, last: Entry | None = None, committed: int = 0, **changes: Any) -> ChainReplica:
+    made = ChainReplica(ip, VIEW, invariants.revision, invariants.digest, last, active=True, committed=committed)
     for name, value in changes.items():
         setattr(made, name, value)
     return made
 
 
-def forward(entry: Entry, epoch: int = 256) -> frames.Forward:
-    return frames.Forward(epoch, entry.number, entry.revision, entry.base, entry.body, 7, CLIENT)
+def forward(entry: Entry, epoch: int = 256) -> frames.ForwardEntry:
+    return frames.ForwardEntry(epoch, entry.number, entry.revision, entry.base, entry.body, 7, CLIENT)
 
 
 def told(actions: list[Any], kind: type[frames.Frame] = frames.Frame) -> list[Any]:
-    return [one.frame for one in actions if isinstance(one, Tell) and isinstance(one.frame, kind)]
+    return [one.frame for one in actions if isinstance(one, SendMessage) and isinstance(one.frame, kind)]
 
 
 def quiet_world() -> World:
@@ -44,14 +44,19 @@
     return world
 
 
-def pulse(name: str, echo: int = 0, **changes: Any) -> frames.Pulse:
-    return replace(frames.Pulse(name, 256, 256, 1, echo=echo, kept=256, held=256, entry=1), **changes)
+def pulse(name: str, echo: int = 0, **changes: Any) -> frames.ReplicaHeartbeat:
+    return replace(
+        frames.ReplicaHeartbeat(
+            name, 256, 256, 1, echoed_sequence=echo, durable_promise=256, stored_epoch=256, stored_number=1
+        ),
+        **changes,
+    )
 
 
-def echo(keeper: Keeper, now_s: float, *pulses: frames.Pulse) -> list[Any]:
+def echo(keeper: Keeper, now_s: float, *pulses: frames.ReplicaHeartbeat) -> list[Any]:
     """A pulse of this machine that others answer, and what it wants done then."""
-    number = told(keeper.pulse(now_s), frames.Pulse)[0].number
-    return [action for frame in pulses for action in keeper.on_pulse(replace(frame, echo=number), now_s)]
+    number = told(keeper.pulse(now_s), frames.ReplicaHeartbeat)[0].sequence
+    return [action for frame in pulses for action in keeper.on_pulse(replace(frame, echoed_sequence=number), now_s)]
 
 
 def promise(name: str, epoch: int, entry: Entry = ONE, view: View = VIEW) -> frames.Promise:
@@ -67,7 +72,7 @@
         entry.base,
         entry.body,
         b"",
-        held=view.epoch,
+        stored_epoch=view.epoch,
     )
 
 
--- a/tests/golden_state.py
+++ b/tests/golden_state.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from cypressbeam.consensus.chain import Entry, View
-from cypressbeam.consensus.rollback_detection import Marks
+from cypressbeam.consensus.rollback_detection import HighWaterMarks
 from cypressbeam.storage.store import Loaded, Store
 from lab.golden_traces import canonical
 from lab.membership import many_routes
@@ -46,8 +46,8 @@
     store.note({})
     await store.save_view(View(256, names, names), None, {})
     for number in range(1, 6):
-        marks = Marks(2, 123456789, 256, 256, number)
-        store.note({names[1]: marks, names[2]: Marks(1, 987654321, 256, 256, number - 1)})
+        marks = HighWaterMarks(2, 123456789, 256, 256, number)
+        store.note({names[1]: marks, names[2]: HighWaterMarks(1, 987654321, 256, 256, number - 1)})
         await store.save_entry(Entry(number, 256, number * 3, (number - 1) * 3, many_routes(number * 3, 2)))
     await store.save_promise(513)
     await store.try_disk()
@@ -56,7 +56,9 @@
     loaded = await store.load()
     last = loaded.last
     assert last is not None
-    store.note({names[1]: Marks(3, 1234567890, 513, 256, 5), names[2]: Marks(1, 987654321, 256, 256, 5)})
+    store.note(
+        {names[1]: HighWaterMarks(3, 1234567890, 513, 256, 5), names[2]: HighWaterMarks(1, 987654321, 256, 256, 5)}
+    )
     view = View(513, (names[2], names[0]), names, last.number)
     await store.save_view(view, replace(last, epoch=513), dict(loaded.taken))
     await store.save_entry(Entry(6, 513, 20, 15, many_routes(20, 2)))
@@ -65,7 +67,7 @@
 
 def describe(loaded: Loaded) -> str:
     """What was loaded, without what is drawn anew at each start."""
-    return canonical(replace(loaded, raised=replace(loaded.raised, draw=0)))
+    return canonical(replace(loaded, raised=replace(loaded.raised, incarnation_id=0)))
 
 
 def dump(file: Path) -> str:
--- a/tests/parts.py
+++ b/tests/parts.py
@@ -29,8 +29,8 @@
         self.sent.append(frame)
 
     def send_packed(self, data: bytes) -> None:
-        _, kind = frames.HEAD.unpack_from(data)
-        self.sent.append(frames.unpack(kind, data[frames.HEAD.size :]))
+        _, kind = frames.HEADER.unpack_from(data)
+        self.sent.append(frames.unpack(kind, data[frames.HEADER.size :]))
 
     def kinds(self) -> list[str]:
         return [type(frame).__name__ for frame in self.sent]
@@ -44,17 +44,19 @@
         self.wires: dict[str, Wire] = {}
         self.peers = Peers(ME, 1, lambda link, frame: None, lambda link: None, 1000.0)
         self.peers.to = self.wire  # type: ignore[method-assign]
-        self.relay = Relay(SETTINGS, self.peers, frames.FRONT)
+        self.relay = Relay(SETTINGS, self.peers, frames.SERVES_CLIENTS)
         self.relay.context.loop = cast(Any, SimpleNamespace(time=lambda: self.now_s, call_later=lambda *_: None))
 
     def wire(self, ip: str, lane: int = SMALL) -> Wire:
         return self.wires.setdefault(ip, Wire(self.peers, ip))
 
     def place(self, epoch: int, parent: str = ROOT) -> None:
-        self.relay.on_placed(self.wire(ROOT), frames.Place(epoch, (ROOT,), (parent,), (), (), 3, 3, 0, (ROOT, OTHER)))
+        self.relay.on_placed(
+            self.wire(ROOT), frames.ParentAssignment(epoch, (ROOT,), (parent,), (), (), 3, 3, 0, (ROOT, OTHER))
+        )
 
     def beat(self, epoch: int, number: int = 1) -> None:
-        self.relay.on_beat(self.wire(ROOT), frames.Beat(7, 0, 0, 3, number, epoch))
+        self.relay.on_beat(self.wire(ROOT), frames.RootHeartbeat(7, 0, 0, 3, number, epoch))
 
     def under(self, epoch: int) -> Part:
         """Fed by the root of that epoch; what was sent until now does not count."""
@@ -70,5 +72,5 @@
 
     def child(self, epoch: int, ip: str = "10.0.0.20", revision: int = 0) -> Wire:
         link = self.wire(ip)
-        self.relay.feed.on_attach(link, frames.Attach(ip, revision, 0, 0, epoch))
+        self.relay.feed.on_attach(link, frames.Subscribe(ip, revision, 0, 0, epoch))
         return link
--- a/tests/test_added_routes.py
+++ b/tests/test_added_routes.py
@@ -135,7 +135,7 @@
 
 def relay_of(taken: list[int]) -> tuple[Relay, Link]:
     peers = Peers("127.0.0.1", 1, lambda link, frame: None, lambda link: None, 1000.0)
-    relay = Relay(BOOT, peers, frames.FRONT)
+    relay = Relay(BOOT, peers, frames.SERVES_CLIENTS)
     relay.configuration.on_committed = lambda revision, body: taken.append(revision)
     return relay, Link(peers, "127.0.0.9")
 
@@ -149,12 +149,14 @@
         relay.publish(5, new)
         relay.publish(4, old)
         relay.configuration.store.put(old)
-        relay.configuration.on_news(link, frames.News(4, digest(old), 512))
-        relay.configuration.on_news(link, frames.News(5, digest(old), 512))  # another one under the same number
+        relay.configuration.on_news(link, frames.ConfigurationAnnouncement(4, digest(old), 512))
+        relay.configuration.on_news(
+            link, frames.ConfigurationAnnouncement(5, digest(old), 512)
+        )  # another one under the same number
         assert relay.configuration.newest == (5, digest(new)) and not relay.configuration.transfer.mark
         data = relay.configuration.store.brief(digest(old), digest(new))
         assert data
-        relay.configuration.on_update(link, frames.Update(4, digest(old), digest(new), data, 768))
+        relay.configuration.on_update(link, frames.ConfigurationDelta(4, digest(old), digest(new), data, 768))
         assert taken == [5] and (relay.revision, relay.configuration.body) == (5, new)
 
     run(scenario())
@@ -167,7 +169,7 @@
         taken: list[int] = []
         relay, link = relay_of(taken)
         bodies = [document(revision) for revision in (4, 5, 6)]
-        relay.configuration.on_news(link, frames.News(4, digest(bodies[0]), 512))
+        relay.configuration.on_news(link, frames.ConfigurationAnnouncement(4, digest(bodies[0]), 512))
         assert relay.configuration.transfer.mark == digest(bodies[0]) and not taken
         relay.publish(6, bodies[2])
         relay.configuration.fetcher.arrived(digest(bodies[0]), bodies[0])
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -7,7 +7,7 @@
 import pytest
 
 from cypressbeam.consensus import replica
-from cypressbeam.consensus.chain import Tell, View, ip_of
+from cypressbeam.consensus.chain import SendMessage, View, ip_of
 from cypressbeam.consensus.replica import Keeper
 from cypressbeam.protocol import frames
 from lab.histories import callers, faults, runner
@@ -57,12 +57,12 @@
     keeper = world.keepers["a"]
     assert keeper.view is not None
     group = keeper.view.group
-    keeper.on_view(frames.ViewIs(keeper.view.epoch + 512, group[1:], group), world.now_s)
+    keeper.on_view(frames.ViewAnnouncement(keeper.view.epoch + 512, group[1:], group), world.now_s)
     (saved,) = keeper.on_prepare(frames.Prepare(keeper.promised + 2048, group[1]), world.now_s)
     assert isinstance(saved, replica.SavePromise)
     (told,) = keeper.promise_saved(saved.epoch, saved.proposer, world.now_s)
-    assert isinstance(told, Tell) and isinstance(told.frame, frames.Promise)
-    assert (told.frame.body, told.frame.number) == (body, 1) and told.frame.taken
+    assert isinstance(told, SendMessage) and isinstance(told.frame, frames.Promise)
+    assert (told.frame.body, told.frame.number) == (body, 1) and told.frame.applied_digests
     assert runner.fails(468, make_plan(468)) is None
 
 
@@ -76,7 +76,7 @@
     keeper = world.keepers["c"]
     assert keeper.on_prepare(frames.Prepare(290, "b/0"), world.now_s) == []
     group = ("a/0", "b/0", keeper.name)
-    keeper.on_view(frames.ViewIs(300, ("a/0", "b/0"), group), world.now_s)  # told, and not on its disk
+    keeper.on_view(frames.ViewAnnouncement(300, ("a/0", "b/0"), group), world.now_s)  # told, and not on its disk
     assert keeper.on_prepare(frames.Prepare(310, "b/0"), world.now_s) == []
     world.run(world.now_s + 6.0)
     assert keeper.view is not None and keeper.name in keeper.view.group  # the others have taken it in
@@ -89,10 +89,17 @@
     """After all processes were killed the root waited 0.3 s for pulses that had come before it listened."""
     world = quiet_world(4)
     keeper = world.keepers["a"]
-    asks, answers = (dataclasses.replace(world.keepers["b"].own_pulse(world.now_s), number=number) for number in (5, 0))
+    asks, answers = (
+        dataclasses.replace(world.keepers["b"].own_pulse(world.now_s), sequence=number) for number in (5, 0)
+    )
     (told,) = keeper.on_pulse(asks, world.now_s)
-    assert isinstance(told, Tell) and told.ip == "b" and isinstance(told.frame, frames.Pulse) and told.frame.echo == 5
-    assert keeper.on_pulse(dataclasses.replace(answers, echo=told.frame.number), world.now_s) == []
+    assert (
+        isinstance(told, SendMessage)
+        and told.ip == "b"
+        and isinstance(told.frame, frames.ReplicaHeartbeat)
+        and told.frame.echoed_sequence == 5
+    )
+    assert keeper.on_pulse(dataclasses.replace(answers, echoed_sequence=told.frame.sequence), world.now_s) == []
 
 
 def test_a_head_names_the_version_in_force_only_once_others_have_confirmed_its_epoch() -> None:
@@ -101,21 +108,21 @@
     replace(world)
     keeper = world.keepers["a"]
     assert keeper.member is not None and keeper.member.is_head() and keeper.view is not None
-    asks = keeper.order(frames.Order(77, "client", 0, b"50:late"), world.now_s)
-    assert {type(action.frame) for action in asks if isinstance(action, Tell)} == {frames.Confirm}
+    asks = keeper.order(frames.WriteRequest(77, "client", 0, b"50:late"), world.now_s)
+    assert {type(action.frame) for action in asks if isinstance(action, SendMessage)} == {frames.QuorumReadCheck}
     epoch, name = keeper.view.epoch, keeper.view.group[1]
-    assert keeper.on_confirmed(frames.Confirmed(epoch - 1, 77, name), world.now_s) == []
-    (told,) = keeper.on_confirmed(frames.Confirmed(epoch, 77, name), world.now_s)
-    assert isinstance(told, Tell) and isinstance(told.frame, frames.Outcome) and told.frame.status == 412
+    assert keeper.on_confirmed(frames.QuorumReadAck(epoch - 1, 77, name), world.now_s) == []
+    (told,) = keeper.on_confirmed(frames.QuorumReadAck(epoch, 77, name), world.now_s)
+    assert isinstance(told, SendMessage) and isinstance(told.frame, frames.WriteResult) and told.frame.status == 412
 
 
 def test_what_others_confirmed_of_an_epoch_does_not_count_in_the_next() -> None:
     world = quiet_world(9)
     replace(world)
     keeper = world.keepers["c"]
-    assert keeper.view is not None and keeper.read(frames.Read(78, "client"), world.now_s)
+    assert keeper.view is not None and keeper.read(frames.ReadRequest(78, "client"), world.now_s)
     keeper.hold(keeper.view)
-    assert keeper.on_confirmed(frames.Confirmed(keeper.view.epoch, 78, keeper.view.group[0]), world.now_s) == []
+    assert keeper.on_confirmed(frames.QuorumReadAck(keeper.view.epoch, 78, keeper.view.group[0]), world.now_s) == []
 
 
 def test_a_seed_plays_the_same_history_again() -> None:
@@ -189,7 +196,7 @@
     before = len(world.trace)
     world.callers.calls[10**6] = Call(10**6, "z", "read", world.now_s)
     world.callers.open["z"] = 10**6
-    world.send(CLIENT, tail, frames.Read(10**6, CLIENT))
+    world.send(CLIENT, tail, frames.ReadRequest(10**6, CLIENT))
     world.run(world.now_s + 1.0)
     assert world.callers.calls[10**6].status == 0 and len(world.trace) == before
 
@@ -224,11 +231,11 @@
     names = world.keepers["a"].view.group if world.keepers["a"].view else ()
     world.keepers["b"].view = View(999, (names[2], names[0]), names)  # b holds c for the head, and c holds b
     world.keepers["c"].view = View(998, (names[1], names[0]), names)
-    frame: frames.Frame = frames.Order(1, "client", 0, b"5:x")
+    frame: frames.Frame = frames.WriteRequest(1, "client", 0, b"5:x")
     ip, passed = "b", 0
     while passed < 20:
-        assert isinstance(frame, frames.Order)
-        told = [action for action in world.keepers[ip].order(frame, 0.0) if isinstance(action, Tell)]
+        assert isinstance(frame, frames.WriteRequest)
+        told = [action for action in world.keepers[ip].order(frame, 0.0) if isinstance(action, SendMessage)]
         if not told:
             break
         ip, frame, passed = told[0].ip, told[0].frame, passed + 1
@@ -245,5 +252,5 @@
     newest = max(states.values(), key=lambda state: state.epoch)
     assert ip_of(newest.name) != "a" and "a" not in {ip_of(name) for name in newest.chain}
     assert states["a"].number == newest.number - 1
-    assert sum(bool(state.flags & frames.ROOT) for ip, state in states.items() if ip != "a") == 1
+    assert sum(bool(state.flags & frames.IS_ROOT) for ip, state in states.items() if ip != "a") == 1
     assert isinstance(world.keepers["a"], Keeper)
--- a/tests/test_chain.py
+++ b/tests/test_chain.py
@@ -5,7 +5,7 @@
 import random
 from collections import deque
 
-from cypressbeam.consensus.chain import Action, Entry, Member, Publish, Sync, Tell, View
+from cypressbeam.consensus.chain import ChainEffect, ChainReplica, Entry, PersistEntry, Publish, SendMessage, View
 from cypressbeam.protocol import frames
 
 VIEW = View(1, ("a", "b", "c"), ("a", "b", "c"))
@@ -15,8 +15,8 @@
     return int(body.split(b":")[0])
 
 
-def member(ip: str, last: Entry | None = None, view: View = VIEW) -> Member:
-    made = Member(ip, view, revision, lambda body: body, last, {last.revision: last.body} if last else {})
+def member(ip: str, last: Entry | None = None, view: View = VIEW) -> ChainReplica:
+    made = ChainReplica(ip, view, revision, lambda body: body, last, {last.revision: last.body} if last else {})
     made.active = last is None
     return made
 
@@ -34,18 +34,18 @@
         self.now_s = 0.0
 
     def order(self, ident: int, base: int, body: bytes) -> None:
-        self.waiting.append(("a", frames.Order(ident, "client", base, body)))
+        self.waiting.append(("a", frames.WriteRequest(ident, "client", base, body)))
 
-    def carry_out(self, ip: str, actions: list[Action]) -> None:
+    def carry_out(self, ip: str, actions: list[ChainEffect]) -> None:
         for action in actions:
-            if isinstance(action, Tell):
+            if isinstance(action, SendMessage):
                 if action.ip == "client":
-                    assert isinstance(action.frame, frames.Outcome)
-                    self.answers.setdefault(action.frame.ident, action.frame.status)
+                    assert isinstance(action.frame, frames.WriteResult)
+                    self.answers.setdefault(action.frame.request_id, action.frame.status)
                 elif self.chance.random() >= self.trouble:
                     for _ in range(1 + (self.chance.random() < self.trouble)):
                         self.waiting.append((action.ip, action.frame))
-            elif isinstance(action, Sync):
+            elif isinstance(action, PersistEntry):
                 self.waiting.append((ip, action.entry))
             else:
                 assert isinstance(action, Publish)
@@ -59,19 +59,19 @@
         member = self.members[ip]
         if isinstance(what, Entry):
             self.disks[ip].append(what)
-            self.carry_out(ip, member.synced(what, self.now_s))
-        elif isinstance(what, frames.Order):
-            self.carry_out(ip, member.order(what, self.now_s))
-        elif isinstance(what, frames.Forward):
-            self.carry_out(ip, member.forward(what, self.now_s))
-        elif isinstance(what, frames.Committed):
-            self.carry_out(ip, member.commit(what, self.now_s))
+            self.carry_out(ip, member.entry_persisted(what, self.now_s))
+        elif isinstance(what, frames.WriteRequest):
+            self.carry_out(ip, member.submit(what, self.now_s))
+        elif isinstance(what, frames.ForwardEntry):
+            self.carry_out(ip, member.on_forward(what, self.now_s))
+        elif isinstance(what, frames.CommitNotice):
+            self.carry_out(ip, member.on_commit(what, self.now_s))
 
     def run(self) -> None:
         for _ in range(2000):
             while self.waiting:
                 self.step()
-            if not any(member.number > member.committed or member.waiting for member in self.members.values()):
+            if not any(member.number > member.committed or member.queue for member in self.members.values()):
                 return
             self.now_s += 0.5
             for ip, member in self.members.items():
@@ -114,8 +114,8 @@
 
 def test_a_message_of_another_epoch_is_refused() -> None:
     one = member("b")
-    assert one.forward(frames.Forward(2, 1, 5, 0, b"5:x", 1, "client"), 0.0) == []
-    assert one.commit(frames.Committed(0, 1), 0.0) == []
+    assert one.on_forward(frames.ForwardEntry(2, 1, 5, 0, b"5:x", 1, "client"), 0.0) == []
+    assert one.on_commit(frames.CommitNotice(0, 1), 0.0) == []
 
 
 def test_a_member_starts_again_from_its_disk() -> None:
@@ -123,20 +123,22 @@
     tail = member("c", last)
     assert tail.activate(0.0) == [Publish(last)] and tail.committed == 3
     head = member("a", last)
-    assert head.activate(0.0) == [Tell("b", frames.Forward(1, 3, 7, 5, b"7:x", 0, ""))]
-    assert head.busy()  # until the tail has said that it has it
-    head.commit(frames.Committed(1, 3), 0.0)
-    assert not head.busy()
-    began = member("a", last, View(1, VIEW.chain, VIEW.group, began=3))
-    assert began.activate(0.0) == [] and not began.busy()  # all members began with it
+    assert head.activate(0.0) == [SendMessage("b", frames.ForwardEntry(1, 3, 7, 5, b"7:x", 0, ""))]
+    assert head.has_uncommitted()  # until the tail has said that it has it
+    head.on_commit(frames.CommitNotice(1, 3), 0.0)
+    assert not head.has_uncommitted()
+    began = member("a", last, View(1, VIEW.chain, VIEW.group, initial_number=3))
+    assert began.activate(0.0) == [] and not began.has_uncommitted()  # all members began with it
 
 
 def test_a_disk_that_refuses_is_no_silence() -> None:
     one = member("a")
-    (sync,) = one.order(frames.Order(1, "client", 0, b"5:x"), 0.0)
-    assert isinstance(sync, Sync)
-    assert one.failed(sync.entry, 0.0) == [Tell("client", frames.Outcome(1, 503, "the disk refuses"))]
-    assert one.number == 0 and not one.busy()
+    (sync,) = one.submit(frames.WriteRequest(1, "client", 0, b"5:x"), 0.0)
+    assert isinstance(sync, PersistEntry)
+    assert one.persist_failed(sync.entry, 0.0) == [
+        SendMessage("client", frames.WriteResult(1, 503, "the disk refuses"))
+    ]
+    assert one.number == 0 and not one.has_uncommitted()
 
 
 def test_word_of_an_earlier_entry_acknowledges_no_later_one() -> None:
@@ -144,9 +146,9 @@
     for both (seed 2195)."""
     view = View(256, ("a/0", "b/0"), ("a/0", "b/0"))
     last = Entry(10, 256, 100, 90, b"100:x")
-    head = Member("a", view, lambda body: 100, lambda body: body, last, {100: b"100:x"}, committed=6, active=True)
-    head.asked = [(1, "client"), (2, "client")]
-    assert head.commit(frames.Committed(256, 9), 0.0) == []
-    assert [action.frame for action in head.commit(frames.Committed(256, 10), 0.0) if isinstance(action, Tell)] == [
-        frames.Outcome(2, 200, "taken")
-    ]
+    head = ChainReplica("a", view, lambda body: 100, lambda body: body, last, {100: b"100:x"}, committed=6, active=True)
+    head.pending_callers = [(1, "client"), (2, "client")]
+    assert head.on_commit(frames.CommitNotice(256, 9), 0.0) == []
+    assert [
+        action.frame for action in head.on_commit(frames.CommitNotice(256, 10), 0.0) if isinstance(action, SendMessage)
+    ] == [frames.WriteResult(2, 200, "taken")]
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -7,7 +7,7 @@
 import pytest
 
 from cypressbeam.consensus import replica
-from cypressbeam.consensus.chain import Tell, View
+from cypressbeam.consensus.chain import SendMessage, View
 from cypressbeam.consensus.replica import DEAD_S, ROOT_ALONE_S, STALL_S, Keeper, Lead, SavePromise
 from cypressbeam.protocol import frames
 from lab.histories import faults, invariants, runner, simulated_core
@@ -25,16 +25,20 @@
     return world
 
 
-def pulse(name: str, echo: int, number: int = 0) -> frames.Pulse:
-    return frames.Pulse(name, 256, 256, 1, number=number, echo=echo, kept=256, held=256)
+def pulse(name: str, echo: int, number: int = 0) -> frames.ReplicaHeartbeat:
+    return frames.ReplicaHeartbeat(
+        name, 256, 256, 1, sequence=number, echoed_sequence=echo, durable_promise=256, stored_epoch=256
+    )
 
 
 def asked(actions: list[replica.Action]) -> int:
     """The number of the pulse among what a machine wants done."""
     (number,) = {
-        action.frame.number
+        action.frame.sequence
         for action in actions
-        if isinstance(action, Tell) and isinstance(action.frame, frames.Pulse) and action.frame.number
+        if isinstance(action, SendMessage)
+        and isinstance(action.frame, frames.ReplicaHeartbeat)
+        and action.frame.sequence
     }
     return number
 
@@ -51,8 +55,8 @@
             for name in others:
                 keeper.on_pulse(pulse(name, last, number), now_s)
         assert not keeper.leads(now_s) and not keeper.holds_root(now_s)
-    assert root.read(frames.Read(7, CLIENT), now_s) == []
-    assert head.order(frames.Order(8, CLIENT, 0, b"10:x"), now_s) == []
+    assert root.read(frames.ReadRequest(7, CLIENT), now_s) == []
+    assert head.order(frames.WriteRequest(8, CLIENT, 0, b"10:x"), now_s) == []
     actions = root.tick(now_s)
     assert Lead(False) in actions and not root.root
     # One echo of what it sends now is a majority with itself, and it may go on.
@@ -100,7 +104,7 @@
     seq = node.relay.listing.seq
     cluster.at(node, core.take_list, [])
     assert (node.relay.listing.seq != seq) is not late
-    cluster.at(node, node.on_frame, node.peers.local, frames.Join("new", "10.9.0.9", "a", 0, 0, ""))
+    cluster.at(node, node.on_frame, node.peers.local, frames.JoinRequest("new", "10.9.0.9", "a", 0, 0, ""))
     assert (node.relay.is_root, "new" in core.roster.nodes) == ((False, False) if late else (True, True))
 
 
@@ -110,9 +114,9 @@
     assert not keeper.holds_root(now_s)  # what is in its sockets is read before its timer runs
     actions = keeper.tick(now_s)
     assert Lead(False) not in actions and keeper.holds_root(now_s) and not keeper.leads(now_s)
-    assert keeper.read(frames.Read(7, CLIENT), now_s) == []
+    assert keeper.read(frames.ReadRequest(7, CLIENT), now_s) == []
     keeper.on_pulse(pulse("b/0", asked(actions)), now_s)
-    assert keeper.leads(now_s) and keeper.read(frames.Read(7, CLIENT), now_s)
+    assert keeper.leads(now_s) and keeper.read(frames.ReadRequest(7, CLIENT), now_s)
 
 
 def test_a_root_that_is_cut_off_is_it_for_no_longer_than_its_bound() -> None:
@@ -145,12 +149,14 @@
 def test_a_newcomer_counts_once_it_has_echoed_and_not_by_what_its_address_echoed_before() -> None:
     world = quiet_world()
     keeper, now_s = world.keepers["a"], world.now_s
-    told = keeper.on_pulse(frames.Pulse("c/7", 0, 0, 1, 0, number=3), now_s)
+    told = keeper.on_pulse(frames.ReplicaHeartbeat("c/7", 0, 0, 1, 0, sequence=3), now_s)
     assert keeper.newcomers(now_s) == {} and not keeper.present("c/0", now_s)
     assert [
-        action.frame.echo for action in told if isinstance(action, Tell) and isinstance(action.frame, frames.Pulse)
+        action.frame.echoed_sequence
+        for action in told
+        if isinstance(action, SendMessage) and isinstance(action.frame, frames.ReplicaHeartbeat)
     ] == [3]
-    keeper.on_pulse(frames.Pulse("c/7", 0, 0, 1, 0, echo=asked(told)), now_s)
+    keeper.on_pulse(frames.ReplicaHeartbeat("c/7", 0, 0, 1, 0, echoed_sequence=asked(told)), now_s)
     assert keeper.newcomers(now_s) == {"c/0": "c/7"}
 
 
@@ -159,8 +165,8 @@
     keeper = Keeper("c/7", 2, invariants.revision, invariants.digest, lambda: 0.5)
     assert keeper.load(None, 0, None, {}, 0.0) == []
     (told,) = keeper.on_pulse(pulse("a/0", 0, 5), 0.1)
-    assert isinstance(told, Tell) and told.ip == "a" and isinstance(told.frame, frames.Pulse)
-    assert (told.frame.echo, told.frame.epoch, told.frame.standing, told.frame.disk) == (5, 0, 0, 1)
+    assert isinstance(told, SendMessage) and told.ip == "a" and isinstance(told.frame, frames.ReplicaHeartbeat)
+    assert (told.frame.echoed_sequence, told.frame.epoch, told.frame.disk_state, told.frame.disk_flags) == (5, 0, 0, 1)
 
 
 def test_nobody_proposes_while_too_few_are_there_that_can_promise() -> None:
@@ -173,7 +179,9 @@
         for tick in range(1, 30):
             number = asked(keeper.pulse(0.1 * tick))
             for name in view.group[1:]:
-                keeper.on_pulse(frames.Pulse(name, 0, 0, 1, int(not empty), echo=number), 0.1 * tick)
+                keeper.on_pulse(
+                    frames.ReplicaHeartbeat(name, 0, 0, 1, int(not empty), echoed_sequence=number), 0.1 * tick
+                )
             told += keeper.tick(0.1 * tick)
         assert proposes(told) is not empty
 
@@ -183,7 +191,7 @@
         Keeper("a/0", 2, invariants.revision, invariants.digest, lambda share=share: share)  # type: ignore[misc]
         for share in (0.25, 0.75)
     ]
-    number = lives[0].own_pulse(1.0).number
+    number = lives[0].own_pulse(1.0).sequence
     lives[1].own_pulse(1.0)
     for life in lives:
         life.on_pulse(pulse("b/0", number), 1.1)
@@ -222,17 +230,17 @@
 
 
 def proposes(actions: list[replica.Action]) -> bool:
-    return any(isinstance(one, Tell) and isinstance(one.frame, frames.Prepare) for one in actions)
+    return any(isinstance(one, SendMessage) and isinstance(one.frame, frames.Prepare) for one in actions)
 
 
 def test_a_majority_s_word_that_is_read_late_answers_nothing() -> None:
     world = quiet_world()
     keeper, now_s = world.keepers["c"], world.now_s
-    assert keeper.read(frames.Read(7, CLIENT), now_s)
-    late = frames.Confirmed(256, 7, "a/0")
+    assert keeper.read(frames.ReadRequest(7, CLIENT), now_s)
+    late = frames.QuorumReadAck(256, 7, "a/0")
     assert keeper.on_confirmed(late, now_s + 20.0) == []
     (told,) = keeper.on_confirmed(late, now_s + 0.1)
-    assert isinstance(told, Tell) and told.ip == CLIENT
+    assert isinstance(told, SendMessage) and told.ip == CLIENT
 
 
 def test_a_node_below_keeps_to_the_highest_epoch_and_to_one_root_in_it() -> None:
--- a/tests/test_core_rules.py
+++ b/tests/test_core_rules.py
@@ -32,7 +32,7 @@
 def test_a_machine_without_a_view_on_its_disk_promises_nothing() -> None:
     keeper = Keeper("c/7", 2, invariants.revision, invariants.digest, lambda: 0.5)
     keeper.load(None, 0, None, {}, 0.0)
-    keeper.on_view(frames.ViewIs(256, GROUP[:2], (*GROUP[:2], "c/7")), 0.0)  # told, and not on its disk
+    keeper.on_view(frames.ViewAnnouncement(256, GROUP[:2], (*GROUP[:2], "c/7")), 0.0)  # told, and not on its disk
     assert keeper.on_prepare(frames.Prepare(1024, "a/0"), 0.1) == [] and keeper.promised == 0
 
 
@@ -89,7 +89,7 @@
 def test_a_newcomer_counts_for_a_chain_and_not_for_the_majority_that_decides() -> None:
     world = quiet_world()
     keeper, now_s = world.keepers["a"], world.now_s
-    echo(keeper, now_s, pulse("c/7", epoch=0, promised=0, held=0, entry=0, standing=0))
+    echo(keeper, now_s, pulse("c/7", epoch=0, promised=0, stored_epoch=0, stored_number=0, disk_state=0))
     keeper.heard["b"].at_s = replica.NEVER_S
     keeper.propose(now_s)
     assert keeper.proposal is not None and keeper.proposal.wanted == ("a/0", "b/0", "c/7")
@@ -130,7 +130,7 @@
 def test_epochs_that_are_proposed_are_above_all_seen_and_no_two_machines_propose_the_same() -> None:
     world = quiet_world()
     keepers = [world.keepers[ip] for ip in "abc"]
-    keepers[0].on_pulse(pulse("b/0", promised=5000, kept=0, held=0, entry=0), world.now_s)
+    keepers[0].on_pulse(pulse("b/0", promised=5000, durable_promise=0, stored_epoch=0, stored_number=0), world.now_s)
     assert keepers[0].seen_epoch == 5000
     for keeper in keepers:
         keeper.seen_epoch = 5000
@@ -170,7 +170,7 @@
         keeper.load(VIEW, 256, None, {}, 0.0)
         proposed: list[float] = []
         for tick in range(1, 12):
-            actions = echo(keeper, tick / 10, *(pulse(other, entry=0) for other in others))
+            actions = echo(keeper, tick / 10, *(pulse(other, stored_number=0) for other in others))
             if told([*actions, *keeper.tick(tick / 10)], frames.Prepare):
                 proposed.append(tick / 10)
         assert bool(proposed) is mends and (not mends or proposed[0] > 0.1 + replica.WRONG_S)
@@ -182,7 +182,7 @@
     echo(keeper, world.now_s, pulse("b/0"), pulse("c/0"))
     assert not keeper.wrong(world.now_s)
     keeper.view = replace(VIEW, chain=GROUP[:2])
-    echo(keeper, world.now_s, pulse("b/0"), pulse("c/7", epoch=0, held=0, entry=0, standing=0))
+    echo(keeper, world.now_s, pulse("b/0"), pulse("c/7", epoch=0, stored_epoch=0, stored_number=0, disk_state=0))
     assert keeper.newcomers(world.now_s) == {"c/0": "c/7"} and keeper.wrong(world.now_s)
 
 
@@ -198,7 +198,7 @@
         if by_promise:
             keeper.on_promise(promise("b/0", keeper.proposal.epoch, view=later), world.now_s)
         else:
-            keeper.on_view(frames.ViewIs(later.epoch, later.chain, later.group), world.now_s)
+            keeper.on_view(frames.ViewAnnouncement(later.epoch, later.chain, later.group), world.now_s)
         assert keeper.proposal is None and keeper.view == later and keeper.member is None
         assert keeper.newest() == newest and keeper.all_taken()
 
@@ -207,7 +207,7 @@
 
 
 def confirmed(keeper: Keeper, now_s: float, name: str = "a/0", epoch: int = 256) -> list[Any]:
-    return told(keeper.on_confirmed(frames.Confirmed(epoch, 7, name), now_s))
+    return told(keeper.on_confirmed(frames.QuorumReadAck(epoch, 7, name), now_s))
 
 
 @pytest.mark.parametrize("why", ["", "late", "another epoch", "no member", "sealed", "behind", "not committed"])
@@ -215,11 +215,11 @@
     world = quiet_world()
     keeper, now_s = world.keepers["c"], world.now_s
     assert keeper.member is not None
-    assert len(told(keeper.read(frames.Read(7, CLIENT), now_s), frames.Confirm)) == 2
+    assert len(told(keeper.read(frames.ReadRequest(7, CLIENT), now_s), frames.QuorumReadCheck)) == 2
     if why == "sealed":
         keeper.member.sealed = True
     elif why == "behind":
-        keeper.member.wanted = 99
+        keeper.member.catch_up_target = 99
     elif why == "not committed":
         keeper.member.committed = 0
     found = confirmed(
@@ -228,23 +228,23 @@
         "x/0" if why == "no member" else "a/0",
         255 if why == "another epoch" else 256,
     )
-    assert [type(frame) for frame in found] == ([] if why else [frames.Reading])
+    assert [type(frame) for frame in found] == ([] if why else [frames.ReadResult])
 
 
 def test_who_leads_no_more_answers_no_read_and_takes_no_order() -> None:
     world = quiet_world()
     now_s = world.now_s + replica.DEAD_S + 0.5
-    assert world.keepers["c"].read(frames.Read(7, CLIENT), now_s) == []
+    assert world.keepers["c"].read(frames.ReadRequest(7, CLIENT), now_s) == []
     head = world.keepers["a"]
-    assert head.order(frames.Order(8, CLIENT, 10, b"20:x"), now_s) == [] and not head.writes
-    assert head.order(frames.Order(8, CLIENT, 10, b"20:x"), world.now_s)
+    assert head.order(frames.WriteRequest(8, CLIENT, 10, b"20:x"), now_s) == [] and not head.writes
+    assert head.order(frames.WriteRequest(8, CLIENT, 10, b"20:x"), world.now_s)
 
 
 @pytest.mark.parametrize(("promised", "view", "confirms"), [(256, 256, True), (512, 256, False), (512, 512, False)])
 def test_a_member_confirms_an_epoch_until_it_has_promised_a_later_one(promised: int, view: int, confirms: bool) -> None:
     keeper = quiet_world().keepers["b"]
     keeper.promised, keeper.view = promised, replace(VIEW, epoch=view)
-    assert bool(keeper.on_confirm(frames.Confirm(256, 7, "c"))) is confirms
+    assert bool(keeper.on_confirm(frames.QuorumReadCheck(256, 7, "c"))) is confirms
 
 
 # -- contact ------------------------------------------------------------------------------------------------------
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -54,16 +54,16 @@
 @pytest.mark.parametrize(
     "frame",
     [
-        frames.Beat(1, 2, 3, 4, 5, epoch=255),
-        frames.Refer("", 2**48 + 1, ()),
-        frames.Attach("n", 0, 0, 0, 2**64 - 1),
-        frames.Place(7, (), (), (), (), 0, 0, 0),
+        frames.RootHeartbeat(1, 2, 3, 4, 5, epoch=255),
+        frames.LeaderRedirect("", 2**48 + 1, ()),
+        frames.Subscribe("n", 0, 0, 0, 2**64 - 1),
+        frames.ParentAssignment(7, (), (), (), (), 0, 0, 0),
     ],
     ids=lambda frame: type(frame).__name__,
 )
 def test_an_epoch_that_cannot_be_is_no_frame(frame: frames.Frame) -> None:
     with pytest.raises(frames.FrameError, match="no epoch"):
-        frames.unpack(frame.KIND, frame.pack()[frames.HEAD.size :])
+        frames.unpack(frame.CODE, frame.pack()[frames.HEADER.size :])
 
 
 GROUP, SEEDS = ("10.0.0.1", "10.1.0.1", "10.2.0.1"), ("10.0.0.1", "10.3.0.1", "10.4.0.1")
@@ -116,7 +116,7 @@
         cluster.net.cut = lambda one, other: (one.ip in lost) != (other.ip in lost)
         await asyncio.sleep(5.0)
         assert node.relay.revision == 1 and 4.0 < node.tell()["age_s"] < 5.5 and node.alone()
-        answer = node.control.pass_on(frames.Order(1, node.settings.ip, 1, b""), cast(ClientConnection, None))
+        answer = node.control.pass_on(frames.WriteRequest(1, node.settings.ip, 1, b""), cast(ClientConnection, None))
         assert answer is not None and answer.status == 503 and (b"Retry-After", b"0.3") in answer.headers
         cluster.net.cut = lambda one, other: False
         assert await cluster.until(lambda: not node.alone() and node.tell()["age_s"] < 0.5) < 2.0
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -7,7 +7,7 @@
 import pytest
 
 from cypressbeam.consensus import deduplication
-from cypressbeam.consensus.rollback_detection import Marks, pack_marks, unpack_marks
+from cypressbeam.consensus.rollback_detection import HighWaterMarks, pack_marks, unpack_marks
 from cypressbeam.protocol import frames
 from lab.histories import faults, runner
 from lab.histories.disks import Disk
@@ -84,16 +84,16 @@
 
 
 def test_two_starts_from_one_copy_are_told_apart() -> None:
-    first, again = Marks(3, 17, 512, 512, 4), Marks(3, 18, 512, 512, 4)
-    assert first.behind(again) and again.behind(first) and not first.behind(first)
+    first, again = HighWaterMarks(3, 17, 512, 512, 4), HighWaterMarks(3, 18, 512, 512, 4)
+    assert first.is_behind(again) and again.is_behind(first) and not first.is_behind(first)
     for lower in (
-        Marks(2, 99, 512, 512, 4),
-        Marks(3, 17, 256, 512, 4),
-        Marks(3, 17, 512, 256, 9),
-        Marks(3, 17, 512, 512, 3),
+        HighWaterMarks(2, 99, 512, 512, 4),
+        HighWaterMarks(3, 17, 256, 512, 4),
+        HighWaterMarks(3, 17, 512, 256, 9),
+        HighWaterMarks(3, 17, 512, 512, 3),
     ):
-        assert lower.behind(first) and not first.behind(lower)
-    told = {"10.0.0.1/a": first, "10.0.0.2/b": Marks()}
+        assert lower.is_behind(first) and not first.is_behind(lower)
+    told = {"10.0.0.1/a": first, "10.0.0.2/b": HighWaterMarks()}
     assert unpack_marks(pack_marks(told)) == told and unpack_marks("") == {}
     with pytest.raises(ValueError, match="marks of 'a'"):
         unpack_marks("a 1 2")
@@ -128,7 +128,7 @@
         super().send(origin, ip, frame)
         if ip == self.where and origin in IPS:
             self.frames += len(frame.pack())
-            self.named.add(frame.body_field())
+            self.named.add(frame.body_or_digest())
 
 
 @pytest.mark.parametrize("how", ["its disk", "an empty one", "an older copy"])
@@ -161,7 +161,9 @@
         (read,) = (call for call in world.callers.calls.values() if call.operator == "y")
         assert read.seen == world.observer.committed[newest].revision
     assert (
-        weights[2] < 4000 + 1.1 * 2000 * deduplication.RECORD.size < 2 * deduplication.KEPT * deduplication.RECORD.size
+        weights[2]
+        < 4000 + 1.1 * 2000 * deduplication.RECORD.size
+        < 2 * deduplication.MAX_DIGESTS * deduplication.RECORD.size
     )
 
 
--- a/tests/test_disk_rules.py
+++ b/tests/test_disk_rules.py
@@ -13,7 +13,7 @@
 
 from cypressbeam.consensus.chain import Entry, View
 from cypressbeam.consensus.replica import Keeper, StartAnew
-from cypressbeam.consensus.rollback_detection import Marks
+from cypressbeam.consensus.rollback_detection import HighWaterMarks
 from cypressbeam.protocol import frames
 from cypressbeam.storage import files
 from cypressbeam.storage.store import FILE, Store, StoreError
@@ -26,9 +26,9 @@
 LESS: dict[str, dict[str, Any]] = {
     "a start": {"incarnation": 2},
     "another start from the same copy": {"draw": 8},
-    "a promise": {"kept": 255},
-    "an entry": {"entry": 0},
-    "a view": {"held": 0},
+    "a promise": {"durable_promise": 255},
+    "an entry": {"stored_number": 0},
+    "a view": {"stored_epoch": 0},
 }
 
 
@@ -38,29 +38,29 @@
     keeper, now_s = world.keepers["a"], world.now_s
     echo(keeper, now_s, TOLD)
     heard = keeper.heard["b"]
-    actions = echo(keeper, now_s + 0.2, replace(TOLD, number=5, **LESS[what]))
+    actions = echo(keeper, now_s + 0.2, replace(TOLD, sequence=5, **LESS[what]))
     assert keeper.heard["b"] is heard and heard.at_s == now_s and keeper.refused == {"b/0"}
     stale, answer = told(actions)
-    assert stale == frames.StaleDisk("b/0", 3, 9, 256, 256, 1) and answer.echo == 5
+    assert stale == frames.RollbackNotice("b/0", 3, 9, 256, 256, 1) and answer.echoed_sequence == 5
     keeper.propose(now_s)
     assert keeper.proposal is not None
     less = promise("b/0", keeper.proposal.epoch)  # of an incarnation before all that were told
-    assert [type(frame) for frame in told(keeper.on_promise(less, now_s))] == [frames.StaleDisk]
+    assert [type(frame) for frame in told(keeper.on_promise(less, now_s))] == [frames.RollbackNotice]
     assert not keeper.proposal.promises
 
 
 def test_the_word_of_a_member_that_is_refused_confirms_nothing() -> None:
     world = quiet_world()
     keeper = world.keepers["c"]
-    assert keeper.read(frames.Read(7, CLIENT), world.now_s)
+    assert keeper.read(frames.ReadRequest(7, CLIENT), world.now_s)
     keeper.refused.add("b/0")
-    assert keeper.on_confirmed(frames.Confirmed(256, 7, "b/0"), world.now_s) == []
+    assert keeper.on_confirmed(frames.QuorumReadAck(256, 7, "b/0"), world.now_s) == []
     keeper.refused.clear()
-    assert keeper.on_confirmed(frames.Confirmed(256, 7, "b/0"), world.now_s)
+    assert keeper.on_confirmed(frames.QuorumReadAck(256, 7, "b/0"), world.now_s)
 
 
-def stale(name: str, number: int) -> frames.StaleDisk:
-    return frames.StaleDisk(name, 0, 0, 0, 256, number)
+def stale(name: str, number: int) -> frames.RollbackNotice:
+    return frames.RollbackNotice(name, 0, 0, 0, 256, number)
 
 
 def test_a_machine_judges_itself_by_its_own_disk() -> None:
@@ -76,10 +76,10 @@
     keeper, now_s = world.keepers["b"], world.now_s
     keeper.lose("this disk is an older copy")
     assert keeper.member is not None and keeper.member.sealed and not keeper.disk_works(now_s)
-    assert keeper.own_pulse(now_s).disk == 0
+    assert keeper.own_pulse(now_s).disk_flags == 0
     assert keeper.on_prepare(frames.Prepare(1024, "a/0"), now_s) == [] and keeper.promised == 256
     assert keeper.on_accept(accept(1024), now_s) == []
-    assert keeper.on_confirm(frames.Confirm(256, 7, "c")) == []
+    assert keeper.on_confirm(frames.QuorumReadCheck(256, 7, "c")) == []
 
 
 @pytest.mark.parametrize(
@@ -96,7 +96,7 @@
     """Here b has entry 1: one before it in the chain may have one more, one behind it none."""
     world = quiet_world()
     keeper = world.keepers["b"]
-    keeper.on_pulse(pulse(name, entry=entry, held=held), world.now_s)
+    keeper.on_pulse(pulse(name, stored_number=entry, stored_epoch=held), world.now_s)
     assert bool(keeper.lacks) is lost
 
 
@@ -107,7 +107,7 @@
     world = quiet_world()
     keeper, now_s = world.keepers["a"], world.now_s + 5.0
     keeper.lose("this disk is an older copy")
-    others = [pulse(f"{ip}/0", entry=2 if ip in newer else 1, epoch=256) for ip in "bc"]
+    others = [pulse(f"{ip}/0", stored_number=2 if ip in newer else 1, epoch=256) for ip in "bc"]
     for frame in others:
         keeper.on_pulse(frame, now_s)
     echo(keeper, now_s, *(frame for frame in others if frame.name[0] in heard))
@@ -117,20 +117,20 @@
 def test_as_a_view_ends_what_was_committed_in_it_is_known_of_its_chain() -> None:
     world = quiet_world()
     keeper = world.keepers["a"]
-    keeper.marks = {"b/0": Marks(3, 9, 256, 256, 0)}
+    keeper.marks = {"b/0": HighWaterMarks(3, 9, 256, 256, 0)}
     keeper.hold(replace(VIEW, epoch=512))
-    assert keeper.marks == {"b/0": Marks(3, 9, 256, 256, 1)}
+    assert keeper.marks == {"b/0": HighWaterMarks(3, 9, 256, 256, 1)}
 
 
 def test_only_what_is_on_disk_is_told() -> None:
     keeper = Keeper("a/0", 2, invariants.revision, invariants.digest, lambda: 0.5)
-    keeper.remember(Marks(1, 5), Marks(2, 6), {})
+    keeper.remember(HighWaterMarks(1, 5), HighWaterMarks(2, 6), {})
     keeper.load(VIEW, 256, None, {}, 0.0)
     assert keeper.on_prepare(frames.Prepare(1024, "b/0"), 0.0)
     pulses = [keeper.own_pulse(0.0)]
     keeper.promise_saved(1024, "b", 0.1)
     pulses.append(keeper.own_pulse(0.1))
-    assert [(one.promised, one.kept, one.incarnation, one.draw) for one in pulses] == [
+    assert [(one.promised, one.durable_promise, one.incarnation, one.draw) for one in pulses] == [
         (1024, 256, 1, 5),
         (1024, 1024, 2, 6),
     ]
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -12,28 +12,28 @@
 from tests.test_gateway_parts import BOOT
 
 #: Chunks of bodies, which the connections take themselves (`Peers.take`).
-TRANSFER = {frames.Slice, frames.Want, frames.Lacking}
+TRANSFER = {frames.Chunk, frames.ChunkRequest, frames.BlobNotFound}
 #: What machines of the core say to each other, and what is sent to them (`Core.on_core`).
 CORE = {
-    frames.Order,
-    frames.Read,
-    frames.Change,
-    frames.Forward,
-    frames.Committed,
-    frames.Pulse,
-    frames.ViewIs,
+    frames.WriteRequest,
+    frames.ReadRequest,
+    frames.MembershipChangeRequest,
+    frames.ForwardEntry,
+    frames.CommitNotice,
+    frames.ReplicaHeartbeat,
+    frames.ViewAnnouncement,
     frames.Prepare,
     frames.Promise,
     frames.Accept,
-    frames.Confirm,
-    frames.Confirmed,
-    frames.StaleDisk,
-    frames.Level,
-    frames.Levelled,
-    frames.Ask,
+    frames.QuorumReadCheck,
+    frames.QuorumReadAck,
+    frames.RollbackNotice,
+    frames.CatchUp,
+    frames.CatchUpAck,
+    frames.StatusQuery,
 }
 #: What only a machine of the core handles itself, beside those.
-CORE_MACHINE = {frames.Found, frames.Suspect, frames.Leave}
+CORE_MACHINE = {frames.BootstrapRequest, frames.SuspectReport, frames.LeaveNotice}
 
 
 def test_each_message_has_exactly_one_handler(tmp_path: Path) -> None:
@@ -43,8 +43,10 @@
         assert edge.core is None
         everywhere = set(edge.handlers)
         groups = (TRANSFER, CORE, CORE_MACHINE, everywhere)
-        assert sum(map(len, groups)) == len(frames.FRAMES) and set().union(*groups) == set(frames.FRAMES.values())
-        assert set(HANDLERS) | {frames.Ask} == CORE
+        assert sum(map(len, groups)) == len(frames.FRAME_TYPES) and set().union(*groups) == set(
+            frames.FRAME_TYPES.values()
+        )
+        assert set(HANDLERS) | {frames.StatusQuery} == CORE
         tables = (edge.relay.handlers(), edge.outliers.handlers(), edge.node_handlers())
         assert sum(map(len, tables)) == len(everywhere)
         machine = GatewayNode(parse(BOOT + f"stateDir={tmp_path}", "boot.conf"))
--- a/tests/test_fencing_rules.py
+++ b/tests/test_fencing_rules.py
@@ -31,22 +31,28 @@
 
 def verdict(part: Part, link: Wire, epoch: int) -> None:
     taken: list[tuple[str, ...]] = []
-    OutlierReports(part.relay.context, part.relay, taken.append).on_verdict(link, frames.Verdict("a", ("s",), epoch))
+    OutlierReports(part.relay.context, part.relay, taken.append).on_verdict(
+        link, frames.OutlierEjection("a", ("s",), epoch)
+    )
     if taken:
         part.relay.heartbeats.numbers[99] = 1  # a change that `state` shows
 
 
 #: Each word that a parent, or the root, says, under an epoch.
 WORDS: dict[str, Callable[[Part, Wire, int], None]] = {
-    "News": lambda part, link, epoch: part.relay.configuration.on_news(link, frames.News(3, digest(BODY), epoch)),
-    "Update": lambda part, link, epoch: part.relay.configuration.on_update(
-        link, frames.Update(3, digest(BODY), bytes(32), b"", epoch)
+    "ConfigurationAnnouncement": lambda part, link, epoch: part.relay.configuration.on_news(
+        link, frames.ConfigurationAnnouncement(3, digest(BODY), epoch)
+    ),
+    "ConfigurationDelta": lambda part, link, epoch: part.relay.configuration.on_update(
+        link, frames.ConfigurationDelta(3, digest(BODY), bytes(32), b"", epoch)
+    ),
+    "EndpointUpdate": lambda part, link, epoch: part.relay.on_servers_message(
+        link, frames.EndpointUpdate(7, 0, 1, 1, rows(), epoch)
     ),
-    "Servers": lambda part, link, epoch: part.relay.on_servers_message(link, frames.Servers(7, 0, 1, 1, rows(), epoch)),
-    "Beat": lambda part, link, epoch: part.relay.on_beat(link, frames.Beat(7, 0, 0, 3, 9, epoch)),
-    "Place": lambda part, link, epoch: part.place(epoch, OTHER),
-    "Refer": lambda part, link, epoch: part.relay.on_refer(link, frames.Refer(OTHER, epoch)),
-    "Verdict": verdict,
+    "RootHeartbeat": lambda part, link, epoch: part.relay.on_beat(link, frames.RootHeartbeat(7, 0, 0, 3, 9, epoch)),
+    "ParentAssignment": lambda part, link, epoch: part.place(epoch, OTHER),
+    "LeaderRedirect": lambda part, link, epoch: part.relay.on_refer(link, frames.LeaderRedirect(OTHER, epoch)),
+    "OutlierEjection": verdict,
 }
 
 
@@ -74,10 +80,10 @@
         link, before = part.wire(ROOT), state(part)
         WORDS[word](part, link, SECOND)
         assert state(part) == before
-        assert [frame for frame in link.sent if isinstance(frame, frames.Refer)] == [part.relay.refer()]
+        assert [frame for frame in link.sent if isinstance(frame, frames.LeaderRedirect)] == [part.relay.refer()]
         link.sent.clear()
         WORDS[word](part, link, THIRD)
-        assert state(part) != before and "Refer" not in link.kinds()
+        assert state(part) != before and "LeaderRedirect" not in link.kinds()
         WORDS[word](part, link, FOURTH)
         assert part.relay.epoch == FOURTH
 
@@ -87,12 +93,12 @@
 def test_the_highest_epoch_that_was_seen_holds_whoever_tells_of_it() -> None:
     async def scenario() -> None:
         for told in (
-            lambda part: part.relay.on_refer(part.wire(OTHER), frames.Refer("", THIRD)),
+            lambda part: part.relay.on_refer(part.wire(OTHER), frames.LeaderRedirect("", THIRD)),
             lambda part: part.child(THIRD),
             lambda part: GatewayNode.on_join(
                 cast(Any, SimpleNamespace(relay=part.relay, core=None, founding=None)),
                 part.wire(OTHER),
-                frames.Join("x", OTHER, "a", 0, 0, "", epoch=THIRD),
+                frames.JoinRequest("x", OTHER, "a", 0, 0, "", epoch=THIRD),
             ),
         ):
             part = Part().under(SECOND)
@@ -109,7 +115,7 @@
         part = Part().lead(SECOND)
         relay = part.relay
         link = part.child(FIRST)
-        assert link.kinds()[0] == "Refer"  # it has seen less, and learns the epoch of now
+        assert link.kinds()[0] == "LeaderRedirect"  # it has seen less, and learns the epoch of now
         relay.publish(3, BODY)
         relay.listing.poll([])
         relay.publish(4, b"another")
@@ -118,7 +124,12 @@
         relay.publish(5, b"a third")
         epochs = [cast(Any, frame).epoch for frame in link.sent]
         assert epochs == sorted(epochs) and set(epochs) == {SECOND, THIRD} and epochs[-1] == THIRD
-        assert set(link.kinds()) == {"Refer", "News", "Beat", "Update"}
+        assert set(link.kinds()) == {
+            "LeaderRedirect",
+            "ConfigurationAnnouncement",
+            "RootHeartbeat",
+            "ConfigurationDelta",
+        }
         for number, revision in enumerate((0, 3, 4, 5)):
             late = part.child(THIRD, f"10.0.0.{30 + number}", revision)
             assert {cast(Any, frame).epoch for frame in late.sent} == {THIRD} and len(late.sent) == 3 - (revision == 5)
@@ -130,9 +141,9 @@
     async def scenario() -> None:
         root = Part().lead(SECOND)
         root.relay.see(THIRD)  # and no beat of it yet
-        assert "Beat" not in root.child(THIRD).kinds()
+        assert "RootHeartbeat" not in root.child(THIRD).kinds()
         part = Part().under(SECOND)
-        assert "Beat" in part.child(SECOND).kinds()
+        assert "RootHeartbeat" in part.child(SECOND).kinds()
         part.now_s += (FRESH_S + SEEK_S) / 2
         assert part.child(SECOND, "10.0.0.21").kinds() == []
 
@@ -143,8 +154,8 @@
     async def scenario() -> None:
         part = Part().under(SECOND)
         link = part.child(SECOND)
-        part.relay.configuration.on_news(part.wire(ROOT), frames.News(3, digest(BODY), SECOND))
-        (news,) = [frame for frame in link.sent if isinstance(frame, frames.News)]
+        part.relay.configuration.on_news(part.wire(ROOT), frames.ConfigurationAnnouncement(3, digest(BODY), SECOND))
+        (news,) = [frame for frame in link.sent if isinstance(frame, frames.ConfigurationAnnouncement)]
         assert news.epoch == SECOND
 
     run(scenario())
@@ -155,11 +166,13 @@
         part = Part().under(SECOND)
         part.relay.publish(3, BODY)
         part.relay.see(THIRD)
-        part.relay.on_placed(part.wire(ROOT), frames.Place(THIRD, (ROOT,), (ROOT,), (), (), 3, 3, 0))
+        part.relay.on_placed(part.wire(ROOT), frames.ParentAssignment(THIRD, (ROOT,), (ROOT,), (), (), 3, 3, 0))
         link = part.child(THIRD)
         assert link in part.relay.children.links and not link.sent
         part.beat(THIRD, 2)
-        assert link.kinds() == ["Beat", "News", "Beat"] and all(cast(Any, one).epoch == THIRD for one in link.sent)
+        assert link.kinds() == ["RootHeartbeat", "ConfigurationAnnouncement", "RootHeartbeat"] and all(
+            cast(Any, one).epoch == THIRD for one in link.sent
+        )
 
     run(scenario())
 
@@ -167,15 +180,15 @@
 def test_a_list_that_was_not_in_force_in_this_epoch_is_told_to_nobody() -> None:
     async def scenario() -> None:
         part = Part().under(SECOND)
-        WORDS["Servers"](part, part.wire(ROOT), SECOND)
+        WORDS["EndpointUpdate"](part, part.wire(ROOT), SECOND)
         assert part.relay.listing.seq == 1
-        assert "Servers" in part.child(SECOND).kinds()
+        assert "EndpointUpdate" in part.child(SECOND).kinds()
         part.relay.see(THIRD)
         part.place(THIRD)
-        part.relay.on_beat(part.wire(ROOT), frames.Beat(8, 1, 0, 3, 1, THIRD))  # another life: another list
-        assert "Servers" not in part.child(THIRD, "10.0.0.22").kinds()
-        part.relay.on_beat(part.wire(ROOT), frames.Beat(7, 1, 0, 3, 2, THIRD))  # this very list is in force
-        assert "Servers" in part.child(THIRD, "10.0.0.23").kinds()
+        part.relay.on_beat(part.wire(ROOT), frames.RootHeartbeat(8, 1, 0, 3, 1, THIRD))  # another life: another list
+        assert "EndpointUpdate" not in part.child(THIRD, "10.0.0.22").kinds()
+        part.relay.on_beat(part.wire(ROOT), frames.RootHeartbeat(7, 1, 0, 3, 2, THIRD))  # this very list is in force
+        assert "EndpointUpdate" in part.child(THIRD, "10.0.0.23").kinds()
 
     run(scenario())
 
@@ -187,8 +200,8 @@
         part.relay.register(OTHER)
         part.relay.subscription.begin(OTHER)
         join, attach = part.wire(OTHER).sent
-        assert isinstance(join, frames.Join) and (join.epoch, join.fed) == (THIRD, SECOND)
-        assert isinstance(attach, frames.Attach) and attach.epoch == THIRD
+        assert isinstance(join, frames.JoinRequest) and (join.epoch, join.acknowledged_epoch) == (THIRD, SECOND)
+        assert isinstance(attach, frames.Subscribe) and attach.epoch == THIRD
 
     run(scenario())
 
@@ -207,7 +220,7 @@
         elif loses == "the epoch":
             part.relay.see(THIRD)
         assert part.relay.named() == (ROOT if loses == "nothing" else "")
-        assert part.relay.refer() == frames.Refer(part.relay.named(), part.relay.epoch, (ROOT, OTHER))
+        assert part.relay.refer() == frames.LeaderRedirect(part.relay.named(), part.relay.epoch, (ROOT, OTHER))
 
     run(scenario())
 
@@ -226,7 +239,7 @@
             part.relay.see(THIRD)
         assert part.relay.position.seeks(part.now_s) is not taken
         link = part.child(part.relay.epoch)
-        assert (link in part.relay.children.links) is taken and ("Released" in link.kinds()) is not taken
+        assert (link in part.relay.children.links) is taken and ("Unsubscribed" in link.kinds()) is not taken
 
     run(scenario())
 
@@ -238,8 +251,8 @@
         link.sent.clear()
         part.relay.fence.vouched = lambda: ""
         part.relay.tell_beat()
-        assert link.kinds() == ["Alive"]
-        assert part.child(SECOND, "10.0.0.21").kinds() == ["Released"]
+        assert link.kinds() == ["KeepAlive"]
+        assert part.child(SECOND, "10.0.0.21").kinds() == ["Unsubscribed"]
 
     run(scenario())
 
@@ -249,7 +262,7 @@
         part = Part().lead(SECOND)
         link = part.child(SECOND)
         part.relay.resign()
-        assert not part.relay.is_root and not part.relay.children.links and link.kinds()[-1] == "Released"
+        assert not part.relay.is_root and not part.relay.children.links and link.kinds()[-1] == "Unsubscribed"
 
     run(scenario())
 
@@ -274,11 +287,11 @@
     async def scenario() -> None:
         part = Part().under(SECOND)
         part.now_s += HOLD_S - 0.1
-        part.relay.on_alive(part.wire(ROOT), frames.Alive())
+        part.relay.on_alive(part.wire(ROOT), frames.KeepAlive())
         part.relay.tick()
         assert part.relay.parent is not None
         part.now_s += 0.2
-        part.relay.on_alive(part.wire(ROOT), frames.Alive())
+        part.relay.on_alive(part.wire(ROOT), frames.KeepAlive())
         part.relay.tick()
         assert part.relay.parent is None
 
@@ -289,14 +302,14 @@
     async def scenario() -> None:
         part = Part()
         for _ in range(3):
-            part.relay.on_refer(part.wire(OTHER), frames.Refer(ROOT, SECOND))
-        assert part.wire(ROOT).kinds() == ["Join"] and part.relay.locator.root == ROOT
+            part.relay.on_refer(part.wire(OTHER), frames.LeaderRedirect(ROOT, SECOND))
+        assert part.wire(ROOT).kinds() == ["JoinRequest"] and part.relay.locator.root == ROOT
         part.now_s += JOIN_S + 0.01
         part.relay.locator.forget_silent(part.now_s)
         assert part.relay.locator.root == ""
-        part.relay.on_refer(part.wire(OTHER), frames.Refer(ROOT, SECOND))
-        assert part.wire(ROOT).kinds() == ["Join", "Join"]
-        part.relay.on_refer(part.wire(ROOT), frames.Refer("", SECOND))  # it is the root no more, or not yet
+        part.relay.on_refer(part.wire(OTHER), frames.LeaderRedirect(ROOT, SECOND))
+        assert part.wire(ROOT).kinds() == ["JoinRequest", "JoinRequest"]
+        part.relay.on_refer(part.wire(ROOT), frames.LeaderRedirect("", SECOND))  # it is the root no more, or not yet
         assert part.relay.locator.root == ""
 
     run(scenario())
@@ -308,7 +321,7 @@
     async def scenario() -> None:
         part = Part()
         part.relay.see(THIRD)
-        part.relay.on_refer(part.wire(OTHER), frames.Refer("", SECOND))
+        part.relay.on_refer(part.wire(OTHER), frames.LeaderRedirect("", SECOND))
         assert part.wire(OTHER).sent == []
 
     run(scenario())
@@ -317,9 +330,9 @@
 def test_the_group_is_known_by_the_newest_word_on_it() -> None:
     async def scenario() -> None:
         part = Part().under(SECOND)
-        part.relay.on_refer(part.wire(OTHER), frames.Refer("", FIRST, ("10.9.9.9",)))
+        part.relay.on_refer(part.wire(OTHER), frames.LeaderRedirect("", FIRST, ("10.9.9.9",)))
         assert list(part.relay.group) == [ROOT, OTHER]
-        part.relay.on_refer(part.wire(OTHER), frames.Refer("", THIRD, (OTHER,)))
+        part.relay.on_refer(part.wire(OTHER), frames.LeaderRedirect("", THIRD, (OTHER,)))
         assert list(part.relay.group) == [OTHER]
 
     run(scenario())
@@ -331,12 +344,20 @@
 def test_one_that_does_not_hear_the_root_feeds_nobody_until_it_does() -> None:
     roster = Roster("root")
     for name in ("root", "one", "two"):
-        roster.join(frames.Join(name, name, "a", frames.FRONT, 1, "", epoch=SECOND, fed=SECOND), 0.0, SECOND)
+        roster.join(
+            frames.JoinRequest(name, name, "a", frames.SERVES_CLIENTS, 1, "", epoch=SECOND, acknowledged_epoch=SECOND),
+            0.0,
+            SECOND,
+        )
     first = next(known.name for known in roster.order("a") if known.name != "root")
 
     def join(at_s: float, fed: int) -> bool:
         """Whether it may feed others after this join."""
-        roster.join(frames.Join(first, first, "a", frames.FRONT, 1, "", epoch=SECOND, fed=fed), at_s, SECOND)
+        roster.join(
+            frames.JoinRequest(first, first, "a", frames.SERVES_CLIENTS, 1, "", epoch=SECOND, acknowledged_epoch=fed),
+            at_s,
+            SECOND,
+        )
         return roster.order("a")[1].name == first
 
     assert join(1.0, FIRST) and join(1.2, FIRST)
--- a/tests/test_fetches.py
+++ b/tests/test_fetches.py
@@ -41,7 +41,7 @@
         for number in range(20):
             small, large = one.to(other.ip), one.bulk(other.ip)
             await asyncio.sleep(0.01)
-            large.send(frames.Suspect(str(number)))
+            large.send(frames.SuspectReport(str(number)))
             await asyncio.sleep(0.005)
             small.close()
             large.close()
@@ -53,7 +53,7 @@
         loop.run_until_complete(scenario())
     finally:
         loop.close()
-    assert came == [frames.Suspect(str(number)) for number in range(20)]
+    assert came == [frames.SuspectReport(str(number)) for number in range(20)]
 
 
 def test_a_connect_that_is_begun_anew_as_it_comes_up_leaves_no_dead_connection(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -124,12 +124,12 @@
     line.need(2, mark, 0, got)
     line.run(0.1)
     link = line.peers[2].bulk(line.hosts[0].ip)
-    line.at(2, line.peers[2].blobs.fetcher.on_slice, link, frames.Slice(mark, b"", 100, 0, b"twenty bytes of them"))
-    line.at(2, line.peers[2].blobs.fetcher.on_slice, link, frames.Slice(mark, b"", 90, 0, b"other"))
+    line.at(2, line.peers[2].blobs.fetcher.on_slice, link, frames.Chunk(mark, b"", 100, 0, b"twenty bytes of them"))
+    line.at(2, line.peers[2].blobs.fetcher.on_slice, link, frames.Chunk(mark, b"", 90, 0, b"other"))
     fetch = line.peers[2].blobs.fetcher.fetches[mark]
     assert (fetch.total, len(fetch.got)) == (100, 20)
     line.run(fetcher.QUIET_S + 0.05)  # and takes the place of one that does not
-    line.at(2, line.peers[2].blobs.fetcher.on_slice, link, frames.Slice(mark, b"", 90, 0, b"other"))
+    line.at(2, line.peers[2].blobs.fetcher.on_slice, link, frames.Chunk(mark, b"", 90, 0, b"other"))
     assert (fetch.total, len(fetch.got)) == (90, 5)
 
 
@@ -143,7 +143,7 @@
     hung.write = lambda data: None  # type: ignore[union-attr, method-assign]
     line.need(0, line.peers[1].blobs.store.put(b"second"), 1, got)
     for _ in range(30):
-        line.at(1, line.peers[1].send, line.hosts[0].ip, frames.Suspect("heard"))
+        line.at(1, line.peers[1].send, line.hosts[0].ip, frames.SuspectReport("heard"))
         line.run(0.1)
     assert got == [b"first", b"second"]
 
@@ -198,7 +198,7 @@
         assert child.relay.parent is not None and root is not None
         base = child.relay.configuration.store.put(child.relay.configuration.body)
         data = delta.pack(cluster.configuration(3) if wrong.startswith("not") else body, child.relay.configuration.body)
-        frame = frames.Update(
+        frame = frames.ConfigurationDelta(
             2,
             digest(body),
             digest(b"x") if wrong == "no such base" else base,
@@ -220,7 +220,10 @@
     cluster = fleet()
     try:
         child = next(node for node in cluster.edges if node.relay.parent is not None)
-        for frame in (frames.Update(2, b"short", b"", b""), frames.Update(2, bytes(32), b"", bytes(9000))):
+        for frame in (
+            frames.ConfigurationDelta(2, b"short", b"", b""),
+            frames.ConfigurationDelta(2, bytes(32), b"", bytes(9000)),
+        ):
             link = child.relay.parent
             assert link is not None
             with caplog.at_level(logging.WARNING):
@@ -242,12 +245,14 @@
         for node in cluster.nodes.values():
             node.peers.blobs.server.on_want = lambda link, frame: None  # type: ignore[method-assign]
         replica, epoch = child.relay.configuration, child.relay.epoch
-        cluster.at(child, replica.on_news, parent, frames.News(2, digest(b"nobody sends it"), epoch))
+        cluster.at(
+            child, replica.on_news, parent, frames.ConfigurationAnnouncement(2, digest(b"nobody sends it"), epoch)
+        )
         cluster.run(asyncio.sleep(fetcher.QUIET_S + 0.1))
         del source.peers.blobs.server.on_want
         body = cluster.configuration(3)
         mark = source.relay.configuration.store.put(body)
-        cluster.at(child, replica.on_news, parent, frames.News(3, mark, child.relay.epoch))
+        cluster.at(child, replica.on_news, parent, frames.ConfigurationAnnouncement(3, mark, child.relay.epoch))
         cluster.run(asyncio.sleep(0.3))
         assert child.relay.revision == 3
     finally:
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -32,12 +32,12 @@
 
 
 @settings(max_examples=2000)
-@given(st.sampled_from(sorted(frames.FRAMES)), st.binary(max_size=200))
+@given(st.sampled_from(sorted(frames.FRAME_TYPES)), st.binary(max_size=200))
 def test_any_bytes_are_a_frame_that_packs_into_them_again_or_are_refused(kind: int, data: bytes) -> None:
     with contextlib.suppress(frames.FrameError):
         frame = frames.unpack(kind, data)
-        if "d" not in frame.FORM:  # a body goes out as its digest, and comes in as that
-            assert frame.pack() == frames.HEAD.pack(len(data), kind) + data
+        if "d" not in frame.FIELDS:  # a body goes out as its digest, and comes in as that
+            assert frame.pack() == frames.HEADER.pack(len(data), kind) + data
 
 
 @settings(max_examples=500)
@@ -146,7 +146,7 @@
     with pytest.raises(configuration.Invalid, match="revision"):
         configuration.read(cbor2.dumps(demo_configuration(REVISION_MOST + 1)))
     with pytest.raises(struct.error):  # what it would have come to
-        frames.Committed(256, 2**64).pack()
+        frames.CommitNotice(256, 2**64).pack()
 
 
 # -- settings and days ---------------------------------------------------------------------------------------
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -173,22 +173,22 @@
 
 
 SAMPLES = [
-    frames.Join("n", "10.0.0.1", "z", 3, 1, ""),
-    frames.Place(2**40, ("a", "b"), (), ("c",), ("d",), 3, 2, 1),
-    frames.News(9, b"\x00" * 300),
-    frames.Beat(1, 2, 3, 4),
-    frames.Order(1, "o", 0, b""),
-    frames.Servers(1, 2, 3, 1, b"x"),
+    frames.JoinRequest("n", "10.0.0.1", "z", 3, 1, ""),
+    frames.ParentAssignment(2**40, ("a", "b"), (), ("c",), ("d",), 3, 2, 1),
+    frames.ConfigurationAnnouncement(9, b"\x00" * 300),
+    frames.RootHeartbeat(1, 2, 3, 4),
+    frames.WriteRequest(1, "o", 0, b""),
+    frames.EndpointUpdate(1, 2, 3, 1, b"x"),
 ]
 
 
 @pytest.mark.parametrize("frame", SAMPLES, ids=lambda frame: type(frame).__name__)
 def test_frames_come_back_as_they_went(frame: frames.Frame) -> None:
     data = frame.pack()
-    length, kind = frames.HEAD.unpack_from(data)
-    assert length == len(data) - frames.HEAD.size
-    assert frames.unpack(kind, data[frames.HEAD.size :]) == frame
-    for wrong in (data[frames.HEAD.size : -1], data[frames.HEAD.size :] + b"\x00"):
+    length, kind = frames.HEADER.unpack_from(data)
+    assert length == len(data) - frames.HEADER.size
+    assert frames.unpack(kind, data[frames.HEADER.size :]) == frame
+    for wrong in (data[frames.HEADER.size : -1], data[frames.HEADER.size :] + b"\x00"):
         with pytest.raises(frames.FrameError):
             frames.unpack(kind, wrong)
 
@@ -199,10 +199,10 @@
         frame = frames.unpack(kind, body)
     except frames.FrameError:
         return
-    if mark := frame.body_field():  # on the stream a body is its digest
+    if mark := frame.body_or_digest():  # on the stream a body is its digest
         assert mark in body
     else:
-        assert frame.pack()[frames.HEAD.size :] == body
+        assert frame.pack()[frames.HEADER.size :] == body
 
 
 @given(st.one_of(st.binary(max_size=120), st.binary(max_size=120).map(zlib.compress)))
@@ -250,7 +250,9 @@
 def test_trees_reach_all_without_a_circle(nodes: int) -> None:
     roster = Roster("root")
     for i in range(nodes):
-        roster.join(frames.Join(f"n{i}", f"10.0.{i // 250}.{i % 250}", f"z{i % 3}", frames.FRONT, 0, ""), 0.0)
+        roster.join(
+            frames.JoinRequest(f"n{i}", f"10.0.{i // 250}.{i % 250}", f"z{i % 3}", frames.SERVES_CLIENTS, 0, ""), 0.0
+        )
     places = {known.ip: roster.place(name, 1, ("t",), "root", nodes) for name, known in roster.nodes.items()}
     children: dict[str, int] = {}
     for ip, place in places.items():
@@ -259,20 +261,20 @@
             up, hops = places[up].parents[0], hops + 1
             assert hops <= nodes
         children[place.parents[0]] = children.get(place.parents[0], 0) + 1
-        assert place.parents[-1] == "root" and place.fronts == nodes and ip not in place.watches
+        assert place.parents[-1] == "root" and place.edge_count == nodes and ip not in place.probed_ips
     assert all(count <= FAN_OUT for ip, count in children.items() if ip != "root")
     assert children["root"] <= 3  # one for each zone
 
 
 def test_a_lost_parent_gets_no_children_until_it_joins_again() -> None:
     roster = Roster("root")
-    joins = [frames.Join(f"n{i}", f"10.0.0.{i}", "z", frames.FRONT, 1, "") for i in range(4)]
+    joins = [frames.JoinRequest(f"n{i}", f"10.0.0.{i}", "z", frames.SERVES_CLIENTS, 1, "") for i in range(4)]
     for join in joins:
         roster.join(join, 0.0)
     first = roster.order("z")[0]
     child = next(join for join in joins if join.name != first.name)
     assert roster.place(child.name, 1, (), "root", 4).parents[0] == first.ip
-    roster.join(replace(child, lost=first.ip), 1.0)
+    roster.join(replace(child, lost_parent=first.ip), 1.0)
     assert first.ip not in roster.place(child.name, 1, (), "root", 4).parents
     roster.join(next(join for join in joins if join.name == first.name), 2.0)
     assert roster.place(child.name, 1, (), "root", 4).parents[0] == first.ip
@@ -281,8 +283,10 @@
 
 def test_fast_links_feed_more_than_thin_ones_and_slow_nodes_none() -> None:
     roster = Roster("root")
-    core = frames.Join("core", "10.0.1.1", "z", frames.QUORUM, 1, "", kbps=30_000)
-    edges = [frames.Join(f"n{i}", f"10.0.0.{i}", "z", frames.FRONT, 1, "", kbps=2_750) for i in range(30)]
+    core = frames.JoinRequest("core", "10.0.1.1", "z", frames.MAY_BE_MEMBER, 1, "", kbps=30_000)
+    edges = [
+        frames.JoinRequest(f"n{i}", f"10.0.0.{i}", "z", frames.SERVES_CLIENTS, 1, "", kbps=2_750) for i in range(30)
+    ]
     for join in [core, *edges]:
         roster.join(join, 0.0)
 
@@ -293,23 +297,23 @@
     assert by_ip["root"] == 1 and by_ip[core.ip] == MOST_FAN_OUT  # and not 10.9 x 4
     assert max(count for ip, count in by_ip.items() if ip not in ("root", core.ip)) <= FAN_OUT
     relay = next(join for join in edges if by_ip[join.ip])
-    roster.join(replace(relay, flags=frames.FRONT | frames.SLOW), 1.0)
+    roster.join(replace(relay, flags=frames.SERVES_CLIENTS | frames.IS_OVERLOADED), 1.0)
     assert fed()[relay.ip] == 0
-    roster.join(replace(core, flags=frames.QUORUM | frames.SLOW), 1.0)
+    roster.join(replace(core, flags=frames.MAY_BE_MEMBER | frames.IS_OVERLOADED), 1.0)
     assert fed()[core.ip] == 0 and sum(fed().values()) == 31
 
 
 def test_a_node_whose_loop_is_late_says_that_it_is_slow_until_that_fades(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         peers = Peers("127.0.0.1", 1, lambda link, frame: None, lambda link: None, 1000.0)
-        relay = Relay(parse(BOOT, "boot.conf"), peers, frames.FRONT)
+        relay = Relay(parse(BOOT, "boot.conf"), peers, frames.SERVES_CLIENTS)
         now_s, told = 100.0, list[frames.Frame]()
         monkeypatch.setattr(relay.context, "loop", SimpleNamespace(time=lambda: now_s, call_later=lambda *_: None))
         monkeypatch.setattr(peers, "send", lambda ip, frame: told.append(frame))
         for late_s in (0.0, 0.5, *[0.0] * 60):
             relay.tick()
             now_s += 0.1 + late_s
-        slow = [bool(frame.flags & frames.SLOW) for frame in told if isinstance(frame, frames.Join)]
+        slow = [bool(frame.flags & frames.IS_OVERLOADED) for frame in told if isinstance(frame, frames.JoinRequest)]
         assert not slow[0] and any(slow) and not slow[-1]
 
     run(scenario())
@@ -442,7 +446,7 @@
 
 def test_a_node_that_joins_again_keeps_its_place() -> None:
     roster = Roster("root")
-    joins = [frames.Join(f"n{i}", f"10.0.0.{i}", "z", frames.FRONT, 1, "") for i in range(9)]
+    joins = [frames.JoinRequest(f"n{i}", f"10.0.0.{i}", "z", frames.SERVES_CLIENTS, 1, "") for i in range(9)]
     for join in joins:
         roster.join(join, 0.0)
     before = [roster.place(join.name, 1, (), "root", 9).parents for join in joins]
@@ -455,16 +459,16 @@
     async def scenario() -> None:
         told: list[frames.Frame] = []
         peers = Peers("127.0.0.1", 1, lambda link, frame: None, lambda link: None, 1000.0)
-        relay = Relay(parse(BOOT, "boot.conf"), peers, frames.FRONT)
+        relay = Relay(parse(BOOT, "boot.conf"), peers, frames.SERVES_CLIENTS)
         monkeypatch.setattr(relay.children, "tell", told.append)
         parent = relay.subscription.parent = Link(peers, "10.0.0.9")
-        beat = frames.Beat(7, 0, 0, 1, 5)
+        beat = frames.RootHeartbeat(7, 0, 0, 1, 5)
         relay.on_beat(parent, beat)
         relay.subscription.heard_s = 0.0
-        for again in (beat, frames.Beat(7, 0, 0, 1, 4)):
+        for again in (beat, frames.RootHeartbeat(7, 0, 0, 1, 4)):
             relay.on_beat(parent, again)
         assert told == [beat] and relay.subscription.heard_s == 0.0
-        relay.on_beat(parent, frames.Beat(7, 0, 0, 1, 6))
+        relay.on_beat(parent, frames.RootHeartbeat(7, 0, 0, 1, 6))
         assert len(told) == 2 and relay.subscription.heard_s > 0.0
 
     run(scenario())
@@ -473,22 +477,22 @@
 def test_a_parent_without_a_beat_is_stayed_with_for_a_while_and_not_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         peers = Peers("127.0.0.1", 1, lambda link, frame: None, lambda link: None, 1000.0)
-        relay = Relay(parse(BOOT, "boot.conf"), peers, frames.FRONT)
+        relay = Relay(parse(BOOT, "boot.conf"), peers, frames.SERVES_CLIENTS)
         now_s = 100.0
         monkeypatch.setattr(relay.context, "loop", SimpleNamespace(time=lambda: now_s, call_later=lambda *_: None))
         monkeypatch.setattr(relay, "join", lambda now_s: None)
         told: list[frames.Frame] = []
         monkeypatch.setattr(relay.children, "tell", told.append)
         parent = relay.subscription.parent = Link(peers, "10.0.0.9")
-        relay.on_beat(parent, frames.Beat(7, 0, 0, 1, 1))
+        relay.on_beat(parent, frames.RootHeartbeat(7, 0, 0, 1, 1))
         told.clear()
         while now_s < 101.4:
             now_s += 0.1
-            relay.on_alive(parent, frames.Alive())
+            relay.on_alive(parent, frames.KeepAlive())
             relay.tick()
-        assert relay.parent is parent and 2 <= told.count(frames.Alive()) <= 4  # it tells its own children the same
+        assert relay.parent is parent and 2 <= told.count(frames.KeepAlive()) <= 4  # it tells its own children the same
         now_s += 0.4
-        relay.on_alive(parent, frames.Alive())
+        relay.on_alive(parent, frames.KeepAlive())
         relay.tick()
         assert relay.parent is not parent
 
@@ -498,10 +502,10 @@
 def test_a_parent_that_is_left_for_a_better_one_is_not_told_to_be_lost() -> None:
     async def scenario() -> None:
         peers = Peers("127.0.0.1", 1, lambda link, frame: None, lambda link: relay.link_lost(link), 1000.0)
-        relay = Relay(parse(BOOT, "boot.conf"), peers, frames.FRONT)
+        relay = Relay(parse(BOOT, "boot.conf"), peers, frames.SERVES_CLIENTS)
         root = Link(peers, "127.0.0.9")
-        relay.on_placed(root, frames.Place(1, ("127.0.0.9",), ("127.0.0.8", "127.0.0.9"), (), (), 3, 3, 0))
-        relay.on_placed(root, frames.Place(1, ("127.0.0.9",), ("127.0.0.7", "127.0.0.9"), (), (), 3, 3, 0))
+        relay.on_placed(root, frames.ParentAssignment(1, ("127.0.0.9",), ("127.0.0.8", "127.0.0.9"), (), (), 3, 3, 0))
+        relay.on_placed(root, frames.ParentAssignment(1, ("127.0.0.9",), ("127.0.0.7", "127.0.0.9"), (), (), 3, 3, 0))
         assert relay.registration.lost == "" and relay.parent is not None and relay.parent.ip == "127.0.0.7"
         relay.parent.close()  # this one is lost: the next is tried, and the root will be told
         assert relay.registration.lost == "127.0.0.7" and relay.parent is not None and relay.parent.ip == "127.0.0.9"
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -30,14 +30,14 @@
             await node.listen()
         links = [nodes[0].to(nodes[1].ip, lane), nodes[1].to(nodes[0].ip, lane)]
         for link in links:
-            link.send(frames.Refer("first"))
+            link.send(frames.LeaderRedirect("first"))
         for _ in range(1 + pair % 4):
             await asyncio.sleep(0)
         time.sleep(held_s)  # a new table of routes, for one
         await asyncio.sleep(0.1)
         for link in links:
             if not link.closed:
-                link.send(frames.Refer("second"))
+                link.send(frames.LeaderRedirect("second"))
         await asyncio.sleep(0.05)
         for node in nodes:
             node.close()
--- a/tests/test_member_rules.py
+++ b/tests/test_member_rules.py
@@ -7,7 +7,7 @@
 import pytest
 
 from cypressbeam.consensus.chain import Entry
-from cypressbeam.consensus.membership import Members
+from cypressbeam.consensus.membership import MembershipManager
 from cypressbeam.consensus.replica import LEVEL, Keeper
 from cypressbeam.protocol import frames
 from lab.histories import invariants
@@ -16,8 +16,8 @@
 NEW = "d/7"
 
 
-def level(**changes: object) -> frames.Level:
-    return replace(frames.Level(NEW, "a", 256, GROUP, GROUP, 1, 256, 10, 0, ONE.body, b""), **changes)  # type: ignore
+def level(**changes: object) -> frames.CatchUp:
+    return replace(frames.CatchUp(NEW, "a", 256, GROUP, GROUP, 1, 256, 10, 0, ONE.body, b""), **changes)  # type: ignore
 
 
 def standing_by() -> Keeper:
@@ -30,8 +30,8 @@
 
 def test_only_the_head_of_an_active_view_that_leads_steps() -> None:
     world = quiet_world()
-    assert [Members(world.keepers[ip], 1).heads(world.now_s) for ip in "abc"] == [True, False, False]
-    assert not Members(world.keepers["a"], 1).heads(world.now_s + 5.0)
+    assert [MembershipManager(world.keepers[ip], 1).is_active_head(world.now_s) for ip in "abc"] == [True, False, False]
+    assert not MembershipManager(world.keepers["a"], 1).is_active_head(world.now_s + 5.0)
 
 
 def test_the_chain_of_a_view_that_adds_a_machine_holds_that_machine() -> None:
@@ -43,33 +43,33 @@
 
 @pytest.mark.parametrize("wrong", [{"name": "d/8"}, {"group": (*GROUP, NEW)}, {"epoch": 255}])
 def test_a_stand_by_answers_what_is_for_it_of_a_view_that_does_not_count_it_yet(wrong: dict[str, object]) -> None:
-    members = Members(standing_by(), 1)
-    (answer,) = told(members.on_level(level(), 0.0))
-    assert answer == frames.Levelled(NEW, 256, 1, invariants.digest(ONE.body))
-    assert members.on_level(level(**wrong), 0.0) == []
+    members = MembershipManager(standing_by(), 1)
+    (answer,) = told(members.on_catch_up(level(), 0.0))
+    assert answer == frames.CatchUpAck(NEW, 256, 1, invariants.digest(ONE.body))
+    assert members.on_catch_up(level(**wrong), 0.0) == []
 
 
 def test_one_is_level_by_the_body_s_digest_and_at_most_one_entry_behind() -> None:
     world = quiet_world()
     keeper = world.keepers["a"]
-    members = Members(keeper, 1)
-    echo(keeper, world.now_s, pulse(NEW, epoch=0, held=0, entry=0, standing=0))
-    assert members.standing_by(world.now_s) == {"d": NEW} and keeper.member is not None
+    members = MembershipManager(keeper, 1)
+    echo(keeper, world.now_s, pulse(NEW, epoch=0, stored_epoch=0, stored_number=0, disk_state=0))
+    assert members.spares(world.now_s) == {"d": NEW} and keeper.member is not None
     keeper.member.last = Entry(3, 256, 30, 20, b"30:x")
     mark = invariants.digest(b"30:x")
     for number, told_mark, holds in ((3, b"another", False), (1, b"", False), (2, b"", True), (3, mark, True)):
-        members.levelled.clear()
-        members.on_levelled(frames.Levelled(NEW, 256, number, told_mark))
-        assert members.known(world.now_s).level == (frozenset({NEW}) if holds else frozenset()), number
+        members.spare_entry_numbers.clear()
+        members.on_catch_up_ack(frames.CatchUpAck(NEW, 256, number, told_mark))
+        assert members.state(world.now_s).caught_up == (frozenset({NEW}) if holds else frozenset()), number
 
 
 def test_no_step_is_made_while_a_proposal_is_under_way_or_a_lost_disk_waits() -> None:
     for wait in ("proposal", "lost disk", ""):
         world = quiet_world()
         keeper = world.keepers["a"]
-        members = Members(keeper, 1)
+        members = MembershipManager(keeper, 1)
         if wait == "proposal":
             keeper.propose(world.now_s)
         elif wait == "lost disk":
-            echo(keeper, world.now_s, pulse("c/7", epoch=0, held=0, entry=0, standing=0))
-        assert bool(members.step((*GROUP, NEW), world.now_s)) is (wait == "")
+            echo(keeper, world.now_s, pulse("c/7", epoch=0, stored_epoch=0, stored_number=0, disk_state=0))
+        assert bool(members.propose_group((*GROUP, NEW), world.now_s)) is (wait == "")
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -10,8 +10,8 @@
 import pytest
 
 from cypressbeam.admin import errors, membership, status
-from cypressbeam.consensus.chain import Tell, View, ip_of
-from cypressbeam.consensus.membership import ADD, REMOVE, REPLACE, Change, Known, judge
+from cypressbeam.consensus.chain import SendMessage, View, ip_of
+from cypressbeam.consensus.membership import ADD, REMOVE, REPLACE, MembershipChange, MembershipState, next_step
 from cypressbeam.consensus.replica import DEAD_S
 from cypressbeam.protocol import frames
 from lab import membership_churn, repair
@@ -27,41 +27,51 @@
 MANY = View(512, tuple(f"m{i}/0" for i in range(9)), tuple(f"m{i}/0" for i in range(9)))
 
 
-def change(kind: int, old: str, new: str, view: View = ABC) -> Change:
-    return Change(kind, old, new, frozenset(ip_of(name) for name in view.group))
+def change(kind: int, old: str, new: str, view: View = ABC) -> MembershipChange:
+    return MembershipChange(kind, old, new, frozenset(ip_of(name) for name in view.group))
 
 
 @pytest.mark.parametrize(
     ("asked", "known", "status", "told"),
     [
-        (change(ADD, "", "x"), Known(ABC, 1, {}), 404, "no machine with a disk at x"),
-        (change(ADD, "", "b"), Known(ABC, 1, {}), 409, "b is a member already"),
-        (change(ADD, "", "x", MANY), Known(MANY, 1, {"x": "x/1"}, frozenset({"x/1"})), 409, "9 members at most"),
-        (change(REMOVE, "x", ""), Known(ABC, 1, {}), 404, "x is no member"),
-        (change(REMOVE, "a", ""), Known(ABC, 1, {}), 409, "2 members would be left; to lose 1 it takes 3"),
-        (change(REMOVE, "m3", "", MANY), Known(replace(MANY, chain=MANY.chain[:5]), 2, {}), 409, "4 whole copies"),
-        (change(REPLACE, "x", "y"), Known(ABC, 1, {"y": "y/1"}), 404, "x is no member"),
-        (change(REPLACE, "a", "b"), Known(ABC, 1, {}), 409, "b is a member already"),
-        (change(ADD, "", "x"), Known(MANY, 1, {"x": "x/1"}), 412, "another one now"),
-        (Change(9, "a", "b", frozenset("abc")), Known(ABC, 1, {}), 409, "add, remove or replace"),
+        (change(ADD, "", "x"), MembershipState(ABC, 1, {}), 404, "no machine with a disk at x"),
+        (change(ADD, "", "b"), MembershipState(ABC, 1, {}), 409, "b is a member already"),
+        (
+            change(ADD, "", "x", MANY),
+            MembershipState(MANY, 1, {"x": "x/1"}, frozenset({"x/1"})),
+            409,
+            "9 members at most",
+        ),
+        (change(REMOVE, "x", ""), MembershipState(ABC, 1, {}), 404, "x is no member"),
+        (change(REMOVE, "a", ""), MembershipState(ABC, 1, {}), 409, "2 members would be left; to lose 1 it takes 3"),
+        (
+            change(REMOVE, "m3", "", MANY),
+            MembershipState(replace(MANY, chain=MANY.chain[:5]), 2, {}),
+            409,
+            "4 whole copies",
+        ),
+        (change(REPLACE, "x", "y"), MembershipState(ABC, 1, {"y": "y/1"}), 404, "x is no member"),
+        (change(REPLACE, "a", "b"), MembershipState(ABC, 1, {}), 409, "b is a member already"),
+        (change(ADD, "", "x"), MembershipState(MANY, 1, {"x": "x/1"}), 412, "another one now"),
+        (MembershipChange(9, "a", "b", frozenset("abc")), MembershipState(ABC, 1, {}), 409, "add, remove or replace"),
     ],
 )
 def test_a_change_that_cannot_be_is_refused_with_its_reason(
-    asked: Change, known: Known, status: int, told: str
+    asked: MembershipChange, known: MembershipState, status: int, told: str
 ) -> None:
-    verdict = judge(asked, known)
-    assert verdict.status == status and told in verdict.text and not verdict.group and not verdict.level
+    verdict = next_step(asked, known)
+    assert verdict.status == status and told in verdict.text and not verdict.group and not verdict.catch_up
 
 
 def test_a_replacement_is_an_add_and_then_a_remove_and_its_order_may_be_sent_at_any_time() -> None:
     asked = change(REPLACE, "a", "d")
-    assert judge(asked, Known(ABC, 1, {"d": "d/7"})).level == "d"
-    added = judge(asked, Known(ABC, 1, {"d": "d/7"}, frozenset({"d/7"})))
+    assert next_step(asked, MembershipState(ABC, 1, {"d": "d/7"})).catch_up == "d"
+    added = next_step(asked, MembershipState(ABC, 1, {"d": "d/7"}, frozenset({"d/7"})))
     assert (added.status, added.group) == (202, ("a/0", "b/0", "c/0", "d/7"))
     four = View(768, ("b/0", "d/7", "c/0"), added.group)
-    removed = judge(asked, Known(four, 1, {}))
+    removed = next_step(asked, MembershipState(four, 1, {}))
     assert (removed.status, removed.group) == (202, ("b/0", "c/0", "d/7"))
-    assert judge(asked, Known(View(1024, four.chain, removed.group), 1, {"a": "a/0"})).status == 200
+    assert next_step(asked, MembershipState(View(1024, four.chain, removed.group), 1, {"a": "a/0"})).status == 200
 
 
 # -- the rules on a simulated core ---------------------------------------------------------------------------------
@@ -136,7 +146,7 @@
 
 def wanted_by(world: Turnover, ip: str, group: tuple[str, ...]) -> tuple[str, ...]:
     """The group of the view that a head proposes when it is to step to a group."""
-    world.carry_out(ip, world.members[ip].step(group, world.now_s))
+    world.carry_out(ip, world.members[ip].propose_group(group, world.now_s))
     proposal = world.keepers[ip].proposal
     assert proposal is not None
     return proposal.wanted
@@ -151,12 +161,12 @@
     world.start(head)
     world.run(world.now_s + 0.5)
     here, keeper = world.members[head], world.keepers[head]
-    assert here.heads(world.now_s) and keeper.view is not None and keeper.view.epoch == epoch
+    assert here.is_active_head(world.now_s) and keeper.view is not None and keeper.view.epoch == epoch
     grown = (*keeper.view.group, "d/0")
     assert wanted_by(world, head, grown) == keeper.view.group  # a new view of the same group first
     world.run(world.now_s + 1.0)
-    assert keeper.view.epoch > epoch and here.heads(world.now_s)
-    here.proposed = keeper.view.epoch, frozenset("abcd")
+    assert keeper.view.epoch > epoch and here.is_active_head(world.now_s)
+    here.proposed_group = keeper.view.epoch, frozenset("abcd")
     assert wanted_by(world, head, (*keeper.view.group, "e/0")) == keeper.view.group
     world.run(world.now_s + 1.0)
     assert wanted_by(world, head, (*keeper.view.group, "e/0")) == (*keeper.view.group, "e/0")
@@ -187,14 +197,16 @@
                 entry.body,
                 b"",
                 own.incarnation,
-                own.draw,
+                own.incarnation_id,
                 own.epoch,
             ),
             world.now_s,
         )
-    keeper.on_pulse(frames.Pulse("c/9", 0, 0, 1, 0), world.now_s)  # c has lost its disk meanwhile
+    keeper.on_pulse(frames.ReplicaHeartbeat("c/9", 0, 0, 1, 0), world.now_s)  # c has lost its disk meanwhile
     sent = keeper.conclude(world.now_s + 0.5)
-    accepts = [action.frame for action in sent if isinstance(action, Tell) and isinstance(action.frame, frames.Accept)]
+    accepts = [
+        action.frame for action in sent if isinstance(action, SendMessage) and isinstance(action.frame, frames.Accept)
+    ]
     assert accepts and all(frame.group == keeper.view.group for frame in accepts)
 
 
@@ -206,7 +218,7 @@
     keeper.propose(world.now_s)
     assert keeper.proposal is not None
     epoch, group = keeper.proposal.epoch, keeper.view.group
-    keeper.on_view(frames.ViewIs(epoch - 1, ("a/0", "d/0"), ("a/0", "b/0", "d/0")), world.now_s)
+    keeper.on_view(frames.ViewAnnouncement(epoch - 1, ("a/0", "d/0"), ("a/0", "b/0", "d/0")), world.now_s)
     for name in group:
         promise = frames.Promise(epoch, name, 256, group, group, 0, 0, 0, 0, b"", b"")
         assert keeper.on_promise(promise, world.now_s) == []
@@ -223,7 +235,7 @@
     assert list(here.silence.since_s) == [victim]
     for heard in keeper.heard.values():  # old pulses, read all at once when it goes on
         heard.at_s += 30.0 if heard.name != f"{victim}/0" else 0.0
-    assert here.members.heads(world.now_s + 30.0)
+    assert here.membership.is_active_head(world.now_s + 30.0)
     here.tick(world.now_s + 30.0)
     assert not here.silence.since_s and here.next_change(world.now_s + 30.0) is None
 
@@ -333,7 +345,7 @@
     for ident in range(20):  # as whoever brings a saved copy back: again until it is taken
         node = cluster.newest()
         assert node.core is not None
-        cluster.at(node, node.core.on_core, frames.Order(ident, node.settings.ip, 0, body))
+        cluster.at(node, node.core.on_core, frames.WriteRequest(ident, node.settings.ip, 0, body))
         if await cluster.until(lambda: all(node.relay.configuration.body == body for node in cluster.edges), 0.5) < 0.5:
             return
     raise AssertionError({node.settings.node: node.relay.revision for node in cluster.edges})
@@ -366,27 +378,27 @@
 @pytest.mark.parametrize(
     "frame",
     [
-        frames.Pulse("a", 256, 256, 1),
-        frames.Pulse("a/0", 512, 256, 1),
-        frames.Pulse("a/0", 0, 1 << 63, 1),
-        frames.ViewIs(256, ("a/0", "d/0"), GROUP),
-        frames.ViewIs(256, (), GROUP),
-        frames.ViewIs(256, ("a/0",), ("a/0", "a/1")),
-        frames.ViewIs(256, ("a/0", "a/0"), GROUP),
-        frames.ViewIs(256, ("m1/0",), tuple(f"m{i}/0" for i in range(65))),
-        frames.Confirm(1 << 62, 1, "a"),
+        frames.ReplicaHeartbeat("a", 256, 256, 1),
+        frames.ReplicaHeartbeat("a/0", 512, 256, 1),
+        frames.ReplicaHeartbeat("a/0", 0, 1 << 63, 1),
+        frames.ViewAnnouncement(256, ("a/0", "d/0"), GROUP),
+        frames.ViewAnnouncement(256, (), GROUP),
+        frames.ViewAnnouncement(256, ("a/0",), ("a/0", "a/1")),
+        frames.ViewAnnouncement(256, ("a/0", "a/0"), GROUP),
+        frames.ViewAnnouncement(256, ("m1/0",), tuple(f"m{i}/0" for i in range(65))),
+        frames.QuorumReadCheck(1 << 62, 1, "a"),
         frames.Accept(256, GROUP, GROUP, 3, 1, 0, b"", b""),
         frames.Prepare(1 << 62, "a/0"),
-        frames.Change(1, "x", 4, "a", "", ("a",)),
-        frames.Change(1, "x", 1, "", "d", ("a", "a")),
-        frames.Levelled("d/0", 256, 3, b"short"),
-        frames.Found(256, ("a/0", "b")),
+        frames.MembershipChangeRequest(1, "x", 4, "a", "", ("a",)),
+        frames.MembershipChangeRequest(1, "x", 1, "", "d", ("a", "a")),
+        frames.CatchUpAck("d/0", 256, 3, b"short"),
+        frames.BootstrapRequest(256, ("a/0", "b")),
     ],
 )
 def test_frames_that_cannot_be_are_refused(frame: frames.Frame) -> None:
     packed = frame.pack()
     with pytest.raises(frames.FrameError, match=type(frame).__name__):
-        frames.unpack(packed[4], packed[frames.HEAD.size :])
+        frames.unpack(packed[4], packed[frames.HEADER.size :])
 
 
 def test_an_operator_replaces_a_machine_of_a_system_that_runs() -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -135,13 +135,13 @@
         assert root is not None and root.core is not None
         name = cluster.edges[0].settings.node
         for _ in range(80):
-            root.on_frame(root.peers.local, frames.Suspect(name))
+            root.on_frame(root.peers.local, frames.SuspectReport(name))
             await asyncio.sleep(0.1)
             assert name in root.core.roster.nodes
         host = next(host for host, settings in cluster.machines if settings.node == name)
         cluster.net.stop(host)
         await asyncio.sleep(4.5)
-        root.on_frame(root.peers.local, frames.Suspect(name))
+        root.on_frame(root.peers.local, frames.SuspectReport(name))
         assert name not in root.core.roster.nodes
 
     run_nodes(cluster, scenario())
@@ -199,6 +199,6 @@
 
 
 def test_frames_of_the_survey_go_there_and_back() -> None:
-    state = frames.State(1, "10.0.0.1/ab", 300, ("a", "b"), ("a", "b", "c"), 301, 4, 40, 3, frames.ROOT)
+    state = frames.ReplicaStatus(1, "10.0.0.1/ab", 300, ("a", "b"), ("a", "b", "c"), 301, 4, 40, 3, frames.IS_ROOT)
     packed = state.pack()
-    assert frames.unpack(packed[4], packed[frames.HEAD.size :]) == state
+    assert frames.unpack(packed[4], packed[frames.HEADER.size :]) == state
--- a/tests/test_mutation.py
+++ b/tests/test_mutation.py
@@ -16,7 +16,7 @@
     "a sample",
     "orders",
     "cypressbeam/consensus/deduplication.py",
-    "if len(found) > KEPT:",
+    "if len(found) > MAX_DIGESTS:",
     "if False:",
     ("tests/test_orders.py::test_digests_that_can_not_be_are_refused",),
 )
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -123,10 +123,10 @@
     line = Line(2)
     body = routes(1500)
     for _ in range(20):
-        line.at(0, line.peers[0].send, line.hosts[1].ip, frames.Order(1, line.hosts[0].ip, 0, body))
+        line.at(0, line.peers[0].send, line.hosts[1].ip, frames.WriteRequest(1, line.hosts[0].ip, 0, body))
         line.run(0.02)
     line.run(2.0)
-    orders = [frame for number, frame, _ in line.got if isinstance(frame, frames.Order)]
+    orders = [frame for number, frame, _ in line.got if isinstance(frame, frames.WriteRequest)]
     assert orders and all(order.body == body for order in orders)
     size = len(delta.pack(body))
     assert line.peers[1].blobs.fetcher.fetched_bytes == line.peers[0].blobs.server.handed_bytes == size
@@ -150,9 +150,9 @@
     sent_s = []
     for _ in range(20):
         sent_s.append(line.net.loop.time())
-        line.at(0, line.peers[0].send, line.hosts[1].ip, frames.Suspect("x"))
+        line.at(0, line.peers[0].send, line.hosts[1].ip, frames.SuspectReport("x"))
         line.run(0.05)
-    came_s = [at_s for _, frame, at_s in line.got if isinstance(frame, frames.Suspect)]
+    came_s = [at_s for _, frame, at_s in line.got if isinstance(frame, frames.SuspectReport)]
     assert max(came - sent for came, sent in zip(came_s, sent_s, strict=True)) < 0.02
 
 
@@ -244,7 +244,12 @@
         child = next(node for node in cluster.edges if node.relay.parent is not None)
         assert child.relay.parent is not None
         # It begins with a version that its parent has let go; then comes the newest.
-        cluster.at(child, child.relay.configuration.on_news, child.relay.parent, frames.News(2, digest(b"gone")))
+        cluster.at(
+            child,
+            child.relay.configuration.on_news,
+            child.relay.parent,
+            frames.ConfigurationAnnouncement(2, digest(b"gone")),
+        )
         cluster.revision = 2
         root = cluster.root
         assert root is not None
@@ -260,7 +265,7 @@
     st.lists(
         st.one_of(
             st.builds(
-                frames.Slice,
+                frames.Chunk,
                 st.sampled_from([digest(b"body"), b"x"]),
                 st.sampled_from([b"", digest(b"base"), b"y"]),
                 st.integers(0, 200),
@@ -268,13 +273,13 @@
                 st.binary(max_size=60),
             ),
             st.builds(
-                frames.Want,
+                frames.ChunkRequest,
                 st.sampled_from([digest(b"body"), b"x"]),
                 st.binary(max_size=70),
                 st.integers(0, 2**32 - 1),
                 st.integers(0, 2**32 - 1),
             ),
-            st.builds(frames.Lacking, st.sampled_from([digest(b"body"), b"x"])),
+            st.builds(frames.BlobNotFound, st.sampled_from([digest(b"body"), b"x"])),
         ),
         max_size=8,
     )
@@ -290,21 +295,21 @@
     line.run(9.0)
     assert set(got) <= {b"body"} and line.peers[1].blobs.store.held[digest(b"base")] == b"base"
     kinds = Counter(len(mark) for mark in line.peers[1].blobs.store.held)
-    assert kinds.keys() == {frames.DIGEST} and BULK != 0
+    assert kinds.keys() == {frames.DIGEST_BYTES} and BULK != 0
 
 
 def test_a_connect_that_hangs_is_begun_anew_once_the_machine_is_heard() -> None:
     """After a loss of all power the first to be back write to machines that are not; those come, and connect."""
     line = Line(2)
     line.net.stop(line.hosts[1])
-    line.at(0, line.peers[0].send, line.hosts[1].ip, frames.Suspect("early"))
+    line.at(0, line.peers[0].send, line.hosts[1].ip, frames.SuspectReport("early"))
     line.run(0.2)
     line.net.start(line.hosts[1])
     line.net.loop.run_until_complete(line.net.loop.create_task(line.node(1, MBPS), context=line.hosts[1].context))
     back_s = line.net.loop.time()
-    line.at(1, line.peers[2].send, line.hosts[0].ip, frames.Suspect("back"))
+    line.at(1, line.peers[2].send, line.hosts[0].ip, frames.SuspectReport("back"))
     line.run(0.1)
-    told = {frame.name: at_s for _, frame, at_s in line.got if isinstance(frame, frames.Suspect)}
+    told = {frame.name: at_s for _, frame, at_s in line.got if isinstance(frame, frames.SuspectReport)}
     assert told["back"] < back_s + 0.02 and told["early"] < back_s + 0.02
 
 
@@ -312,6 +317,6 @@
     line = Line(2)
     line.net.stop(line.hosts[1])
     for _ in range(6):
-        line.at(0, line.peers[0].send, line.hosts[1].ip, frames.Suspect("x"))
+        line.at(0, line.peers[0].send, line.hosts[1].ip, frames.SuspectReport("x"))
         line.run(2.0)
     assert line.peers[0].waits[line.hosts[1].ip] == CONNECT_TIMEOUT_S[1]
--- a/tests/test_order_rules.py
+++ b/tests/test_order_rules.py
@@ -9,7 +9,7 @@
 import pytest
 
 from cypressbeam.consensus import deduplication
-from cypressbeam.consensus.chain import MOST_WAITING, Entry, Member, Tell, View
+from cypressbeam.consensus.chain import MAX_QUEUED_WRITES, ChainReplica, Entry, SendMessage, View
 from cypressbeam.consensus.replica import Keeper, Proposal
 from cypressbeam.node.control_api import AGAIN_S, PATIENCE_S, Control
 from cypressbeam.protocol import frames
@@ -22,15 +22,15 @@
 CHAIN = View(256, ("a/1", "b/1"), ("a/1", "b/1"))
 
 
-def order(ident: int, body: bytes = b"10:x", base: int = 0) -> frames.Order:
-    return frames.Order(ident, "client", base, body)
+def order(ident: int, body: bytes = b"10:x", base: int = 0) -> frames.WriteRequest:
+    return frames.WriteRequest(ident, "client", base, body)
 
 
 def statuses(actions: list[Any]) -> dict[int, int]:
     return {
-        one.frame.ident: one.frame.status
+        one.frame.request_id: one.frame.status
         for one in actions
-        if isinstance(one, Tell) and isinstance(one.frame, frames.Outcome)
+        if isinstance(one, SendMessage) and isinstance(one.frame, frames.WriteResult)
     }
 
 
@@ -44,26 +44,30 @@
 
 
 def test_too_many_orders_that_wait_are_told_to_come_back() -> None:
-    member = Member("a", ALONE, revision, digest, active=True)
-    member.order(order(0), 0.0)
-    for ident in range(1, MOST_WAITING + 1):
-        assert statuses(member.order(order(ident, b"11:%d" % ident), 0.0)) == {}
-    assert statuses(member.order(order(999, b"12:x"), 0.0)) == {999: 503} and len(member.waiting) == MOST_WAITING
+    member = ChainReplica("a", ALONE, revision, digest, active=True)
+    member.submit(order(0), 0.0)
+    for ident in range(1, MAX_QUEUED_WRITES + 1):
+        assert statuses(member.submit(order(ident, b"11:%d" % ident), 0.0)) == {}
+    assert statuses(member.submit(order(999, b"12:x"), 0.0)) == {999: 503} and len(member.queue) == MAX_QUEUED_WRITES
 
 
 @pytest.mark.parametrize(("me", "sealed", "active"), [("b", False, True), ("a", True, True), ("a", False, False)])
 def test_only_the_head_of_an_active_view_takes_orders(me: str, sealed: bool, active: bool) -> None:
-    member = Member(me, CHAIN, revision, digest, active=active, sealed=sealed)
-    assert member.order(order(1), 0.0) == [] and not member.waiting and member.syncing is None
+    member = ChainReplica(me, CHAIN, revision, digest, active=active, sealed=sealed)
+    assert member.submit(order(1), 0.0) == [] and not member.queue and member.persisting is None
 
 
 @pytest.mark.parametrize(("status", "asks"), [(400, True), (412, True), (503, False), (200, False)])
 def test_what_names_the_version_in_force_waits_for_a_majority_s_word(status: int, asks: bool) -> None:
     world = quiet_world()
     keeper = world.keepers["a"]
-    outcome = frames.Outcome(7, status, "")
-    told = [one.frame for one in keeper.note_syncs([Tell("client", outcome)], world.now_s) if isinstance(one, Tell)]
-    assert (outcome not in told) is asks and any(isinstance(frame, frames.Confirm) for frame in told) is asks
+    outcome = frames.WriteResult(7, status, "")
+    told = [
+        one.frame
+        for one in keeper.note_syncs([SendMessage("client", outcome)], world.now_s)
+        if isinstance(one, SendMessage)
+    ]
+    assert (outcome not in told) is asks and any(isinstance(frame, frames.QuorumReadCheck) for frame in told) is asks
 
 
 @pytest.mark.parametrize(("status", "final"), [(400, False), (412, True)])
@@ -74,7 +78,7 @@
     world = quiet_world()
     keeper, now_s = world.keepers["a"], world.now_s
     for keeper.checks, final_now in ((1, final), (0, True)):  # the others' is 0: first before, then after the roll-out
-        told = keeper.note_syncs([Tell("client", frames.Outcome(7, status, "no valid one"))], now_s)
+        told = keeper.note_syncs([SendMessage("client", frames.WriteResult(7, status, "no valid one"))], now_s)
         assert (statuses(told) == {}) is final_now and (final_now or statuses(told) == {7: 503})
         keeper.reads.clear()
 
@@ -82,7 +86,7 @@
 def test_a_pulse_tells_the_version_of_the_check_and_that_stays_known_of_a_disk_in_trouble() -> None:
     world = quiet_world()
     here, there = world.keepers["a"], world.keepers["b"]
-    assert here.judge_alike() and there.own_pulse(world.now_s).disk == 1
+    assert here.judge_alike() and there.own_pulse(world.now_s).disk_flags == 1
     there.checks = 3
     here.on_pulse(there.own_pulse(world.now_s), world.now_s)
     assert not here.judge_alike() and here.heard["b"].disk
@@ -99,13 +103,16 @@
 
 def test_what_stands_above_an_entry_s_base_was_not_taken() -> None:
     known = {10: b"ten", 20: b"twenty", 30: b"thirty"}
-    deduplication.note(known, 25, 10, b"new")
+    deduplication.record(known, 25, 10, b"new")
     assert known == {10: b"ten", 25: b"new"}
 
 
 def test_without_the_digests_all_versions_may_be_forgotten() -> None:
-    assert deduplication.forgotten({}, 0) == 0 and deduplication.forgotten({}, 5) == MOST_REVISION
-    assert deduplication.forgotten({40: b"", 50: b""}, 5) == 39 and deduplication.forgotten({10: b"", 20: b""}, 2) == 0
+    assert deduplication.forgotten_up_to({}, 0) == 0 and deduplication.forgotten_up_to({}, 5) == MOST_REVISION
+    assert (
+        deduplication.forgotten_up_to({40: b"", 50: b""}, 5) == 39
+        and deduplication.forgotten_up_to({10: b"", 20: b""}, 2) == 0
+    )
 
 
 def test_of_one_s_own_digests_count_those_that_all_hold() -> None:
@@ -119,23 +126,25 @@
     for keeper in world.keepers.values():
         assert keeper.member is not None
         keeper.member.last = Entry(3, 256, 30, 20, b"30:x")
-        keeper.member.taken.update({number: bytes([number]) * 32 for number in (10, 20, 30)})
+        keeper.member.applied_digests.update({number: bytes([number]) * 32 for number in (10, 20, 30)})
     keeper = world.keepers["a"]
-    (prepare, *_) = (one.frame for one in keeper.propose(world.now_s) if isinstance(one, Tell))
-    assert isinstance(prepare, frames.Prepare) and prepare.since == 20
+    (prepare, *_) = (one.frame for one in keeper.propose(world.now_s) if isinstance(one, SendMessage))
+    assert isinstance(prepare, frames.Prepare) and prepare.digests_since == 20
     promise = promised(world.keepers["b"], prepare, world.now_s)
-    assert list(deduplication.unpack(promise.taken)) == [30]
+    assert list(deduplication.unpack(promise.applied_digests)) == [30]
     proposal = Proposal(prepare.epoch, (), (), world.now_s, promises={promise.name: promise})
     known = world.keepers["b"].all_taken()
     for name, sent in ((promise.name, [30]), ("c/empty", [10, 20, 30])):
         accept = keeper.accept_for(proposal, name, (), (), promise, known)
-        assert list(deduplication.unpack(accept.taken)) == sent and accept.since == (20 if len(sent) == 1 else 0)
+        assert list(deduplication.unpack(accept.applied_digests)) == sent and accept.digests_since == (
+            20 if len(sent) == 1 else 0
+        )
 
 
 def promised(keeper: Keeper, prepare: frames.Prepare, now_s: float) -> frames.Promise:
     assert keeper.on_prepare(prepare, now_s)
     (told,) = keeper.promise_saved(prepare.epoch, "a", now_s)
-    assert isinstance(told, Tell) and isinstance(told.frame, frames.Promise)
+    assert isinstance(told, SendMessage) and isinstance(told.frame, frames.Promise)
     return told.frame
 
 
@@ -174,7 +183,7 @@
 
     async def scenario() -> None:
         control = Control("10.0.0.1", lambda: ("head", "tail"), lambda ip, frame: sent.append(ip), Mock())
-        control.pass_on(frames.Read(1, "10.0.0.1"), Mock())
+        control.pass_on(frames.ReadRequest(1, "10.0.0.1"), Mock())
         control.calls.clear()
 
     run(scenario())
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -11,7 +11,7 @@
 import pytest
 
 from cypressbeam.consensus import deduplication, replica
-from cypressbeam.consensus.chain import Entry, Member, Sync, Tell, View
+from cypressbeam.consensus.chain import ChainReplica, Entry, PersistEntry, SendMessage, View
 from cypressbeam.protocol import frames
 from cypressbeam.protocol.configuration import digest
 from cypressbeam.storage.store import FILE, Store
@@ -32,14 +32,14 @@
     return int(body.split(b":")[0])
 
 
-def member(versions: int) -> Member:
+def member(versions: int) -> ChainReplica:
     """One that is head and tail, after so many versions: 10, 20, ..."""
-    made = Member("a", ALONE, revision, digest)
+    made = ChainReplica("a", ALONE, revision, digest)
     made.active = True
     for number in range(1, versions + 1):
-        made.order(frames.Order(number, "client", number * 10 - 10, body(number)), 0.0)
-        assert made.syncing is not None
-        made.synced(made.syncing, 0.0)
+        made.submit(frames.WriteRequest(number, "client", number * 10 - 10, body(number)), 0.0)
+        assert made.persisting is not None
+        made.entry_persisted(made.persisting, 0.0)
     return made
 
 
@@ -47,19 +47,21 @@
     return b"%d:x" % (number * 10)
 
 
-def status(made: Member, base: int, what: bytes) -> int:
+def status(made: ChainReplica, base: int, what: bytes) -> int:
     """What an order is answered at once; 0: it is taken."""
     found = [
-        action.frame for action in made.order(frames.Order(99, "client", base, what), 0.0) if isinstance(action, Tell)
+        action.frame
+        for action in made.submit(frames.WriteRequest(99, "client", base, what), 0.0)
+        if isinstance(action, SendMessage)
     ]
-    assert all(isinstance(frame, frames.Outcome) for frame in found)
+    assert all(isinstance(frame, frames.WriteResult) for frame in found)
     return found[0].status if found else 0  # type: ignore[attr-defined]
 
 
 def test_what_may_have_been_taken_is_left_without_a_clear_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(deduplication, "KEPT", 8)
+    monkeypatch.setattr(deduplication, "MAX_DIGESTS", 8)
     made = member(20)
-    assert len(made.taken) == 8
+    assert len(made.applied_digests) == 8
     for number in range(1, 21):
         assert status(made, number * 10 - 10, body(number)) == (200 if number > 12 else 503)
     assert status(made, 130, b"135:never") == 412  # known never to have been taken
@@ -92,14 +94,14 @@
     made = member(1)
     assert status(made, 10, b"20:first") == 0  # under way
     for _ in range(100):
-        made.order(frames.Order(7, "client", 10, b"20:other"), 0.0)
-        made.order(frames.Order(8, "client", 10, b"20:first"), 0.0)
-    assert len(made.waiting) == 1 and made.asked == [(99, "client"), (8, "client")]
-    assert made.syncing is not None
+        made.submit(frames.WriteRequest(7, "client", 10, b"20:other"), 0.0)
+        made.submit(frames.WriteRequest(8, "client", 10, b"20:first"), 0.0)
+    assert len(made.queue) == 1 and made.pending_callers == [(99, "client"), (8, "client")]
+    assert made.persisting is not None
     told = {
-        action.frame.ident: action.frame.status
-        for action in made.synced(made.syncing, 0.0)
-        if isinstance(action, Tell) and isinstance(action.frame, frames.Outcome)
+        action.frame.request_id: action.frame.status
+        for action in made.entry_persisted(made.persisting, 0.0)
+        if isinstance(action, SendMessage) and isinstance(action.frame, frames.WriteResult)
     }
     assert told == {99: 200, 8: 200, 7: 412}
 
@@ -113,12 +115,15 @@
     world.run(1.0)
     for ip, keeper in world.keepers.items():
         assert keeper.member is not None
-        for number in range(1, deduplication.KEPT + 1000):
+        for number in range(1, deduplication.MAX_DIGESTS + 1000):
             entry = Entry(number, keeper.member.view.epoch, number * 10, number * 10 - 10, body(number))
-            keeper.member.synced(entry, world.now_s)
+            keeper.member.entry_persisted(entry, world.now_s)
             keeper.member.committed = number
-            world.disks[ip].write(Sync(entry))
-        assert len(keeper.member.taken) == deduplication.KEPT and len(world.disks[ip].taken) == deduplication.KEPT
+            world.disks[ip].write(PersistEntry(entry))
+        assert (
+            len(keeper.member.applied_digests) == deduplication.MAX_DIGESTS
+            and len(world.disks[ip].taken) == deduplication.MAX_DIGESTS
+        )
     sent: dict[str, list[int]] = {"a": [], "b": [], "c": []}
     real = world.send
 
@@ -133,10 +138,10 @@
     assert max(sent["a"] + sent["b"]) < 400
     world.start("c")
     world.run(world.now_s + 5.0)
-    assert max(sent["a"] + sent["b"]) < 400 and sent["c"][-1] > deduplication.KEPT * 40
+    assert max(sent["a"] + sent["b"]) < 400 and sent["c"][-1] > deduplication.MAX_DIGESTS * 40
     new = world.keepers["c"].member
-    assert new is not None and new.active and len(new.taken) == deduplication.KEPT
-    assert new.taken == world.disks["a"].taken
+    assert new is not None and new.active and len(new.applied_digests) == deduplication.MAX_DIGESTS
+    assert new.applied_digests == world.disks["a"].taken
 
 
 def test_digests_that_can_not_be_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -145,7 +150,7 @@
         deduplication.unpack(good) == {1: bytes(32), 2: bytes(32)}
         and deduplication.pack(deduplication.unpack(good), 1) == good[40:]
     )
-    monkeypatch.setattr(deduplication, "KEPT", 2)
+    monkeypatch.setattr(deduplication, "MAX_DIGESTS", 2)
     for wrong in (good[:-1], good[40:] + good[:40], good[:40] * 2, deduplication.pack({1: b"", 2: b"", 3: b""})):
         with pytest.raises(frames.FrameError):
             deduplication.unpack(wrong)
@@ -157,7 +162,7 @@
             deduplication.unpack(b"x")
 
         link = Link(Mock(take=take, loop=asyncio.get_running_loop()), "10.0.0.9")
-        link.hand(frames.Alive())
+        link.hand(frames.KeepAlive())
         assert link.closed
 
     asyncio.run(scenario())
@@ -233,7 +238,7 @@
         assert (await store.load()).taken == wanted
         close(store)
 
-    monkeypatch.setattr("cypressbeam.storage.store.KEPT", 100)
+    monkeypatch.setattr("cypressbeam.storage.store.MAX_DIGESTS", 100)
     asyncio.run(scenario())
     with sqlite3.connect(tmp_path / FILE) as database:
         assert database.execute("select count(*) from taken").fetchone() == (100,)
--- a/tests/test_quorum_loss.py
+++ b/tests/test_quorum_loss.py
@@ -15,7 +15,7 @@
 import pytest
 
 from cypressbeam.admin import backup, config_calls, errors, membership, status
-from cypressbeam.consensus.quorum_loss import PAGE, SECTION, Absence, QuorumWatch, judge, read_silences
+from cypressbeam.consensus.quorum_loss import RUNBOOK, RUNBOOK_SECTION, Absence, QuorumMonitor, detect, parse_silences
 from cypressbeam.proxy.http_responses import Answer
 from lab import repair
 from lab.local_cluster import demo_configuration
@@ -51,11 +51,11 @@
 def test_a_majority_is_missing_where_fewer_than_that_are_there(
     group: tuple[str, ...], there: tuple[str, ...], lost: bool
 ) -> None:
-    assert (judge(group, heard(*there), {}) is not None) is lost
+    assert (detect(group, heard(*there), {}) is not None) is lost
 
 
 def test_the_statement_names_who_is_missing_and_both_ways_out() -> None:
-    found = judge(ABC, heard("10.0.0.1/a", "10.0.0.2/new"), {"10.0.0.3": 7.4})
+    found = detect(ABC, heard("10.0.0.1/a", "10.0.0.2/new"), {"10.0.0.3": 7.4})
     assert found is not None and found.here == ("10.0.0.1",) and found.majority == 2
     assert [(one.ip, one.absence, one.for_s) for one in found.missing] == [
         ("10.0.0.2", Absence.NEW_DISK, None),
@@ -65,13 +65,13 @@
     assert seen.endswith(
         ": 1 of 3 members are there, 2 are needed; missing: 10.0.0.2 (without its disk), 10.0.0.3 (silent for 7 s)"
     )
-    assert "with their disks" in way_out and PAGE in way_out and SECTION in way_out
-    page = (Path(__file__).parent.parent / PAGE).read_text(encoding="utf-8")
-    assert f"\n## {SECTION}\n" in page
+    assert "with their disks" in way_out and RUNBOOK in way_out and RUNBOOK_SECTION in way_out
+    page = (Path(__file__).parent.parent / RUNBOOK).read_text(encoding="utf-8")
+    assert f"\n## {RUNBOOK_SECTION}\n" in page
 
 
 def told(
-    watch: QuorumWatch, there: Mapping[str, str], from_s: float, to_s: float, group: tuple[str, ...] = ABC
+    watch: QuorumMonitor, there: Mapping[str, str], from_s: float, to_s: float, group: tuple[str, ...] = ABC
 ) -> list[tuple[float, int]]:
     """When something is said, and at which level, of ticks ten times a second."""
     ticks = [round(from_s + number / 10, 1) for number in range(round(10 * (to_s - from_s)))]
@@ -80,23 +80,23 @@
 
 
 def test_a_lost_majority_is_told_once_it_has_lasted_and_again_and_its_end_too() -> None:
-    watch = QuorumWatch()
+    watch = QuorumMonitor()
     assert told(watch, heard(*ABC), 0.0, 1.0) == []
     assert told(watch, heard(*ABC[:2]), 1.0, 20.0) == []  # one may be missing for as long as it likes
     assert told(watch, heard(ABC[0]), 20.0, 24.9) == [] and watch.silences() == ()
     assert told(watch, heard(*ABC[:2]), 24.9, 25.0) == []  # back in time
     assert told(watch, heard(ABC[0]), 25.0, 95.0) == [(30.0, logging.ERROR), (90.0, logging.ERROR)]
-    assert read_silences(watch.silences()) == {"10.0.0.2": 70.0, "10.0.0.3": 94.0}
+    assert parse_silences(watch.silences()) == {"10.0.0.2": 70.0, "10.0.0.3": 94.0}
     assert told(watch, heard(*ABC[1:]), 95.0, 96.0) == [(95.0, logging.WARNING)] and watch.silences() == ()
 
 
 def test_a_machine_that_stood_still_or_is_no_member_tells_nothing_of_that_time() -> None:
-    watch = QuorumWatch()
+    watch = QuorumMonitor()
     assert told(watch, heard(ABC[0]), 0.0, 4.0) == []
     assert told(watch, heard(ABC[0]), 30.0, 34.9) == []
     assert told(watch, heard(ABC[0]), 34.9, 36.0) == [(35.0, logging.ERROR)]
-    assert told(QuorumWatch(), {}, 0.0, 60.0, group=()) == []
-    assert read_silences(("10.0.0.1 7", "10.0.0.2", "10.0.0.3 x", "")) == {"10.0.0.1": 7.0}
+    assert told(QuorumMonitor(), {}, 0.0, 60.0, group=()) == []
+    assert parse_silences(("10.0.0.1 7", "10.0.0.2", "10.0.0.3 x", "")) == {"10.0.0.1": 7.0}
 
 
 async def lose_two_disks_and_start_anew(cluster: repair.Core, identities: tuple[str, str]) -> list[Absence]:
@@ -215,7 +215,7 @@
                     found = await statement(machine)
                     assert {one["ip"] for one in found["quorumLoss"]["missing"]} == {one.ip for one in gone}
                     for text in (status.describe_state(found), membership.describe_members(found)):
-                        assert "! no majority of the core" in text and PAGE in text
+                        assert "! no majority of the core" in text and RUNBOOK in text
             assert (await ask(edge)).status == 200  # it serves on
             with pytest.raises(errors.Refused, match="503"):
                 await config_calls.push(edge.control, cbor2.dumps(demo_configuration(2)), 1)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -50,10 +50,10 @@
 
     async def scenario() -> None:
         peers = await pair.start(pair.one)
-        on(pair.one, peers.send, pair.other.ip, frames.Alive())
+        on(pair.one, peers.send, pair.other.ip, frames.KeepAlive())
         await asyncio.sleep(0.02)
         other = await pair.start(pair.other)
-        on(pair.other, other.send, pair.one.ip, frames.Alive())
+        on(pair.other, other.send, pair.one.ip, frames.KeepAlive())
         began_s = pair.net.loop.time()
         await asyncio.sleep(2.0)
         assert len(pair.got) == 2 and max(pair.got) - began_s < 0.1
@@ -67,7 +67,7 @@
 
     async def scenario() -> None:
         peers = await pair.start(pair.one)
-        on(pair.one, peers.send, pair.other.ip, frames.Alive())
+        on(pair.one, peers.send, pair.other.ip, frames.KeepAlive())
         await asyncio.sleep(0.02)
         await pair.start(pair.other)
         began_s = pair.net.loop.time()
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -8,8 +8,8 @@
 import pytest
 
 from cypressbeam.consensus.chain import ip_of
-from cypressbeam.consensus.membership import ADD, REMOVE, REPLACE, Change
-from cypressbeam.consensus.replacement import BEGUN_KEPT_S, SilenceClock
+from cypressbeam.consensus.membership import ADD, REMOVE, REPLACE, MembershipChange
+from cypressbeam.consensus.replacement import PENDING_CHANGE_KEPT_S, SilenceTracker
 from cypressbeam.protocol.settings import SettingsError, parse
 from lab import power_loss_recovery, repair, replacements
 from lab.membership_churn import Turnover
@@ -34,13 +34,13 @@
 
 
 def test_silence_counts_only_while_the_process_runs() -> None:
-    clock = SilenceClock()
+    clock = SilenceTracker()
     assert not clock.tick(10.0) and clock.tick(10.1)
     clock.update(["a", "b"], lambda ip, now_s: ip == "b", 10.1)
     assert clock.tick(10.2)
     clock.update(["a", "b"], lambda ip, now_s: ip == "b", 10.2)
-    assert clock.longest(0.09, 10.2) == ["a"] and clock.longest(0.2, 10.2) == []
-    assert not clock.tick(20.0) and clock.longest(0.0, 20.0) == []
+    assert clock.silent_for(0.09, 10.2) == ["a"] and clock.silent_for(0.2, 10.2) == []
+    assert not clock.tick(20.0) and clock.silent_for(0.0, 20.0) == []
 
 
 def test_a_silent_member_is_replaced_by_a_spare_and_comes_back_as_one() -> None:
@@ -51,7 +51,7 @@
     assert group_of(world) == "".join(sorted(set("abcd") - {victim}))
     world.start(victim)
     world.run(world.now_s + 2.0)
-    assert victim in world.members[head_of(world)].standing_by(world.now_s)
+    assert victim in world.members[head_of(world)].spares(world.now_s)
     for ip in "de":  # no machine is left that was never a member
         world.stop(ip)
     world.run(world.now_s + 4.0)
@@ -78,18 +78,18 @@
     world.run(world.now_s + 3.0)
     here = world.replacements[other]
     here.silence.since_s[victim] -= 60.0
-    assert here.next_change(world.now_s) == Change(REPLACE, victim, "d", frozenset("abc"))
+    assert here.next_change(world.now_s) == MembershipChange(REPLACE, victim, "d", frozenset("abc"))
 
 
 def test_a_replacement_that_was_begun_is_carried_to_its_end_or_taken_back() -> None:
     world = world_at_rest()
     here = world.replacements[head_of(world)]
-    begun = here.begun = Change(REPLACE, "b", "d", frozenset("abc"))
-    assert here.rest_of(begun) == begun
+    begun = here.pending_change = MembershipChange(REPLACE, "b", "d", frozenset("abc"))
+    assert here.second_step(begun) == begun
     here.silence.since_s = {"d": world.now_s}
-    assert here.rest_of(begun) == Change(REPLACE, "d", "b", frozenset("acd"))
+    assert here.second_step(begun) == MembershipChange(REPLACE, "d", "b", frozenset("acd"))
     here.silence.since_s = {"d": world.now_s, "b": world.now_s}
-    assert here.rest_of(begun) == begun
+    assert here.second_step(begun) == begun
 
 
 def test_a_spare_that_is_added_after_the_member_is_back_does_not_leave_an_even_group() -> None:
@@ -98,9 +98,9 @@
     for _ in range(2):  # the first view is one of the same group: what was done on the old one the head has forgotten
         head = head_of(world)
         for ip in "abc":
-            world.replacements[ip].begun = Change(REPLACE, "b", "d", frozenset("abc"))
-            world.replacements[ip].begun_s = world.now_s
-        world.carry_out(head, world.members[head].step((*newest(world).group, "d/0"), world.now_s))
+            world.replacements[ip].pending_change = MembershipChange(REPLACE, "b", "d", frozenset("abc"))
+            world.replacements[ip].pending_since_s = world.now_s
+        world.carry_out(head, world.members[head].propose_group((*newest(world).group, "d/0"), world.now_s))
         world.run(world.now_s + 1.5)
     assert group_of(world) == "acd"
 
@@ -109,8 +109,8 @@
     """An operator who adds the same machine later means to."""
     world = world_at_rest()
     for ip in "abc":
-        world.replacements[ip].begun = Change(REPLACE, "b", "d", frozenset("abc"))
-        world.replacements[ip].begun_s = world.now_s - BEGUN_KEPT_S - 0.1
+        world.replacements[ip].pending_change = MembershipChange(REPLACE, "b", "d", frozenset("abc"))
+        world.replacements[ip].pending_since_s = world.now_s - PENDING_CHANGE_KEPT_S - 0.1
     world.run(world.now_s + 0.5)
     assert asks(world, ADD, "", "d", "abc") == 200 and group_of(world) == "abcd"
 
@@ -119,8 +119,8 @@
     """A member that leaves asked for the machine that a false alarm had just removed: added and removed in turns."""
     world = world_at_rest()
     for ip in "abc":
-        world.replacements[ip].begun = Change(REPLACE, "d", "b", frozenset("acd"))
-        world.replacements[ip].begun_s = world.now_s
+        world.replacements[ip].pending_change = MembershipChange(REPLACE, "d", "b", frozenset("acd"))
+        world.replacements[ip].pending_since_s = world.now_s
     assert asks(world, ADD, "", "d", "abc") == 200 and group_of(world) == "abcd"
 
 
@@ -130,17 +130,17 @@
     silent = next(ip for ip in "abc" if ip != head_of(world))
     here = world.replacements[head_of(world)]
     here.silence.since_s = {silent: world.now_s - 60.0}
-    assert here.next_change(world.now_s) == Change(REMOVE, silent, "", frozenset("abcd"))
+    assert here.next_change(world.now_s) == MembershipChange(REMOVE, silent, "", frozenset("abcd"))
 
 
 def test_who_leaves_asks_for_a_spare_in_its_place_and_is_none_itself() -> None:
     world = world_at_rest()
     here = world.replacements["a"]
-    assert here.departure(world.now_s) == Change(REPLACE, "a", "d", frozenset("abc"))
+    assert here.departure_change(world.now_s) == MembershipChange(REPLACE, "a", "d", frozenset("abc"))
     for ip in "de":
         world.stop(ip)
     world.run(world.now_s + 2.0)
-    assert here.departure(world.now_s) is None  # nobody is there: nobody is waited for
+    assert here.departure_change(world.now_s) is None  # nobody is there: nobody is waited for
     spare = world.keepers["b"]
     assert spare.view is not None
     spare.leaving = True
@@ -154,7 +154,7 @@
     for ip in "bc":
         world.stop(ip)
     world.run(world.now_s + 3.0)
-    assert world.replacements["a"].departure(world.now_s) is None
+    assert world.replacements["a"].departure_change(world.now_s) is None
 
 
 def test_a_new_spare_is_level_before_it_is_needed() -> None:
--- a/tests/test_replacement_rules.py
+++ b/tests/test_replacement_rules.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from cypressbeam.consensus.chain import ip_of
-from cypressbeam.consensus.membership import REPLACE, Change
+from cypressbeam.consensus.membership import REPLACE, MembershipChange
 from lab.membership_churn import Turnover
 from tests.test_members import newest, world_at_rest
 
@@ -42,15 +42,15 @@
 def test_a_replacement_that_was_begun_goes_on_though_the_member_is_back() -> None:
     world = world_at_rest()
     here = world.replacements[newest(world).head]
-    begun = here.begun = Change(REPLACE, "b", "c", frozenset("ab"))
+    begun = here.pending_change = MembershipChange(REPLACE, "b", "c", frozenset("ab"))
     assert here.silence.since_s == {} and here.next_change(world.now_s) == begun
-    here.begun = Change(REPLACE, "b", "d", frozenset("abc"))  # its spare is not added yet
+    here.pending_change = MembershipChange(REPLACE, "b", "d", frozenset("abc"))  # its spare is not added yet
     assert here.next_change(world.now_s) is None
 
 
 def test_one_too_many_is_an_even_number_above_the_least() -> None:
     here = world_at_rest().replacements["a"]
-    assert [count for count in range(1, 8) if here.has_one_too_many(frozenset("abcdefg"[:count]))] == [4, 6]
+    assert [count for count in range(1, 8) if here.has_surplus_member(frozenset("abcdefg"[:count]))] == [4, 6]
 
 
 def test_who_has_left_waits_for_the_view_on_the_disks_of_those_that_are_heard() -> None:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -18,7 +18,7 @@
 from hypothesis import strategies as st
 
 from cypressbeam.consensus.chain import Entry, View
-from cypressbeam.consensus.rollback_detection import Marks
+from cypressbeam.consensus.rollback_detection import HighWaterMarks
 from cypressbeam.storage import store as stores
 from cypressbeam.storage.store import FILE, Loaded, Store, StoreError
 
@@ -170,7 +170,7 @@
 
 def test_a_start_is_counted_with_the_first_write_and_what_others_told_is_kept(tmp_path: Path) -> None:
     async def scenario() -> None:
-        told = {"10.0.0.2/b": Marks(3, 4, 512, 512, 7)}
+        told = {"10.0.0.2/b": HighWaterMarks(3, 4, 512, 512, 7)}
         seen = []
         for _ in range(3):
             store = Store(tmp_path)
@@ -178,18 +178,18 @@
             seen.append((found.own, found.raised, found.marks))
             assert store.note(told)
             await store.save_view(VIEW, None, {})
-            assert not store.note(told) and not store.note({"10.0.0.2/b": Marks(3, 4, 512, 512, 8)})
-            assert store.note({"10.0.0.2/b": Marks(4, 5, 512, 512, 8)})
+            assert not store.note(told) and not store.note({"10.0.0.2/b": HighWaterMarks(3, 4, 512, 512, 8)})
+            assert store.note({"10.0.0.2/b": HighWaterMarks(4, 5, 512, 512, 8)})
             close(store)
         assert [(own.incarnation, raised.incarnation) for own, raised, _ in seen] == [(1, 1), (1, 2), (2, 3)]
-        assert [own.draw for own, _, _ in seen[1:]] == [raised.draw for _, raised, _ in seen[:-1]]
+        assert [own.incarnation_id for own, _, _ in seen[1:]] == [raised.incarnation_id for _, raised, _ in seen[:-1]]
         assert [marks for _, _, marks in seen] == [{}, told, told]
 
     asyncio.run(scenario())
 
 
 def test_digests_of_old_versions_go(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(stores, "KEPT", 4)
+    monkeypatch.setattr(stores, "MAX_DIGESTS", 4)
 
     async def scenario() -> None:
         store = Store(tmp_path)
@@ -247,7 +247,7 @@
     async def scenario() -> None:
         held = Held(tmp_path)
         await held.begin()
-        held.store.note({"10.0.0.9/x": Marks(1, 2, 300)})
+        held.store.note({"10.0.0.9/x": HighWaterMarks(1, 2, 300)})
         one = await begun(held.store.save_promise(300))
         held.store.note({})  # a view has let that member go
         other = await begun(held.store.save_promise(301))
@@ -269,7 +269,7 @@
         taken[20] = b"twenty"
         held.let_go()
         await write
-        found.marks["10.0.0.2/b"] = Marks(1, 2)
+        found.marks["10.0.0.2/b"] = HighWaterMarks(1, 2)
         assert held.store.note(found.marks)  # what the caller does with what it was given is not on disk
         close(held.store)
 
@@ -278,8 +278,12 @@
 
 
 def test_the_loop_and_the_thread_may_take_turns_after_each_step(tmp_path: Path) -> None:
-    async def scenario() -> dict[str, Marks]:
-        store, marks, taken = Store(tmp_path), {"10.0.0.2/b": Marks(1, 2)}, dict.fromkeys(range(1, 400), b"mark")
+    async def scenario() -> dict[str, HighWaterMarks]:
+        store, marks, taken = (
+            Store(tmp_path),
+            {"10.0.0.2/b": HighWaterMarks(1, 2)},
+            dict.fromkeys(range(1, 400), b"mark"),
+        )
         await store.load()
         writes = []
         for number in range(1, 60):
@@ -289,7 +293,7 @@
                     store.save_entry(entry(number)) if number % 3 else store.save_view(VIEW, entry(number), taken)
                 )
             )
-            marks[f"10.0.1.{number}/n"] = Marks(number, number)
+            marks[f"10.0.1.{number}/n"] = HighWaterMarks(number, number)
             taken[1000 + number] = b"late"
             marks.pop(f"10.0.1.{number - 2}/n", None)
             if number % 10 == 0:
--- a/tests/test_validity.py
+++ b/tests/test_validity.py
@@ -9,7 +9,7 @@
 import cbor2
 import pytest
 
-from cypressbeam.consensus.chain import MOST_TEXT, Member, Sync, Tell, View
+from cypressbeam.consensus.chain import MAX_RESULT_TEXT, ChainReplica, PersistEntry, SendMessage, View
 from cypressbeam.node.control_api import Control
 from cypressbeam.node.core_machine import revision_of
 from cypressbeam.protocol import configuration, frames
@@ -67,30 +67,30 @@
 VALID = cbor2.dumps(with_route(tries=4))
 
 
-def head() -> Member:
+def head() -> ChainReplica:
     """Head and tail in one, with versions 5 and 7 taken."""
-    made = Member("a", ALONE, revision_of, configuration.digest, active=True)
+    made = ChainReplica("a", ALONE, revision_of, configuration.digest, active=True)
     for base, revision in ((0, IN_FORCE - 2), (IN_FORCE - 2, IN_FORCE)):
         assert send(made, base, cbor2.dumps(demo_configuration(revision))) == {}
         sync(made)
     return made
 
 
-def send(member: Member, base: int, body: bytes, ident: int = 1) -> dict[int, int]:
+def send(member: ChainReplica, base: int, body: bytes, ident: int = 1) -> dict[int, int]:
     """What orders are answered at once."""
-    return told(member.order(frames.Order(ident, "client", base, body), 0.0))
+    return told(member.submit(frames.WriteRequest(ident, "client", base, body), 0.0))
 
 
-def sync(member: Member) -> dict[int, int]:
-    assert member.syncing is not None
-    return told(member.synced(member.syncing, 0.0))
+def sync(member: ChainReplica) -> dict[int, int]:
+    assert member.persisting is not None
+    return told(member.entry_persisted(member.persisting, 0.0))
 
 
 def told(actions: list[Any]) -> dict[int, int]:
     return {
-        one.frame.ident: one.frame.status
+        one.frame.request_id: one.frame.status
         for one in actions
-        if isinstance(one, Tell) and isinstance(one.frame, frames.Outcome)
+        if isinstance(one, SendMessage) and isinstance(one.frame, frames.WriteResult)
     }
 
 
@@ -99,17 +99,17 @@
     base, body = WAYS[way]
     alone = head()
     for ident in (1, 2):  # the answer to the first was lost
-        assert send(alone, base, body, ident)[ident] in (400, 412) and alone.syncing is None
+        assert send(alone, base, body, ident)[ident] in (400, 412) and alone.persisting is None
     for bad_first in (True, False):
         member = head()
         answers = send(member, base, body, 1) if bad_first else {}
         answers |= send(member, IN_FORCE, VALID, 2) | send(member, base, body, 3)
-        assert member.syncing is not None and member.syncing.body == VALID and 2 not in answers
+        assert member.persisting is not None and member.persisting.body == VALID and 2 not in answers
         answers |= sync(member) | send(member, base, body, 4) | send(member, IN_FORCE, VALID, 5)
         assert answers.pop(2) == answers.pop(5) == 200
         assert set(answers) == {1, 3, 4} if bad_first else {3, 4}
         assert set(answers.values()) <= {400, 412} and member.revision == NEXT
-        assert configuration.digest(body) not in member.taken.values()
+        assert configuration.digest(body) not in member.applied_digests.values()
 
 
 @pytest.mark.parametrize(
@@ -199,12 +199,12 @@
     send(member, IN_FORCE, VALID, 1)
     send(member, NEXT, body, 2)
     send(member, NEXT, cbor2.dumps(with_route(NEXT + 1, tries=5)), 3)
-    assert member.syncing is not None
-    actions = member.synced(member.syncing, 0.0)
-    assert told(actions) == {1: 200, 2: 400} and isinstance(actions[-1], Sync)
+    assert member.persisting is not None
+    actions = member.entry_persisted(member.persisting, 0.0)
+    assert told(actions) == {1: 200, 2: 400} and isinstance(actions[-1], PersistEntry)
     for action in actions:
-        if isinstance(action, Tell) and isinstance(action.frame, frames.Outcome):
-            assert action.frame.pack() and len(action.frame.text) <= MOST_TEXT
+        if isinstance(action, SendMessage) and isinstance(action.frame, frames.WriteResult):
+            assert action.frame.pack() and len(action.frame.text) <= MAX_RESULT_TEXT
 
 
 @pytest.mark.parametrize(
@@ -233,7 +233,7 @@
 
     if taken:
         run(scenario())
-        assert isinstance(passed[0], frames.Order) and passed[0].base == int(base)
+        assert isinstance(passed[0], frames.WriteRequest) and passed[0].base == int(base)
         assert passed[0].pack()  # it has room for that
     else:
         with pytest.raises(BadRequest):
--- a/tests/test_word_rules.py
+++ b/tests/test_word_rules.py
@@ -109,7 +109,7 @@
         machine = Machine().as_root()
         link = machine.child(SECOND)
         machine.relay.see(THIRD)
-        assert not machine.relay.is_root and link.kinds()[-1] == "Released"
+        assert not machine.relay.is_root and link.kinds()[-1] == "Unsubscribed"
         machine.core.lead(True)
         assert not machine.relay.is_root
 
@@ -123,7 +123,7 @@
         machine.keeper.view = replace(VIEW, epoch=THIRD)
         machine.relay.see(THIRD)
         assert machine.relay.is_root and link in machine.relay.children.links
-        assert isinstance(link.sent[-1], frames.Beat) and link.sent[-1].epoch == THIRD
+        assert isinstance(link.sent[-1], frames.RootHeartbeat) and link.sent[-1].epoch == THIRD
 
     run(scenario())
 
@@ -163,12 +163,12 @@
         if not contact:
             machine.now_s += DEAD_S + 0.01
         machine.core.went_on_s = machine.now_s
-        machine.core.on_join(link, frames.Join("x", link.ip, "a", frames.FRONT, 0, "", epoch=SECOND))
+        machine.core.on_join(link, frames.JoinRequest("x", link.ip, "a", frames.SERVES_CLIENTS, 0, "", epoch=SECOND))
         machine.core.take_list([])
         machine.core.introduce(machine.now_s + INTRODUCE_S)
-        assert link.kinds() == (["Place"] if contact else ["Refer"])
-        assert child.kinds() == (["Servers"] if contact else [])
-        assert [type(frame) for _, frame in machine.told] == ([frames.Refer] if contact else [])
+        assert link.kinds() == (["ParentAssignment"] if contact else ["LeaderRedirect"])
+        assert child.kinds() == (["EndpointUpdate"] if contact else [])
+        assert [type(frame) for _, frame in machine.told] == ([frames.LeaderRedirect] if contact else [])
         assert all(cast(Any, frame).epoch == SECOND for frame in [*link.sent, *child.sent])
 
     run(scenario())
@@ -180,8 +180,8 @@
         link = machine.child(SECOND)
         reports = OutlierReports(machine.relay.context, machine.relay, lambda servers: None)
         reports.verdicts = cast(Any, SimpleNamespace(report=lambda *_: ["s"]))
-        reports.pass_up(frames.Ailing(0, "x", "a", ("s",)))
-        assert link.sent[-1] == frames.Verdict("a", ("s",), SECOND)
+        reports.pass_up(frames.OutlierReport(0, "x", "a", ("s",)))
+        assert link.sent[-1] == frames.OutlierEjection("a", ("s",), SECOND)
 
     run(scenario())
 
@@ -191,7 +191,7 @@
         part = Part()
         for epoch, closed in ((0, False), (FIRST, False), (1, True), (255, True), (2**48 + 1, True)):
             link = Link(part.peers, OTHER)
-            data = frames.Refer("", epoch).pack()
+            data = frames.LeaderRedirect("", epoch).pack()
             link.data_received(data)
             assert link.closed is closed, epoch
 
@@ -217,7 +217,7 @@
         )
         assert GatewayNode.alone(cast(Any, node)) is alone
         control = Control(ME, lambda: (ROOT,), lambda ip, frame: None, Mock(), alone=lambda: alone)
-        answer = control.pass_on(frames.Read(1, ME), Mock())
+        answer = control.pass_on(frames.ReadRequest(1, ME), Mock())
         assert (answer is not None and answer.status == 503) is alone
         control.calls.clear()
 
@@ -236,7 +236,7 @@
 def test_a_wire_keeps_what_it_is_given() -> None:
     async def scenario() -> None:
         wire = Wire(Part().peers, OTHER)
-        wire.send_packed(frames.Alive().pack())
-        assert wire.sent == [frames.Alive()]
+        wire.send_packed(frames.KeepAlive().pack())
+        assert wire.sent == [frames.KeepAlive()]
 
     run(scenario())
