--- a/cypressbeam/admin/membership.py
+++ b/cypressbeam/admin/membership.py
@@ -12,7 +12,7 @@
 from cypressbeam.admin.calls import call, reason_of
 from cypressbeam.admin.errors import Refused
 from cypressbeam.admin.status import describe_quorum_loss, read_state
-from cypressbeam.consensus.chain import ip_of
+from cypressbeam.consensus.views import ip_of
 from cypressbeam.node.control_api import MEMBERS
 from cypressbeam.standalone.discovery import Address
 
--- a/cypressbeam/consensus/bootstrap.py
+++ b/cypressbeam/consensus/bootstrap.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from cypressbeam.consensus.chain import SendMessage, View, ip_of
+from cypressbeam.consensus.effects import SendMessage
+from cypressbeam.consensus.views import View, ip_of
 from cypressbeam.protocol import frames
 
 #: The epoch of the founding view: below all that are proposed later.
--- a/cypressbeam/consensus/chain.py
+++ b/cypressbeam/consensus/chain.py
@@ -1,10 +1,11 @@
-"""One member of the chain that holds the configuration. Pure: frames and syncs in, actions out.
+"""Chain replication: one machine's place in the chain that stores the configuration.
 
-Source: chain replication (van Renesse and Schneider, OSDI 2004); replica.py makes and mends the chain. The head
-orders and compares bases, each member syncs before it passes on, the tail's sync commits. Every message carries the
-view's epoch; another one is refused.
-Invariants: no member passes on what it has not synced; nothing is published or answered 200 but by a tail that has
+The head orders writes and compares bases, each member syncs an entry before it forwards it, the tail's sync commits.
+Every message carries the view's epoch; one of another epoch is ignored. repair.py makes and repairs the chain.
+
+Invariants: no member forwards what it has not synced; nothing is published or answered 200 but by a tail that has
 synced it; numbers and revisions only rise; the head has at most one entry that is not committed.
+Source: van Renesse and Schneider, "Chain replication for supporting high throughput and availability", OSDI 2004.
 """
 
 from __future__ import annotations
@@ -12,9 +13,10 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from functools import lru_cache
 
 from cypressbeam.consensus import deduplication
+from cypressbeam.consensus.effects import ChainEffect, PersistEntry, Publish, SendMessage
+from cypressbeam.consensus.views import Entry, View
 from cypressbeam.protocol import frames
 
 #: An entry that is not committed is sent down again after so long: the link may have broken.
@@ -25,81 +27,6 @@
 MAX_RESULT_TEXT = 300
 
 
-@lru_cache(maxsize=256)
-def ip_of(name: str) -> str:
-    """The address of a member."""
-    return name.partition("/")[0]
-
-
-@dataclass(frozen=True, slots=True)
-class View:
-    """What a majority of the group before it has agreed on. Members are named by address and identity, for a machine
-    that has lost its disk has forgotten its promises, and is another one from then on."""
-
-    epoch: int
-    chain: tuple[str, ...]
-    """From head to tail."""
-    group: tuple[str, ...]
-    """Whose majority decides the next view; a chain is a part of it."""
-    initial_number: int = 0
-    """The number of the entry that the view began with; later ones are committed when the tail says so."""
-
-    @property
-    def members(self) -> tuple[str, ...]:
-        """The chain's addresses, from head to tail."""
-        return tuple(ip_of(name) for name in self.chain)
-
-    @property
-    def head(self) -> str:
-        return self.members[0]
-
-    @property
-    def tail(self) -> str:
-        return self.members[-1]
-
-    def successor(self, ip: str) -> str | None:
-        at = self.members.index(ip) + 1
-        return self.members[at] if at < len(self.members) else None
-
-    def predecessor(self, ip: str) -> str | None:
-        at = self.members.index(ip)
-        return self.members[at - 1] if at else None
-
-
-@dataclass(frozen=True, slots=True)
-class Entry:
-    """A version on its way or in force. Of two, the one with the higher epoch, then number, is the newer."""
-
-    number: int
-    epoch: int
-    revision: int
-    base: int
-    body: bytes
-
-
-@dataclass(frozen=True, slots=True)
-class PersistEntry:
-    """Put an entry on disk, then say so by `synced`."""
-
-    entry: Entry
-
-
-@dataclass(frozen=True, slots=True)
-class SendMessage:
-    ip: str
-    frame: frames.Frame
-
-
-@dataclass(frozen=True, slots=True)
-class Publish:
-    """A committed configuration: to the relays."""
-
-    entry: Entry
-
-
-ChainEffect = PersistEntry | SendMessage | Publish
-
-
 @dataclass(slots=True)
 class ChainReplica:
     """The state of one member. `check` returns a body's revision and raises ValueError if it is invalid."""
--- a/cypressbeam/consensus/dispatch.py
+++ b/cypressbeam/consensus/dispatch.py
@@ -1,52 +1,59 @@
-"""Which part of the core's rules takes a message: a table from type to handler. Pure."""
+"""Which part of the consensus takes a message: one handler by the type of each. Pure."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass
-from typing import Any
+from typing import Any, TypeVar
 
+from cypressbeam.consensus.effects import Effect
 from cypressbeam.consensus.membership import MembershipManager
 from cypressbeam.consensus.replacement import ReplacementManager
-from cypressbeam.consensus.replica import Action, Keeper
+from cypressbeam.consensus.replica import Replica
 from cypressbeam.protocol import frames
 
-
-@dataclass(frozen=True, slots=True)
-class Rules:
-    """The parts that take messages, and the time at which one is taken, in seconds."""
-
-    replica: Keeper
-    members: MembershipManager
-    replacement: ReplacementManager
-    now_s: float
-
-
-#: What is done with a message. It may raise FrameError where its content cannot be.
-Handler = Callable[[Rules, Any], Sequence[Action]]
-
-HANDLERS: dict[type[frames.Frame], Handler] = {
-    frames.ReplicaHeartbeat: lambda rules, frame: rules.replica.on_pulse(frame, rules.now_s),
-    frames.WriteRequest: lambda rules, frame: rules.replica.order(frame, rules.now_s),
-    frames.ForwardEntry: lambda rules, frame: rules.replica.forward(frame, rules.now_s),
-    frames.CommitNotice: lambda rules, frame: rules.replica.committed(frame, rules.now_s),
-    frames.ReadRequest: lambda rules, frame: rules.replica.read(frame, rules.now_s),
-    frames.QuorumReadCheck: lambda rules, frame: rules.replica.on_confirm(frame),
-    frames.QuorumReadAck: lambda rules, frame: rules.replica.on_confirmed(frame, rules.now_s),
-    frames.ViewAnnouncement: lambda rules, frame: rules.replica.on_view(frame, rules.now_s),
-    frames.Prepare: lambda rules, frame: rules.replica.on_prepare(frame, rules.now_s),
-    frames.Promise: lambda rules, frame: rules.replica.on_promise(frame, rules.now_s),
-    frames.Accept: lambda rules, frame: rules.replica.on_accept(frame, rules.now_s),
-    frames.RollbackNotice: lambda rules, frame: rules.replica.on_stale(frame, rules.now_s),
-    frames.MembershipChangeRequest: lambda rules, frame: rules.replacement.on_change_request(frame, rules.now_s),
-    frames.CatchUp: lambda rules, frame: rules.members.on_catch_up(frame, rules.now_s),
-    frames.CatchUpAck: lambda rules, frame: rules.members.on_catch_up_ack(frame),
-}
-
-
-def dispatch(
-    frame: frames.Frame, replica: Keeper, members: MembershipManager, replacement: ReplacementManager, now_s: float
-) -> Sequence[Action]:
-    """What a message asks for; nothing where it is none of the core's. Raises FrameError."""
-    handler = HANDLERS.get(type(frame))
-    return handler(Rules(replica, members, replacement, now_s), frame) if handler is not None else ()
+M = TypeVar("M", bound=frames.Frame)
+#: Takes a message at a time in seconds; gives what it asks for. It may raise FrameError where the content cannot be.
+Handler = Callable[[M, float], Sequence[Effect]]
+
+
+class Dispatcher:
+    """The handlers of one machine."""
+
+    def __init__(self, replica: Replica) -> None:
+        self.replica = replica
+        self.handlers: dict[type[frames.Frame], Handler[Any]] = {}
+        """By the type of a message."""
+        self.register(frames.ReplicaHeartbeat, replica.on_heartbeat)
+        self.register(frames.WriteRequest, replica.submit)
+        self.register(frames.ForwardEntry, replica.on_forward_entry)
+        self.register(frames.CommitNotice, replica.on_commit_notice)
+        self.register(frames.ReadRequest, replica.read)
+        self.register(frames.QuorumReadCheck, self._on_read_check)
+        self.register(frames.QuorumReadAck, replica.reads.on_ack)
+        self.register(frames.ViewAnnouncement, replica.on_view_announcement)
+        self.register(frames.Prepare, replica.on_prepare)
+        self.register(frames.Promise, replica.proposer.on_promise)
+        self.register(frames.Accept, replica.on_accept)
+        self.register(frames.RollbackNotice, replica.on_rollback_notice)
+
+    def add_membership(self, membership: MembershipManager, replacement: ReplacementManager) -> None:
+        """Take changes of the group as well."""
+
+        def on_catch_up_ack(frame: frames.CatchUpAck, _now_s: float) -> Sequence[Effect]:
+            return membership.on_catch_up_ack(frame)
+
+        self.register(frames.MembershipChangeRequest, replacement.on_change_request)
+        self.register(frames.CatchUp, membership.on_catch_up)
+        self.register(frames.CatchUpAck, on_catch_up_ack)
+
+    def register(self, kind: type[M], handler: Handler[M]) -> None:
+        """A handler for a type of message."""
+        self.handlers[kind] = handler
+
+    def dispatch(self, frame: frames.Frame, now_s: float) -> Sequence[Effect]:
+        """What a message asks for; nothing where it is none of the consensus. Raises FrameError."""
+        handler = self.handlers.get(type(frame))
+        return handler(frame, now_s) if handler is not None else ()
+
+    def _on_read_check(self, frame: frames.QuorumReadCheck, _now_s: float) -> Sequence[Effect]:
+        return self.replica.voter.on_read_check(frame)
--- a/cypressbeam/consensus/membership.py
+++ b/cypressbeam/consensus/membership.py
@@ -20,8 +20,11 @@
 from dataclasses import dataclass
 
 from cypressbeam.consensus import deduplication as digests
-from cypressbeam.consensus.chain import Entry, SendMessage, View, ip_of
-from cypressbeam.consensus.replica import EMPTY, NEVER_S, Action, Keeper
+from cypressbeam.consensus.effects import Effect, SendMessage
+from cypressbeam.consensus.failure_detection import NEVER_S
+from cypressbeam.consensus.replica import Replica
+from cypressbeam.consensus.state import DiskState
+from cypressbeam.consensus.views import Entry, View, ip_of
 from cypressbeam.protocol import frames
 
 #: What an order asks for.
@@ -140,8 +143,8 @@
 class MembershipManager:
     """At each machine of the core: who stands by; at the head, the changes of the group."""
 
-    def __init__(self, keeper: Keeper, losses: int) -> None:
-        self.replica = keeper
+    def __init__(self, replica: Replica, losses: int) -> None:
+        self.replica = replica
         self.tolerated_losses = losses
         self.spare_entry_numbers: dict[str, int] = {}
         """Names of machines that stand by, and the newest entry that each has told that it holds."""
@@ -153,23 +156,23 @@
     # -- what is known -------------------------------------------------------------------------------------
 
     def spares(self, now_s: float) -> dict[str, str]:
-        view = self.replica.view
+        view = self.replica.state.view
         if view is None:
             return {}
         members = {ip_of(name) for name in view.group}
         return {
             ip: heard.name
-            for ip, heard in self.replica.heard.items()
-            if ip not in members and heard.disk and self.replica.heard_lately(ip, now_s)
+            for ip, heard in self.replica.failure_detector.peers.items()
+            if ip not in members and heard.disk_works and self.replica.failure_detector.is_alive(ip, now_s)
         }
 
     def is_active_head(self, now_s: float) -> bool:
         """Whether the next step of a change is this machine's to make."""
-        keeper = self.replica
-        return keeper.member is not None and keeper.member.is_head() and keeper.leads(now_s)
+        replica = self.replica
+        return replica.state.chain is not None and replica.state.chain.is_head() and replica.leadership.leads(now_s)
 
     def state(self, now_s: float) -> MembershipState:
-        view, newest = self.replica.view, self.replica.newest()
+        view, newest = self.replica.state.view, self.replica.state.newest_entry()
         assert view is not None
         number = newest.number if newest is not None else 0
         standing_by = self.spares(now_s)
@@ -179,60 +182,60 @@
 
     # -- changes, at the head ------------------------------------------------------------------------------
 
-    def on_change_request(self, frame: frames.MembershipChangeRequest, now_s: float) -> list[Action]:
+    def on_change_request(self, frame: frames.MembershipChangeRequest, now_s: float) -> list[Effect]:
         """An operator's order, sent again and again until it is done: each time the next step is begun."""
-        keeper = self.replica
-        if keeper.view is None:
+        replica = self.replica
+        if replica.state.view is None:
             return []
-        if keeper.view.head != keeper.ip:
-            return keeper.pass_on(keeper.view.head, frame)
+        if replica.state.view.head != replica.ip:
+            return replica.forward(replica.state.view.head, frame)
         if not self.is_active_head(now_s):
             return []
         change = MembershipChange(frame.kind, frame.old, frame.new, frozenset(frame.base))
         verdict = next_step(change, self.state(now_s))
-        group = tuple(sorted(ip_of(name) for name in keeper.view.group))
+        group = tuple(sorted(ip_of(name) for name in replica.state.view.group))
         answer = frames.MembershipChangeStatus(frame.request_id, verdict.status, verdict.text, group)
         return [SendMessage(frame.origin, answer), *self.effects_of(verdict, now_s)]
 
-    def effects_of(self, verdict: ChangeDecision, now_s: float) -> list[Action]:
+    def effects_of(self, verdict: ChangeDecision, now_s: float) -> list[Effect]:
         if verdict.catch_up:
             return self.send_catch_up(verdict.catch_up, now_s)
         return self.propose_group(verdict.group, now_s) if verdict.group else []
 
-    def propose_group(self, group: tuple[str, ...], now_s: float) -> list[Action]:
+    def propose_group(self, group: tuple[str, ...], now_s: float) -> list[Effect]:
         """Propose a view with another group, or the same group anew where this view has been used up."""
-        keeper = self.replica
-        assert keeper.view is not None
-        if keeper.proposal is not None or keeper.newcomers(now_s):
+        replica = self.replica
+        assert replica.state.view is not None
+        if replica.proposer.proposal is not None or replica.failure_detector.new_identities(now_s):
             return []
-        epoch, wanted = keeper.view.epoch, frozenset(ip_of(name) for name in group)
+        epoch, wanted = replica.state.view.epoch, frozenset(ip_of(name) for name in group)
         if not self.may_propose_group(epoch, wanted):
-            return keeper.propose(now_s)
+            return replica.proposer.propose(now_s)
         self.proposed_group = epoch, wanted
-        return keeper.propose(now_s, group)
+        return replica.proposer.propose(now_s, group)
 
     def may_propose_group(self, epoch: int, wanted: frozenset[str]) -> bool:
         """One other group on top of a view, ever; what this machine proposed in an earlier life it does not know."""
-        fresh = self.replica.fresh_epoch == epoch
+        fresh = self.replica.state.installed_epoch == epoch
         return fresh and (
             self.proposed_group is None or self.proposed_group[0] != epoch or self.proposed_group[1] == wanted
         )
 
-    def send_catch_up(self, ip: str, now_s: float) -> list[Action]:
+    def send_catch_up(self, ip: str, now_s: float) -> list[Effect]:
         """Tell a stand-by of view and newest entry, so that it has both before it counts."""
-        keeper, view = self.replica, self.replica.view
-        first = keeper.heard[ip].standing == EMPTY
+        replica, view = self.replica, self.replica.state.view
+        first = replica.failure_detector.peers[ip].disk_state == DiskState.EMPTY
         again_s = FIRST_CATCH_UP_INTERVAL_S if first else CATCH_UP_INTERVAL_S
         if view is None or now_s - self.catch_up_sent_s.get(ip, NEVER_S) < again_s:
             return []
         self.catch_up_sent_s[ip] = now_s
-        entry = keeper.newest() or Entry(0, 0, 0, 0, b"")
+        entry = replica.state.newest_entry() or Entry(0, 0, 0, 0, b"")
         return [
             SendMessage(
                 ip,
                 frames.CatchUp(
-                    keeper.heard[ip].name,
-                    keeper.ip,
+                    replica.failure_detector.peers[ip].name,
+                    replica.ip,
                     view.epoch,
                     view.chain,
                     view.group,
@@ -241,31 +244,33 @@
                     entry.revision,
                     entry.base,
                     entry.body,
-                    digests.pack(keeper.all_taken()) if first else b"",
+                    digests.pack(replica.state.applied_digests()) if first else b"",
                 ),
             )
         ]
 
-    def on_catch_up(self, frame: frames.CatchUp, now_s: float) -> list[Action]:
+    def on_catch_up(self, frame: frames.CatchUp, now_s: float) -> list[Effect]:
         """At the stand-by, once the body is here. The view goes to disk if there is none yet: from then on this machine
         promises. It is told again, and answers then."""
-        keeper = self.replica
-        older = keeper.view is not None and frame.epoch < keeper.view.epoch
-        if frame.name != keeper.name or keeper.name in frame.group or older or keeper.accepting is not None:
+        replica = self.replica
+        older = replica.state.view is not None and frame.epoch < replica.state.view.epoch
+        if frame.name != replica.name or replica.name in frame.group or older or replica.state.pending_view is not None:
             return []
-        if keeper.standing != EMPTY:
-            mark = keeper.digest(frame.body) if frame.number else b""
-            return [SendMessage(frame.origin, frames.CatchUpAck(keeper.name, frame.epoch, frame.number, mark))]
+        if replica.state.disk_state != DiskState.EMPTY:
+            mark = replica.state.digest(frame.body) if frame.number else b""
+            return [SendMessage(frame.origin, frames.CatchUpAck(replica.name, frame.epoch, frame.number, mark))]
         entry = None
         if frame.number:
             entry = Entry(frame.number, frame.entry_epoch, frame.revision, frame.base, frame.body)
         view = View(frame.epoch, frame.chain, frame.group)
-        return keeper.accept_view(view, entry, digests.unpack(frame.applied_digests), now_s)
+        return replica.accept_view(view, entry, digests.unpack(frame.applied_digests), now_s)
 
-    def on_catch_up_ack(self, frame: frames.CatchUpAck) -> list[Action]:
-        newest = self.replica.newest()
+    def on_catch_up_ack(self, frame: frames.CatchUpAck) -> list[Effect]:
+        newest = self.replica.state.newest_entry()
         wrong = (
-            newest is not None and frame.number == newest.number and frame.digest != self.replica.digest(newest.body)
+            newest is not None
+            and frame.number == newest.number
+            and frame.digest != self.replica.state.digest(newest.body)
         )
         if not wrong:
             self.spare_entry_numbers[frame.name] = frame.number
--- a/cypressbeam/consensus/quorum_loss.py
+++ b/cypressbeam/consensus/quorum_loss.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from cypressbeam.consensus.chain import ip_of
-from cypressbeam.consensus.replica import STOOD_STILL_S
+from cypressbeam.consensus.failure_detection import PAUSE_THRESHOLD_S
+from cypressbeam.consensus.views import ip_of
 
 #: A majority that is missing for so long is told of: longer than a restart, a new view or a short cut takes, and well
 #: within 10 s. While it lasts the log says so again this often.
@@ -119,7 +119,7 @@
         self, group: Collection[str], heard: Mapping[str, str], now_s: float, refused: Collection[str] = ()
     ) -> QuorumLossReport | None:
         """Take in who is heard now, this machine with it. A machine that is no member gives an empty group."""
-        if self.ticked_s is not None and now_s - self.ticked_s > STOOD_STILL_S:
+        if self.ticked_s is not None and now_s - self.ticked_s > PAUSE_THRESHOLD_S:
             self.missing_since_s.clear()  # whom it would have heard meanwhile it can't say
         self.ticked_s = now_s
         self.missing_since_s = {
--- a/cypressbeam/consensus/replacement.py
+++ b/cypressbeam/consensus/replacement.py
@@ -18,14 +18,17 @@
 
 from collections.abc import Callable, Iterable
 
-from cypressbeam.consensus.chain import ip_of
+from cypressbeam.consensus.effects import Effect
+from cypressbeam.consensus.failure_detection import FAILURE_TIMEOUT_S, PAUSE_THRESHOLD_S
 from cypressbeam.consensus.membership import REMOVE, REPLACE, MembershipChange, MembershipManager, next_step
-from cypressbeam.consensus.replica import COUNTED, DEAD_S, EMPTY, MOST_PATIENCE, PROPOSAL_S, STOOD_STILL_S, Action
+from cypressbeam.consensus.repair import MAX_BACKOFF, PROPOSAL_TIMEOUT_S
+from cypressbeam.consensus.state import DiskState
+from cypressbeam.consensus.views import ip_of
 from cypressbeam.protocol import frames
 
 #: A change that was due is remembered for so long: the view that adds a spare may become active after the member that
 #: it was to replace is back.
-PENDING_CHANGE_KEPT_S = PROPOSAL_S * MOST_PATIENCE
+PENDING_CHANGE_KEPT_S = PROPOSAL_TIMEOUT_S * MAX_BACKOFF
 
 
 class SilenceTracker:
@@ -39,7 +42,7 @@
     def tick(self, now_s: float) -> bool:
         """Whether the process ran since the last tick. What it was told before says nothing of the time in which it
         stood still, so that ends all silences."""
-        stood_still = self.ticked_s is None or now_s - self.ticked_s > STOOD_STILL_S
+        stood_still = self.ticked_s is None or now_s - self.ticked_s > PAUSE_THRESHOLD_S
         self.ticked_s = now_s
         if stood_still:
             self.since_s.clear()
@@ -76,13 +79,17 @@
 
     def group(self) -> frozenset[str]:
         """The members' addresses; empty before a view is known."""
-        view = self.replica.view
+        view = self.replica.state.view
         return frozenset(ip_of(name) for name in view.group) if view is not None else frozenset()
 
     def has_quorum(self, now_s: float) -> bool:
         """Whether this machine is a member with a majority in reach: only then others' silence says something."""
-        view = self.replica.view
-        return view is not None and self.replica.name in view.group and now_s - self.replica.contact_s(now_s) <= DEAD_S
+        view = self.replica.state.view
+        return (
+            view is not None
+            and self.replica.name in view.group
+            and now_s - self.replica.failure_detector.last_quorum_contact_s(now_s) <= FAILURE_TIMEOUT_S
+        )
 
     def has_surplus_member(self, group: frozenset[str]) -> bool:
         """An even number bears no more losses than the odd one below it, and needs one machine more for a majority."""
@@ -91,19 +98,19 @@
 
     def spares(self, now_s: float) -> list[str]:
         """Addresses, best first: machines that were never members, then former ones."""
-        heard = self.replica.heard
-        return sorted(self.membership.spares(now_s), key=lambda ip: (heard[ip].standing == COUNTED, ip))
+        peers = self.replica.failure_detector.peers
+        return sorted(self.membership.spares(now_s), key=lambda ip: (peers[ip].disk_state == DiskState.VOTER, ip))
 
     # -- at the head ---------------------------------------------------------------------------------------
 
-    def tick(self, now_s: float) -> list[Action]:
+    def tick(self, now_s: float) -> list[Effect]:
         """Count silences; at the head, begin or go on with a replacement."""
         ran = self.silence.tick(now_s)
         if not ran or not self.has_quorum(now_s):
             self.silence.since_s.clear()
             return []
         others = self.group() - {self.replica.ip}
-        self.silence.update(others, self.replica.heard_lately, now_s)
+        self.silence.update(others, self.replica.failure_detector.is_alive, now_s)
         change = self.next_change(now_s)
         if not self.membership.is_active_head(now_s):
             self.status = ""
@@ -115,7 +122,7 @@
         self.status = verdict.text
         return self.membership.effects_of(verdict, now_s)
 
-    def on_change_request(self, frame: frames.MembershipChangeRequest, now_s: float) -> list[Action]:
+    def on_change_request(self, frame: frames.MembershipChangeRequest, now_s: float) -> list[Effect]:
         """An order of an operator's, or of a member that leaves, goes before what was begun by itself: that may be
         about to remove the very machine that the order adds."""
         begun, ordered = self.pending_change, frozenset(frame.base)
@@ -155,12 +162,12 @@
             return MembershipChange(REPLACE, begun.new, begun.old, (begun.base - {begun.old}) | {begun.new})
         return begun
 
-    def catch_up_spares(self, now_s: float) -> list[Action]:
+    def catch_up_spares(self, now_s: float) -> list[Effect]:
         """A new spare gets view and entry at once; the others the newest entry while a member is silent."""
         known = self.membership.state(now_s)
-        actions: list[Action] = []
+        actions: list[Effect] = []
         for ip, name in known.spares.items():
-            new = self.replica.heard[ip].standing == EMPTY
+            new = self.replica.failure_detector.peers[ip].disk_state == DiskState.EMPTY
             if new or (self.silence.since_s and name not in known.caught_up):
                 actions += self.membership.send_catch_up(ip, now_s)
         return actions
@@ -181,10 +188,12 @@
     def successors_lack_view(self, now_s: float) -> bool:
         """Whether the view without this machine is not on the disks of all its chain yet: until then the old group may
         have to decide once more."""
-        view, heard = self.replica.view, self.replica.heard
+        view, heard = self.replica.state.view, self.replica.failure_detector.peers
         if view is None or self.replica.name in view.group:
             return False
-        return any(self.replica.heard_lately(ip, now_s) and heard[ip].epoch < view.epoch for ip in view.members)
+        return any(
+            self.replica.failure_detector.is_alive(ip, now_s) and heard[ip].epoch < view.epoch for ip in view.members
+        )
 
     # -- for operators -----------------------------------------------------------------------------------------
 
--- /dev/null
+++ b/cypressbeam/consensus/voting.py
@@ -0,0 +1,80 @@
+"""Voting: which proposals of a view this machine takes part in.
+
+Source: Paxos. A promise is an answer to `Prepare`: no lower epoch is taken part in from then on.
+Invariants: a promise never goes down, and is on disk before it is given; it seals all lower epochs at this machine; a
+machine votes only once it has itself put a view on disk. One that came back with an empty disk is named in a new group
+before it has that view, and others may hear of the group from a single machine that has it: a majority with the empty
+one in it would know of nothing (docs/incidents/009).
+"""
+
+from __future__ import annotations
+
+from cypressbeam.consensus import deduplication
+from cypressbeam.consensus.disk_health import DiskHealth
+from cypressbeam.consensus.effects import Effect, PersistPromise, SendMessage
+from cypressbeam.consensus.rollback_detection import RollbackDetector
+from cypressbeam.consensus.state import DiskState, ReplicaState
+from cypressbeam.consensus.views import NO_ENTRY, NO_VIEW, ip_of
+from cypressbeam.protocol import frames
+
+
+class Voter:
+    """The promises of this machine."""
+
+    def __init__(self, state: ReplicaState, disk: DiskHealth, rollback: RollbackDetector) -> None:
+        self.state = state
+        self.disk = disk
+        self.rollback = rollback
+        self.promised = 0
+        """The highest epoch that this machine has promised, or takes part in."""
+        self.digests_since = 0
+        """The revision above which the newest promise reports the digests of applied writes."""
+
+    def can_vote(self) -> bool:
+        """Whether this machine has put a view on its disk."""
+        return self.state.disk_state != DiskState.EMPTY
+
+    def on_prepare(self, frame: frames.Prepare, now_s: float) -> list[Effect]:
+        """A proposer asks for a promise; it is given once it is on disk."""
+        if frame.epoch <= self.promised:
+            return []
+        self.state.observe_epoch(frame.epoch)
+        if self.rollback.reason or not self.can_vote():
+            return []
+        self.promised, self.digests_since = frame.epoch, frame.digests_since
+        self.state.seal()
+        self.disk.write_begun(now_s)
+        return [PersistPromise(frame.epoch, ip_of(frame.name))]
+
+    def promise_persisted(self, epoch: int, proposer: str) -> list[Effect]:
+        """The promise is on disk; what is reported with it was on disk before."""
+        self.rollback.promise_persisted(epoch)
+        if epoch != self.promised:
+            return []
+        state, durable = self.state, self.rollback.durable
+        view = state.view or NO_VIEW
+        entry = state.newest_entry() or NO_ENTRY
+        promise = frames.Promise(
+            epoch,
+            state.name,
+            view.epoch,
+            view.chain,
+            view.group,
+            entry.number,
+            entry.epoch,
+            entry.revision,
+            entry.base,
+            entry.body,
+            deduplication.pack(state.applied_digests(), self.digests_since),
+            durable.incarnation,
+            durable.incarnation_id,
+            durable.epoch,
+        )
+        return [SendMessage(proposer, promise)]
+
+    def on_read_check(self, frame: frames.QuorumReadCheck) -> list[Effect]:
+        """The tail asks whether its epoch still holds: it does unless a later one is promised or installed here."""
+        view = self.state.view
+        if self.promised > frame.epoch or view is None or view.epoch > frame.epoch or self.rollback.reason:
+            return []
+        return [SendMessage(frame.origin, frames.QuorumReadAck(frame.epoch, frame.request_id, self.state.name))]
--- a/cypressbeam/distribution/outlier_reports.py
+++ b/cypressbeam/distribution/outlier_reports.py
@@ -49,23 +49,23 @@
 
     def pass_up(self, frame: frames.OutlierReport) -> None:
         """To the root, from parent to parent. A circle of parents ends, and so must what goes round in it."""
-        if self.relay.is_root:
+        if self.relay.position.is_root:
             self.conclude(frame)
-        elif self.relay.parent is not None and frame.hops < MOST_HOPS:
-            self.relay.parent.send(replace(frame, hops=frame.hops + 1))
+        elif self.relay.subscription.parent is not None and frame.hops < MOST_HOPS:
+            self.relay.subscription.parent.send(replace(frame, hops=frame.hops + 1))
 
     def conclude(self, frame: frames.OutlierReport) -> None:
         """At the root: servers that fail for many are told down the tree."""
         found = self.verdicts.report(
-            frame.name, frame.zone, frame.servers, len(self.relay.listing.servers), self.context.now_s()
+            frame.name, frame.zone, frame.servers, len(self.relay.servers.listing.servers), self.context.now_s()
         )
         if found:
             log.info("servers that fail for many of %s: %s", frame.zone, " ".join(found))
-            self.relay.children.tell(frames.OutlierEjection(frame.zone, tuple(found), self.relay.epoch))
+            self.relay.children.tell(frames.OutlierEjection(frame.zone, tuple(found), self.relay.fence.epoch))
 
     def on_verdict(self, link: Link, frame: frames.OutlierEjection) -> None:
         """A finding of the root's, from the parent."""
-        if link is self.relay.parent and not self.relay.fence.rejects(link, frame.epoch):
+        if link is self.relay.subscription.parent and not self.relay.fence.rejects(link, frame.epoch):
             self.relay.children.tell(frame)
             if frame.zone == self.context.settings.zone:
                 self.on_finding(frame.servers)
--- /dev/null
+++ b/cypressbeam/node/background_tasks.py
@@ -0,0 +1,22 @@
+"""Tasks that run beside the event loop's callbacks, and their owner."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Coroutine
+from typing import Any
+
+
+class BackgroundTasks:
+    """Holds each task until it is done: the loop itself keeps only a weak reference."""
+
+    def __init__(self) -> None:
+        self.loop = asyncio.get_running_loop()
+        self.running: set[asyncio.Task[Any]] = set()
+
+    def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+        """Begin a task."""
+        task = self.loop.create_task(work)
+        self.running.add(task)
+        task.add_done_callback(self.running.discard)
+        return task
--- /dev/null
+++ b/cypressbeam/node/effect_executor.py
@@ -0,0 +1,103 @@
+"""Carries out what the consensus asks for: messages are sent, writes go to the disk, the rest goes to the node."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable, Sequence
+from typing import Protocol
+
+from cypressbeam.consensus.effects import (
+    DiskWrite,
+    Effect,
+    PersistEntry,
+    PersistPromise,
+    PersistView,
+    Publish,
+    ResetIdentity,
+    SendMessage,
+    SetLeadership,
+)
+from cypressbeam.consensus.replica import Replica
+from cypressbeam.consensus.views import Entry
+from cypressbeam.node.background_tasks import BackgroundTasks
+from cypressbeam.protocol import frames
+from cypressbeam.storage.store import Storage, StoreError, TornError
+
+log = logging.getLogger(__name__)
+
+
+class EffectTarget(Protocol):
+    """The machine on which effects are carried out."""
+
+    replica: Replica | None
+    """None while the disk is not read yet, or is being set aside."""
+
+    def publish(self, entry: Entry) -> None:
+        """A configuration is committed."""
+
+    def set_leadership(self, leads: bool) -> None:
+        """Be the root of the distribution tree, or no more."""
+
+    def reset_identity(self, reason: str) -> None:
+        """Go on as another member with an empty disk."""
+
+
+class EffectExecutor:
+    """Carries out effects in their order; writes run beside each other and call the replica back when they are done."""
+
+    def __init__(
+        self, target: EffectTarget, store: Storage, send: Callable[[str, frames.Frame], None], tasks: BackgroundTasks
+    ) -> None:
+        self.target = target
+        self.store = store
+        self.send = send
+        self.tasks = tasks
+        self.loop = asyncio.get_running_loop()
+
+    def execute(self, effects: Sequence[Effect]) -> None:
+        """Carry out all of them."""
+        for effect in effects:
+            if isinstance(effect, SendMessage):
+                self.send(effect.ip, effect.frame)
+            elif isinstance(effect, Publish):
+                self.target.publish(effect.entry)
+            elif isinstance(effect, SetLeadership):
+                self.target.set_leadership(effect.leads)
+            elif isinstance(effect, ResetIdentity):
+                self.target.reset_identity(effect.reason)
+            else:
+                self.tasks.spawn(self.write(effect))
+
+    async def write(self, effect: DiskWrite) -> None:
+        """Put something on disk, and carry out what the replica asks for then."""
+        replica = self.target.replica
+        if replica is None:
+            return  # what was to be written belongs to a disk that was set aside
+        self.store.note(replica.rollback.reported)
+        try:
+            effects = await self.persist(replica, effect)
+        except TornError as err:
+            if replica is self.target.replica:
+                self.target.reset_identity(str(err))
+            return
+        except StoreError as err:
+            log.error("disk write failed: %s", err)
+            effects = replica.write_failed(effect, self.loop.time())
+        if replica is self.target.replica:
+            self.execute(effects)
+
+    async def persist(self, replica: Replica, effect: DiskWrite) -> list[Effect]:
+        """Write to the disk; gives what the replica asks for once that is done. Raises StoreError."""
+        if isinstance(effect, PersistEntry):
+            await self.store.save_entry(effect.entry)
+            return replica.entry_persisted(effect.entry, self.loop.time())
+        if isinstance(effect, PersistPromise):
+            await self.store.save_promise(effect.epoch)
+            return replica.promise_persisted(effect.epoch, effect.proposer, self.loop.time())
+        if isinstance(effect, PersistView):
+            await self.store.save_view(effect.view, effect.entry, effect.applied_digests)
+            log.info("view %d installed: chain %s", effect.view.epoch, " ".join(effect.view.chain))
+            return replica.view_persisted(effect.view, effect.entry, effect.applied_digests, self.loop.time())
+        await self.store.try_disk()
+        return replica.disk_probed(self.loop.time())
--- a/cypressbeam/node/gateway_node.py
+++ b/cypressbeam/node/gateway_node.py
@@ -12,13 +12,13 @@
 from typing import Any
 
 from cypressbeam.consensus.bootstrap import Bootstrap
-from cypressbeam.consensus.chain import SendMessage
+from cypressbeam.consensus.effects import SendMessage
 from cypressbeam.distribution.failure_detector import Watch
 from cypressbeam.distribution.outlier_reports import OutlierReports
 from cypressbeam.distribution.relay import Handlers, Relay
 from cypressbeam.node import control_api, early_listener
 from cypressbeam.node.control_api import Control
-from cypressbeam.node.core_machine import Core
+from cypressbeam.node.core_machine import CoreMachine
 from cypressbeam.node.state_query import Survey
 from cypressbeam.protocol import configuration, frames
 from cypressbeam.protocol.settings import VARIABLE, Settings, SettingsError, load
@@ -94,9 +94,9 @@
         self.relay.registration.on_assigned = self.take_place
         self.watch = Watch(settings.peer_port, self.on_silent)
         self.gate = self.make_gate()
-        self.core: Core | None = None
+        self.core: CoreMachine | None = None
         if settings.state_dir is not None:
-            self.core = Core(settings, self.relay, self.peers.send, store or Store(settings.state_dir))
+            self.core = CoreMachine(settings, self.relay, self.peers.send, store or Store(settings.state_dir))
         self.survey = Survey(settings.ip, self.members, self.tell, self.peers.send)
         self.control = Control(settings.ip, self.members, self.peers.send, self.survey, self.better_reader, self.alone)
         self.founding: Bootstrap | None = None
@@ -120,7 +120,7 @@
         await self.peers.listen()
         if self.core is not None:
             await self.core.start()
-        if self.core is not None and self.core.keeper is None:
+        if self.core is not None and self.core.replica is None:
             self.core.on_loaded = self.begin_founding
         else:
             self.begin_founding()
@@ -204,7 +204,7 @@
             log.info("settings: seeds are %s", " ".join(f"{host}:{port}" for host, port in new.seeds))
         self.settings = self.relay.context.settings = new
         if self.core is not None:
-            self.core.settings = new
+            self.core.take_settings(new)
 
     def watch_file(self, path: Path, seen_ns: int = 0) -> None:
         """The settings file may also change without a signal."""
@@ -226,8 +226,8 @@
         founding = self.founding
         if founding is None:
             return
-        if self.settings.quorum_member and self.relay.identity:
-            founding.add_candidate(self.relay.identity, self.loop.time())
+        if self.settings.quorum_member and self.relay.registration.identity:
+            founding.add_candidate(self.relay.registration.identity, self.loop.time())
         for tell in founding.tick(self.loop.time()):
             assert isinstance(tell, SendMessage)
             self.peers.send(tell.ip, tell.frame)
@@ -257,7 +257,7 @@
         """Whether this node has looked for the root for long, and heard none of those that may know it."""
         relay, now_s = self.relay, self.loop.time()
         heard_s = relay.heartbeats.root_heard_s or 0.0
-        if self.core is not None or relay.parent is not None or now_s - heard_s < ALONE_S:
+        if self.core is not None or relay.subscription.parent is not None or now_s - heard_s < ALONE_S:
             return False
         group, seeds = relay.locator.known()
         return all(now_s - self.peers.heard.get(ip, 0.0) > ALONE_S for ip in [*group, *seeds])
@@ -269,14 +269,14 @@
             "name": settings.node,
             "ip": settings.ip,
             "zone": settings.zone,
-            "parent": relay.parent.ip if relay.parent is not None else None,
-            "is_root": relay.is_root,
+            "parent": relay.subscription.parent.ip if relay.subscription.parent is not None else None,
+            "is_root": relay.position.is_root,
             "children": len(relay.children),
-            "revision": relay.revision,
-            "servers": len(relay.listing.servers),
-            "list": relay.listing.seq,
-            "fronts": relay.fronts,
-            "epoch": relay.epoch,
+            "revision": relay.configuration.revision,
+            "servers": len(relay.servers.listing.servers),
+            "list": relay.servers.listing.seq,
+            "fronts": relay.registration.fronts,
+            "epoch": relay.fence.epoch,
             "age_s": relay.position.age_s(),
             "ready": self.gate.can_serve() if self.gate is not None else None,
         }
@@ -290,7 +290,7 @@
 
     def take_servers(self) -> None:
         if self.gate is not None:
-            self.gate.take_servers(self.relay.listing.servers)
+            self.gate.take_servers(self.relay.servers.listing.servers)
 
     def take_outliers(self, servers: tuple[str, ...]) -> None:
         """Servers fail for many nodes of this zone."""
@@ -303,13 +303,13 @@
             return
         self.watch.take(place.probed_ips, place.probed_names)
         if self.core is not None:
-            self.core.greet()
+            self.core.send_spare_heartbeat()
         if self.gate is not None:
-            self.gate.take_fleet(self.relay.fronts or 1, place.index)
+            self.gate.take_fleet(self.relay.registration.fronts or 1, place.index)
 
     def on_silent(self, name: str) -> None:
-        if self.relay.is_root and self.core is not None:
-            self.core.on_suspect(name)
+        if self.relay.position.is_root and self.core is not None:
+            self.core.leader_role.on_suspect(name)
         elif self.relay.locator.root:
             self.peers.send(self.relay.locator.root, frames.SuspectReport(name))
 
@@ -330,14 +330,18 @@
             frames.SpareAnnouncement: lambda link, frame: self.survey.on_standing_by(frame),
         }
 
-    def root_handlers(self, core: Core | None) -> Handlers:
+    def root_handlers(self, core: CoreMachine | None) -> Handlers:
         """What a machine of the core handles beside the messages of the core itself."""
         if core is None:
             return {}
         return {
-            frames.BootstrapRequest: core.on_found,
-            frames.SuspectReport: lambda link, frame: core.on_suspect(frame.name) if self.relay.is_root else None,
-            frames.LeaveNotice: lambda link, frame: core.on_gone(frame.name, "leaves") if self.relay.is_root else None,
+            frames.BootstrapRequest: core.on_bootstrap_request,
+            frames.SuspectReport: lambda link, frame: (
+                core.leader_role.on_suspect(frame.name) if self.relay.position.is_root else None
+            ),
+            frames.LeaveNotice: lambda link, frame: (
+                core.leader_role.remove(frame.name, "left") if self.relay.position.is_root else None
+            ),
         }
 
     def on_frame(self, link: Link, frame: frames.Frame) -> None:
@@ -349,11 +353,11 @@
         if handler is not None:
             handler(link, frame)
         elif core is not None:
-            core.on_core(frame)
+            core.on_message(frame)
 
     def on_join(self, link: Link, frame: frames.JoinRequest) -> None:
         self.relay.fence.see(frame.epoch)
-        if self.relay.is_root and self.core is not None:
+        if self.relay.position.is_root and self.core is not None:
             self.core.on_join(link, frame)
             return
         if self.core is not None:
--- a/cypressbeam/node/state_query.py
+++ b/cypressbeam/node/state_query.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from cypressbeam.consensus.chain import ip_of
 from cypressbeam.consensus.quorum_loss import detect, parse_silences
+from cypressbeam.consensus.views import ip_of
 from cypressbeam.protocol import frames
 from cypressbeam.proxy.frontend import ClientConnection
 from cypressbeam.proxy.http_responses import Answer
--- a/cypressbeam/storage/store.py
+++ b/cypressbeam/storage/store.py
@@ -17,9 +17,9 @@
 from pathlib import Path
 from typing import Any, Protocol, TypeVar
 
-from cypressbeam.consensus.chain import Entry, View
 from cypressbeam.consensus.deduplication import MAX_DIGESTS
-from cypressbeam.consensus.rollback_detection import NO_MARKS, HighWaterMarks, pack_marks, unpack_marks
+from cypressbeam.consensus.high_water_marks import NO_MARKS, HighWaterMarks, pack_marks, unpack_marks
+from cypressbeam.consensus.views import Entry, View
 from cypressbeam.protocol.configuration import digest
 from cypressbeam.storage import files
 
--- a/lab/chaos.py
+++ b/lab/chaos.py
@@ -81,9 +81,10 @@
     return (
         len(cores) == CORES
         and len(views) == 1
-        and sum(node.relay.is_root for node in cluster.nodes.values()) == 1
+        and sum(node.relay.position.is_root for node in cluster.nodes.values()) == 1
         and all(
-            core.keeper is not None and core.keeper.member is not None and core.keeper.member.active for core in cores
+            core.replica is not None and core.replica.state.chain is not None and core.replica.state.chain.active
+            for core in cores
         )
     )
 
@@ -93,11 +94,12 @@
     root = cluster.root
     if root is None:
         return False
-    if not root.relay.listing.seq:  # one that has just become the root asks the platform
+    if not root.relay.servers.listing.seq:  # one that has just become the root asks the platform
         cluster.poll(cluster.revision)
-    wanted = root.relay.listing.life, root.relay.listing.seq
+    wanted = root.relay.servers.listing.life, root.relay.servers.listing.seq
     return all(
-        node.relay.revision >= cluster.revision and (node.relay.listing.life, node.relay.listing.seq) == wanted
+        node.relay.configuration.revision >= cluster.revision
+        and (node.relay.servers.listing.life, node.relay.servers.listing.seq) == wanted
         for node in cluster.edges
     )
 
@@ -110,7 +112,7 @@
         disk.copies.append(disk.kept)
     cluster.revision += 1
     ends_s = cluster.loop.time() + TAKEN_S
-    while (root := cluster.root) is None or root.relay.revision < cluster.revision:
+    while (root := cluster.root) is None or root.relay.configuration.revision < cluster.revision:
         if cluster.loop.time() > ends_s:
             raise Broken(f"after {after}: an order is not taken")
         if root is not None and core_is_whole(cluster):
--- a/lab/disk_growth.py
+++ b/lab/disk_growth.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from cypressbeam.consensus.chain import Entry, View
+from cypressbeam.consensus.views import Entry, View
 from cypressbeam.storage.store import FILE, Store
 
 NAMES = ("10.0.0.1/a", "10.0.0.2/b", "10.0.0.3/c")
--- a/lab/disk_power_loss.py
+++ b/lab/disk_power_loss.py
@@ -27,7 +27,7 @@
 
 import apsw
 
-from cypressbeam.consensus.chain import Entry, View
+from cypressbeam.consensus.views import Entry, View
 from cypressbeam.storage import files
 from cypressbeam.storage import store as stores
 from cypressbeam.storage.store import Loaded, Store, StoreError
--- a/lab/fetches.py
+++ b/lab/fetches.py
@@ -99,7 +99,7 @@
 
     def relays(self) -> list[GatewayNode]:
         """Those that feed others, without the root."""
-        return [node for node in self.cluster.nodes.values() if node.relay.children and not node.relay.is_root]
+        return [node for node in self.cluster.nodes.values() if node.relay.children and not node.relay.position.is_root]
 
     def hold_still(self) -> None:
         """Half of the relays hand nothing to edge nodes, though their beats go on: as where connections hang. Of the
@@ -162,12 +162,12 @@
         last, ends_s = cluster.revision + STORM, cluster.loop.time() + COMMIT_S
         while cluster.loop.time() < ends_s:
             now_s = cluster.loop.time()
-            came_s.setdefault(root.relay.revision, now_s)
+            came_s.setdefault(root.relay.configuration.revision, now_s)
             for node in cluster.edges:
-                newer_s = [at_s for revision, at_s in came_s.items() if revision > node.relay.revision]
+                newer_s = [at_s for revision, at_s in came_s.items() if revision > node.relay.configuration.revision]
                 if newer_s:
                     most_s[node.settings.node] = max(most_s[node.settings.node], now_s - min(newer_s))
-            if all(node.relay.revision >= last for node in cluster.edges):
+            if all(node.relay.configuration.revision >= last for node in cluster.edges):
                 break
             await asyncio.sleep(0.02)
         found.behind_s += most_s.values()
@@ -178,12 +178,12 @@
         root = cluster.root
         assert root is not None
         wanted = cluster.revision
-        await cluster.until(lambda: root.relay.revision >= wanted, COMMIT_S)
+        await cluster.until(lambda: root.relay.configuration.revision >= wanted, COMMIT_S)
         began_s = cluster.loop.time()
         waiting = {node.settings.node: node for node in cluster.edges}  # without those that lose their power
         found.bound_s = max(found.bound_s, self.bound_s())
         while waiting and (took_s := cluster.loop.time() - began_s) < MOST_S:
-            there = [name for name, node in waiting.items() if node.relay.revision >= wanted]
+            there = [name for name, node in waiting.items() if node.relay.configuration.revision >= wanted]
             found.behind_s += [took_s for name in there if waiting.pop(name)]
             await asyncio.sleep(0.01)
         found.behind_s += [MOST_S] * len(waiting)
--- a/lab/histories/callers.py
+++ b/lab/histories/callers.py
@@ -59,13 +59,13 @@
         if core.now_s - call.began_s > PATIENCE_S:
             self.close(call.operator)
             return
-        if core.keepers:
+        if core.replicas:
             frame = (
                 frames.WriteRequest(ident, CLIENT, call.base, call.body)
                 if call.kind == "replace"
                 else frames.ReadRequest(ident, CLIENT)
             )
-            core.send(CLIENT, core.chance.choice(sorted(core.keepers)), frame)
+            core.send(CLIENT, core.chance.choice(sorted(core.replicas)), frame)
         core.at(AGAIN_S, "press", ident)
 
     def answer(self, frame: frames.WriteResult | frames.ReadResult) -> None:
--- a/lab/histories/disks.py
+++ b/lab/histories/disks.py
@@ -14,9 +14,10 @@
 from typing import Any
 
 from cypressbeam.consensus import deduplication
-from cypressbeam.consensus.chain import Entry, PersistEntry, View
-from cypressbeam.consensus.replica import Keeper, SavePromise, SaveView
-from cypressbeam.consensus.rollback_detection import HighWaterMarks
+from cypressbeam.consensus.effects import PersistEntry, PersistPromise, PersistView
+from cypressbeam.consensus.high_water_marks import HighWaterMarks
+from cypressbeam.consensus.replica import Replica
+from cypressbeam.consensus.views import Entry, View
 from lab.histories.invariants import digest
 
 #: Copies of each disk that a history keeps at most.
@@ -36,18 +37,18 @@
     """The incarnation of the start that wrote last."""
     marks: dict[str, HighWaterMarks] = field(default_factory=dict)
 
-    def write(self, action: Any, keeper: Keeper | None = None) -> None:
-        """Put on disk what an action of the rules asks for, and the marks of the keeper that asks."""
-        if keeper is not None:
-            self.own, self.marks = keeper.raised, dict(keeper.marks)
+    def write(self, action: Any, replica: Replica | None = None) -> None:
+        """Put on disk what an action of the rules asks for, and the marks of the replica that asks."""
+        if replica is not None:
+            self.own, self.marks = replica.rollback.pending, dict(replica.rollback.reported)
         if isinstance(action, PersistEntry):
             self.last = action.entry
             deduplication.record(self.taken, action.entry.revision, action.entry.base, digest(action.entry.body))
-        elif isinstance(action, SavePromise):
+        elif isinstance(action, PersistPromise):
             self.promised = max(self.promised, action.epoch)
-        elif isinstance(action, SaveView):
+        elif isinstance(action, PersistView):
             self.promised = max(self.promised, action.view.epoch)
-            self.view, self.last, self.taken = action.view, action.entry, dict(action.taken)
+            self.view, self.last, self.taken = action.view, action.entry, dict(action.applied_digests)
 
 
 class Copies:
--- a/lab/histories/fault_injection.py
+++ b/lab/histories/fault_injection.py
@@ -28,7 +28,7 @@
 
     def end(self, core: SimulatedCore, step: Step) -> None:
         for ip in self.which(core, step):
-            if ip not in core.keepers:
+            if ip not in core.replicas:
                 core.start(ip)
 
     def which(self, core: SimulatedCore, step: Step) -> tuple[str, ...]:
@@ -58,7 +58,7 @@
     """A machine stands still; what is sent to it waits in its sockets."""
 
     def begin(self, core: SimulatedCore, step: Step) -> None:
-        if step.where in core.keepers:
+        if step.where in core.replicas:
             core.frozen.setdefault(step.where, [])
 
     def end(self, core: SimulatedCore, step: Step) -> None:
--- a/lab/histories/faults.py
+++ b/lab/histories/faults.py
@@ -9,9 +9,16 @@
 from contextlib import contextmanager
 from typing import Any
 
-from cypressbeam.consensus import deduplication, replica
-from cypressbeam.consensus.chain import ChainEffect, ChainReplica, Entry, SendMessage, View, write_result
-from cypressbeam.consensus.replica import Keeper
+from cypressbeam.consensus import deduplication, failure_detection, repair
+from cypressbeam.consensus.chain import ChainReplica, write_result
+from cypressbeam.consensus.effects import ChainEffect, SendMessage
+from cypressbeam.consensus.failure_detection import FailureDetector
+from cypressbeam.consensus.quorum_reads import QuorumReads
+from cypressbeam.consensus.replica import Replica
+from cypressbeam.consensus.rollback_detection import RollbackDetector
+from cypressbeam.consensus.state import ReplicaState
+from cypressbeam.consensus.views import Entry, View
+from cypressbeam.consensus.voting import Voter
 from cypressbeam.protocol import frames
 from lab.histories.downstream import DownstreamNode
 
@@ -21,27 +28,27 @@
 
 def trust_every_disk(patch: Patch) -> None:
     """Nobody compares what a member tells with what it told before, or with what it must have."""
-    patch(Keeper, "refuses", lambda self, name, told: False)
-    patch(Keeper, "shows_a_loss", lambda self, frame: False)
+    patch(RollbackDetector, "rejects", lambda self, name, marks: False)
+    patch(RollbackDetector, "shows_rollback", lambda self, frame: False)
 
 
 def forget_promises(patch: Patch) -> None:
     """A machine that comes back accepts epochs below the one that it had promised, and nobody compares that with
     what it told."""
     trust_every_disk(patch)
-    real = Keeper.load
+    real = Replica.load
 
     def load(
-        self: Keeper, view: View | None, promised: int, last: Entry | None, taken: dict[int, bytes], now_s: float
+        self: Replica, view: View | None, promised: int, last: Entry | None, taken: dict[int, bytes], now_s: float
     ) -> list[Any]:
         return real(self, view, view.epoch if view is not None else 0, last, taken, now_s)
 
-    patch(Keeper, "load", load)
+    patch(Replica, "load", load)
 
 
 def promise_with_an_empty_disk(patch: Patch) -> None:
     """A machine promises though no view on its disk counts it in a group."""
-    patch(Keeper, "may_promise", lambda self: True)
+    patch(Voter, "can_vote", lambda self: True)
 
 
 def count_as_the_old_one(patch: Patch) -> None:
@@ -68,7 +75,7 @@
 def begin_with_the_oldest(patch: Patch) -> None:
     """A new chain begins with the oldest entry that a majority tells."""
     patch(
-        replica,
+        repair,
         "newest_of",
         lambda promises: min(promises.values(), key=lambda promise: (promise.entry_epoch, promise.number)),
     )
@@ -76,7 +83,7 @@
 
 def decide_alone(patch: Patch) -> None:
     """One machine is a majority, and a chain of one will do."""
-    patch(Keeper, "majority", lambda self, group: 1)
+    patch(ReplicaState, "quorum_size", lambda self, group: 1)
 
 
 def acknowledge_while_cut_off(patch: Patch) -> None:
@@ -101,28 +108,28 @@
 
 def count_old_pulses(patch: Patch) -> None:
     """A member counts as heard when a pulse of it is read, however long that was in a socket."""
-    patch(Keeper, "echoed_s", lambda self, frame, now_s: now_s)
+    patch(FailureDetector, "echoed_s", lambda self, frame, now_s: now_s)
 
 
 def stay_the_root(patch: Patch) -> None:
     """A root that is in contact with no majority stays it."""
-    patch(replica, "ROOT_ALONE_S", 60.0)
+    patch(failure_detection, "LEADER_CONTACT_GRACE_S", 60.0)
 
 
 def lead_alone(patch: Patch) -> None:
     """Whoever holds an active view leads, whether it is in contact with a majority or not."""
-    patch(Keeper, "contact_s", lambda self, now_s: now_s)
+    patch(FailureDetector, "last_quorum_contact_s", lambda self, now_s: now_s)
 
 
 def answer_by_old_words(patch: Patch) -> None:
     """A majority's confirmation counts for a read, or a refusal, however long ago it was asked for."""
-    real = Keeper.on_confirmed
+    real = QuorumReads.on_ack
 
-    def on_confirmed(self: Keeper, frame: frames.QuorumReadAck, now_s: float) -> list[Any]:
-        asked = self.reads.get(frame.request_id)
-        return real(self, frame, min(now_s, asked.due_s) if asked is not None else now_s)
+    def on_ack(self: QuorumReads, frame: frames.QuorumReadAck, now_s: float) -> list[Any]:
+        read = self.pending.get(frame.request_id)
+        return real(self, frame, min(now_s, read.deadline_s) if read is not None else now_s)
 
-    patch(Keeper, "on_confirmed", on_confirmed)
+    patch(QuorumReads, "on_ack", on_ack)
 
 
 def believe_any_epoch(patch: Patch) -> None:
@@ -174,11 +181,11 @@
 def count_the_newest_as_committed(patch: Patch) -> None:
     """A proposer holds the digest of its newest entry for one of all: that may be lost with the view."""
 
-    def taken_up_to(self: Keeper) -> int:
-        entry = self.newest()
+    def digests_complete_up_to(self: ReplicaState) -> int:
+        entry = self.newest_entry()
         return entry.revision if entry is not None else 0
 
-    patch(Keeper, "taken_up_to", taken_up_to)
+    patch(ReplicaState, "digests_complete_up_to", digests_complete_up_to)
 
 
 #: By name: what patches the rules, and the options of the world that it is played in.
--- a/lab/histories/invariants.py
+++ b/lab/histories/invariants.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from cypressbeam.consensus.chain import Entry
+from cypressbeam.consensus.views import Entry
 
 #: A body of the histories, padded, stands for its own digest.
 DIGEST_BYTES = 32
--- a/lab/histories/observer.py
+++ b/lab/histories/observer.py
@@ -5,8 +5,8 @@
 
 from collections.abc import Iterable
 
-from cypressbeam.consensus.chain import Entry
-from cypressbeam.consensus.replica import Keeper
+from cypressbeam.consensus.replica import Replica
+from cypressbeam.consensus.views import Entry
 from lab.histories.downstream import Announcement, DownstreamNode
 from lab.histories.invariants import Violation, demand
 
@@ -39,13 +39,13 @@
         wrong = self.downstream[name].take(announced)
         demand(wrong is None, str(wrong))
 
-    def check(self, keeper: Keeper) -> None:
+    def check(self, replica: Replica) -> None:
         """After what one machine did: a promise never below what is held; of what is active, one chain an epoch, ever,
         and never too few copies."""
-        if keeper.member is None:
+        if replica.state.chain is None:
             return
-        view, active = keeper.member.view, keeper.member.active
-        demand(keeper.promised >= view.epoch, "a promise below the view that is held")
+        view, active = replica.state.chain.view, replica.state.chain.active
+        demand(replica.voter.promised >= view.epoch, "a promise below the view that is held")
         if active and self.chains.setdefault(view.epoch, view.chain) != view.chain:
             raise Violation(f"two chains in epoch {view.epoch}")
         if active and len(view.chain) < self.enough:
--- a/lab/histories/operators.py
+++ b/lab/histories/operators.py
@@ -151,11 +151,11 @@
         self.world.at(NEXT_S, "crowd", "turn", order)
 
     def press(self, ident: int, times: int) -> None:
-        order, keepers = self.copies[ident], self.world.keepers
+        order, replicas = self.copies[ident], self.world.replicas
         resting = not self.finishing and self.world.now_s > self.until_s + REST_S
-        if keepers and not resting:
+        if replicas and not resting:
             frame = frames.WriteRequest(ident, CLIENT, order.call.base, order.body)
-            self.world.send(CLIENT, self.chance.choice(sorted(keepers)), frame)
+            self.world.send(CLIENT, self.chance.choice(sorted(replicas)), frame)
         if times > 1:
             self.world.at(AGAIN_S, "crowd", "press", ident, times - 1)
 
--- a/lab/histories/simulated_core.py
+++ b/lab/histories/simulated_core.py
@@ -9,10 +9,22 @@
 from collections.abc import Iterable
 from typing import Any
 
-from cypressbeam.consensus import replica
-from cypressbeam.consensus.chain import Entry, PersistEntry, Publish, SendMessage, View, ip_of
-from cypressbeam.consensus.replica import Keeper, Lead, SavePromise, SaveView, StartAnew, TryDisk
-from cypressbeam.consensus.rollback_detection import HighWaterMarks
+from cypressbeam.consensus.dispatch import Dispatcher
+from cypressbeam.consensus.effects import (
+    PersistEntry,
+    PersistPromise,
+    PersistView,
+    ProbeDisk,
+    Publish,
+    ResetIdentity,
+    SendMessage,
+    SetLeadership,
+)
+from cypressbeam.consensus.failure_detection import FAILURE_TIMEOUT_S, LEADER_CONTACT_GRACE_S
+from cypressbeam.consensus.high_water_marks import HighWaterMarks
+from cypressbeam.consensus.quorum_reads import CONFIRMATION_TIMEOUT_S
+from cypressbeam.consensus.replica import REFUSALS, Replica
+from cypressbeam.consensus.views import Entry, View, ip_of
 from cypressbeam.protocol import frames
 from lab.histories.disks import Copies, Disk
 from lab.histories.downstream import Announcement
@@ -31,29 +43,13 @@
 STALLED_S = 0.2
 #: A root speaks only so long after it was in contact with a majority; who reads, or is refused, is told only so long
 #: after one was asked.
-ROOT_BOUND_S = replica.DEAD_S + replica.ROOT_ALONE_S
-ANSWER_BOUND_S = replica.CONFIRM_S
+ROOT_BOUND_S = FAILURE_TIMEOUT_S + LEADER_CONTACT_GRACE_S
+ANSWER_BOUND_S = CONFIRMATION_TIMEOUT_S
 #: For sums of times that are compared.
 LEEWAY_S = 1e-6
 #: The view that all machines of the group begin with.
 FIRST_EPOCH = 256
 
-#: Which part of the rules takes a frame. Other modules may add theirs.
-TAKES: dict[type[frames.Frame], str] = {
-    frames.ReplicaHeartbeat: "on_pulse",
-    frames.WriteRequest: "order",
-    frames.ForwardEntry: "forward",
-    frames.CommitNotice: "committed",
-    frames.ReadRequest: "read",
-    frames.ViewAnnouncement: "on_view",
-    frames.Prepare: "on_prepare",
-    frames.Promise: "on_promise",
-    frames.Accept: "on_accept",
-    frames.QuorumReadCheck: "on_confirm",
-    frames.QuorumReadAck: "on_confirmed",
-    frames.RollbackNotice: "on_stale",
-}
-
 #: Events of a machine, which wait while it stands still.
 MACHINE_EVENTS = ("tick", "written", "frame", "held")
 
@@ -89,7 +85,8 @@
         self.disks = {ip: Disk(f"{ip}/0") for ip in self.ips}
         self.copies_of_disks = Copies(seed)
         self.lives = dict.fromkeys(self.ips, 0)
-        self.keepers: dict[str, Keeper] = {}
+        self.replicas: dict[str, Replica] = {}
+        self.dispatchers: dict[str, Dispatcher] = {}
         self.pending: dict[str, list[Any]] = {ip: [] for ip in self.ips}
         """Writes that are under way."""
         self.frozen: dict[str, list[tuple[Any, ...]]] = {}
@@ -128,20 +125,21 @@
         self.lives[ip] += 1
         self.told[ip] = 0
         self.network.bodies[ip] = {disk.last.body: 0.0} if disk.last is not None else {}
-        keeper = self.keepers[ip] = Keeper(disk.name, self.copies, revision, digest, self.chance.random)
-        keeper.remember(disk.own, HighWaterMarks(disk.own.incarnation + 1, self.lives[ip]), dict(disk.marks))
-        self.carry_out(ip, keeper.load(disk.view, disk.promised, disk.last, dict(disk.taken), self.now_s))
+        replica = self.replicas[ip] = Replica(disk.name, self.copies, revision, digest, self.chance.random)
+        self.dispatchers[ip] = Dispatcher(replica)
+        replica.remember(disk.own, HighWaterMarks(disk.own.incarnation + 1, self.lives[ip]), dict(disk.marks))
+        self.carry_out(ip, replica.load(disk.view, disk.promised, disk.last, dict(disk.taken), self.now_s))
         self.at(TICK_S, "tick", ip, self.lives[ip])
 
     def stop(self, ip: str, wipe: bool = False) -> None:
         """Power is lost. Of the writes that were under way some are on the disk, whole, though nobody was told."""
-        keeper = self.keepers.pop(ip, None)
+        replica = self.replicas.pop(ip, None)
         self.lives[ip] += 1
         self.frozen.pop(ip, None)
         pending, self.pending[ip] = self.pending[ip], []
         if not self.lying and ip not in self.refusing and ip not in self.stalled:
             for action in pending[: self.chance.randint(0, len(pending))]:
-                self.disks[ip].write(action, keeper)
+                self.disks[ip].write(action, replica)
         if wipe:
             self.disks[ip] = Disk(f"{ip}/0" if self.same_name else f"{ip}/{self.lives[ip]}")
 
@@ -166,7 +164,7 @@
 
     def newest_view(self) -> View | None:
         """The newest that anybody holds."""
-        views = [keeper.view for keeper in self.keepers.values() if keeper.view is not None]
+        views = [replica.state.view for replica in self.replicas.values() if replica.state.view is not None]
         return max(views, key=lambda view: view.epoch, default=None)
 
     def leader(self) -> str:
@@ -185,12 +183,12 @@
                 self.send(ip, action.ip, action.frame)
             elif isinstance(action, Publish):
                 self.publish(ip, action.entry)
-            elif isinstance(action, StartAnew):
+            elif isinstance(action, ResetIdentity):
                 self.trace.append(f"{self.now_s:7.3f} {ip} starts anew")
                 self.stop(ip, wipe=True)
                 self.start(ip)
                 return
-            elif not isinstance(action, Lead):
+            elif not isinstance(action, SetLeadership):
                 self.pending[ip].append(action)
                 self.at(self.chance.uniform(*self.write_s), "written", ip, self.lives[ip])
 
@@ -207,29 +205,29 @@
         if ip in self.stalled:
             self.at(STALLED_S, "written", ip, life)
             return
-        keeper, action = self.keepers[ip], self.pending[ip].pop(0)
+        replica, action = self.replicas[ip], self.pending[ip].pop(0)
         if ip in self.refusing:
             if self.keeps_refused_write():
-                self.disks[ip].write(action, keeper)
-            self.carry_out(ip, keeper.write_failed(action, self.now_s))
+                self.disks[ip].write(action, replica)
+            self.carry_out(ip, replica.write_failed(action, self.now_s))
             return
         if not (self.lying and isinstance(action, PersistEntry)):
-            self.disks[ip].write(action, keeper)
-        self.carry_out(ip, self.write_done(ip, keeper, action))
+            self.disks[ip].write(action, replica)
+        self.carry_out(ip, self.write_done(ip, replica, action))
 
-    def write_done(self, ip: str, keeper: Keeper, action: Any) -> Iterable[Any]:
+    def write_done(self, ip: str, replica: Replica, action: Any) -> Iterable[Any]:
         """Tell the rules that a write is on disk; gives what they ask for then."""
         if isinstance(action, PersistEntry):
             self.observer.on_synced(action.entry)
-            return keeper.synced(action.entry, self.now_s)
-        if isinstance(action, SavePromise):
-            return keeper.promise_saved(action.epoch, action.proposer, self.now_s)
-        if isinstance(action, SaveView):
-            done = keeper.view_saved(action.view, action.entry, dict(action.taken), self.now_s)
+            return replica.entry_persisted(action.entry, self.now_s)
+        if isinstance(action, PersistPromise):
+            return replica.promise_persisted(action.epoch, action.proposer, self.now_s)
+        if isinstance(action, PersistView):
+            done = replica.view_persisted(action.view, action.entry, dict(action.applied_digests), self.now_s)
             self.orphan(ip, action.view)
             return done
-        assert isinstance(action, TryDisk)
-        return keeper.disk_tried(self.now_s)
+        assert isinstance(action, ProbeDisk)
+        return replica.disk_probed(self.now_s)
 
     def keeps_refused_write(self) -> bool:
         """Whether a disk keeps a write that it refuses, since only the sync failed: a later start finds the write."""
@@ -245,25 +243,23 @@
 
     def alone_s(self, ip: str) -> float:
         """How long ago a machine was last in contact with a majority, by what the frames that it has read prove."""
-        view = self.keepers[ip].view
+        view = self.replicas[ip].state.view
         group = tuple(ip_of(name) for name in view.group) if view is not None else ()
         return self.now_s - self.network.clocks.contact_s(ip, group, self.now_s)
 
     def may_answer(self, ip: str, frame: frames.Frame) -> None:
         """What is in force is told only by a machine in contact with a majority."""
-        if isinstance(frame, frames.ReadResult) or (
-            isinstance(frame, frames.WriteResult) and frame.status in replica.REFUSALS
-        ):
+        if isinstance(frame, frames.ReadResult) or (isinstance(frame, frames.WriteResult) and frame.status in REFUSALS):
             demand(self.alone_s(ip) <= ANSWER_BOUND_S + LEEWAY_S, f"{ip} answers after {self.alone_s(ip):.3f} s alone")
 
     def speak(self, ip: str) -> None:
         """The root announces to the downstream nodes what it has."""
-        keeper = self.keepers[ip]
-        if not keeper.holds_root(self.now_s) or keeper.view is None or not self.told[ip]:
+        replica = self.replicas[ip]
+        if not replica.leadership.holds_lease(self.now_s) or replica.state.view is None or not self.told[ip]:
             return
         alone_s = self.alone_s(ip)
         demand(alone_s <= ROOT_BOUND_S + LEEWAY_S, f"{ip} speaks as the root after {alone_s:.3f} s alone")
-        announced = Announcement(keeper.view.epoch, ip, self.told[ip])
+        announced = Announcement(replica.state.view.epoch, ip, self.told[ip])
         for name in DOWNSTREAM:
             self.network.try_way("announcement", name, ip, announced)
 
@@ -283,12 +279,12 @@
         if ip == CLIENT:
             if (origin, ip) not in self.network.cut:
                 self.answer(frame)
-        elif ip in self.keepers and self.network.passes(origin, ip, frame):
+        elif ip in self.replicas and self.network.passes(origin, ip, frame):
             self.take(ip, origin, frame, time)
 
     def on_held(self, ip: str, origin: str, frame: frames.Frame, time: VectorTime) -> None:
         """A message that waited in a socket is read, whatever is cut by now."""
-        if ip in self.keepers:
+        if ip in self.replicas:
             self.take(ip, origin, frame, time)
 
     def take(self, ip: str, origin: str, frame: frames.Frame, time: VectorTime) -> None:
@@ -303,8 +299,7 @@
 
     def deliver(self, ip: str, frame: frames.Frame) -> None:
         """Give a message to a machine's rules."""
-        take = getattr(self.keepers[ip], TAKES[type(frame)])
-        self.carry_out(ip, take(frame) if type(frame) is frames.QuorumReadCheck else take(frame, self.now_s))
+        self.carry_out(ip, self.dispatchers[ip].dispatch(frame, self.now_s))
 
     def answer(self, frame: frames.Frame) -> None:
         """A reply is at the operators; here there are none."""
@@ -337,18 +332,18 @@
 
     def tick(self, ip: str) -> None:
         """A machine's timer."""
-        keeper = self.keepers[ip]
-        self.carry_out(ip, keeper.tick(self.now_s))
-        if keeper.view is None:  # as a node does that has learned of the core from the root
+        replica = self.replicas[ip]
+        self.carry_out(ip, replica.tick(self.now_s))
+        if replica.state.view is None:  # as a node does that has learned of the core from the root
             for other in self.ips:
                 if other != ip:
-                    self.send(ip, other, keeper.own_pulse(self.now_s))
-        if keeper.root:
-            demand(keeper.holds_root(self.now_s), f"{ip} is the root and holds it no more")
+                    self.send(ip, other, replica.own_heartbeat(self.now_s))
+        if replica.leadership.is_leader:
+            demand(replica.leadership.holds_lease(self.now_s), f"{ip} is the root and holds it no more")
         self.speak(ip)
 
     def check(self, ip: str) -> None:
         """After what one machine did: what must hold of it."""
-        keeper = self.keepers.get(ip)
-        if keeper is not None:
-            self.observer.check(keeper)
+        replica = self.replicas.get(ip)
+        if replica is not None:
+            self.observer.check(replica)
--- a/lab/histories/world.py
+++ b/lab/histories/world.py
@@ -5,7 +5,7 @@
 import random
 from typing import Any, Protocol
 
-from cypressbeam.consensus.chain import Entry
+from cypressbeam.consensus.views import Entry
 from cypressbeam.protocol import frames
 from lab.histories.callers import Callers
 from lab.histories.fault_injection import KINDS
--- a/lab/hollow_nodes.py
+++ b/lab/hollow_nodes.py
@@ -125,7 +125,7 @@
         self.versions[revision] = time.monotonic()
 
     def take_servers(self) -> None:
-        self.lists[self.relay.listing.seq] = time.monotonic()
+        self.lists[self.relay.servers.listing.seq] = time.monotonic()
 
 
 def settings_of(name: str, ip: str, zone: str, task: Task) -> Settings:
@@ -175,7 +175,7 @@
 
 
 def look(nodes: list[HollowNode], base_kb: int) -> Look:
-    placed = sum(node.relay.parent is not None and node.relay.revision > 0 for node in nodes)
+    placed = sum(node.relay.subscription.parent is not None and node.relay.configuration.revision > 0 for node in nodes)
     return Look(
         time.monotonic(),
         time.process_time(),
--- a/lab/membership.py
+++ b/lab/membership.py
@@ -157,7 +157,7 @@
 
     @property
     def root(self) -> GatewayNode | None:
-        return next((node for node in self.nodes.values() if node.relay.is_root), None)
+        return next((node for node in self.nodes.values() if node.relay.position.is_root), None)
 
     def at(self, node: GatewayNode, what: Callable[..., object], *args: object) -> None:
         """Do something as that node's machine, so that what it sets up lives there."""
@@ -177,7 +177,9 @@
         body = self.configuration(self.revision)
         head = next(node for node in self.nodes.values() if node.settings.ip == ip)
         assert head.core is not None
-        self.at(head, head.core.on_core, frames.WriteRequest(self.revision, head.settings.ip, self.revision - 1, body))
+        self.at(
+            head, head.core.on_message, frames.WriteRequest(self.revision, head.settings.ip, self.revision - 1, body)
+        )
 
     def poll(self, servers: int, drained: int = 0) -> tuple[int, int]:
         """A new list at the root; its life and number."""
@@ -199,7 +201,7 @@
                 for number in range(servers)
             ],
         )
-        return root.relay.listing.life, root.relay.listing.seq
+        return root.relay.servers.listing.life, root.relay.servers.listing.seq
 
     def depths(self) -> dict[str, int]:
         """How many relays each edge node's news passes; those whose parents lead nowhere, or in a circle, are left
@@ -209,11 +211,11 @@
         for node in self.edges:
             at: GatewayNode | None = node
             steps = 0
-            while at is not None and not at.relay.is_root and steps <= len(by_ip):
-                parent = at.relay.parent
+            while at is not None and not at.relay.position.is_root and steps <= len(by_ip):
+                parent = at.relay.subscription.parent
                 at = by_ip.get(parent.ip) if parent is not None else None
                 steps += 1
-            if at is not None and at.relay.is_root:
+            if at is not None and at.relay.position.is_root:
                 found[node.settings.node] = steps
         return found
 
@@ -232,7 +234,7 @@
         return self.loop.time() - began_s
 
     async def known_by_all(self) -> float:
-        return await self.until(lambda: all(node.relay.revision >= self.revision for node in self.edges))
+        return await self.until(lambda: all(node.relay.configuration.revision >= self.revision for node in self.edges))
 
     def close(self) -> None:
         for task in asyncio.all_tasks(self.loop):
@@ -306,12 +308,13 @@
     """Wait until all know the newest configuration and list, and look at the tree once it has settled."""
     root = cluster.root
     assert root is not None
-    wanted = root.relay.listing
+    wanted = root.relay.servers.listing
 
     async def listed() -> float:
         return await cluster.until(
             lambda: all(
-                (node.relay.listing.life, node.relay.listing.seq) == (wanted.life, wanted.seq) for node in cluster.edges
+                (node.relay.servers.listing.life, node.relay.servers.listing.seq) == (wanted.life, wanted.seq)
+                for node in cluster.edges
             )
         )
 
--- a/lab/membership_churn.py
+++ b/lab/membership_churn.py
@@ -16,10 +16,12 @@
 from typing import Any
 
 from cypressbeam.consensus import membership
-from cypressbeam.consensus.chain import View, ip_of
+from cypressbeam.consensus.failure_detection import FailureDetector
 from cypressbeam.consensus.membership import ADD, REMOVE, REPLACE, MembershipManager
 from cypressbeam.consensus.replacement import ReplacementManager
-from cypressbeam.consensus.replica import COUNTED, Keeper
+from cypressbeam.consensus.replica import Replica
+from cypressbeam.consensus.state import DiskState
+from cypressbeam.consensus.views import View, ip_of
 from cypressbeam.protocol import frames
 from lab.histories import faults, plans, runner
 from lab.histories.callers import AGAIN_S
@@ -59,8 +61,9 @@
 
     def start(self, ip: str) -> None:
         super().start(ip)
-        self.members[ip] = MembershipManager(self.keepers[ip], LOSSES)
+        self.members[ip] = MembershipManager(self.replicas[ip], LOSSES)
         self.replacements[ip] = ReplacementManager(self.members[ip], self.replace_after_s)
+        self.dispatchers[ip].add_membership(self.members[ip], self.replacements[ip])
 
     def group(self) -> tuple[str, ...]:
         """Addresses of the newest group that anybody holds."""
@@ -69,17 +72,6 @@
 
     # -- frames and time -----------------------------------------------------------------------------------
 
-    def deliver(self, ip: str, frame: frames.Frame) -> None:
-        here = self.members[ip]
-        if isinstance(frame, frames.MembershipChangeRequest):
-            self.carry_out(ip, self.replacements[ip].on_change_request(frame, self.now_s))
-        elif isinstance(frame, frames.CatchUp):
-            self.carry_out(ip, here.on_catch_up(frame, self.now_s))
-        elif isinstance(frame, frames.CatchUpAck):
-            self.carry_out(ip, here.on_catch_up_ack(frame))
-        else:
-            super().deliver(ip, frame)
-
     def answer(self, frame: frames.Frame) -> None:
         if not isinstance(frame, frames.MembershipChangeStatus):
             super().answer(frame)
@@ -117,10 +109,10 @@
         asked = self.asked[ident]
         if asked.status or self.now_s > asked.until_s:
             return
-        if self.keepers:
+        if self.replicas:
             self.send(
                 CLIENT,
-                self.chance.choice(sorted(self.keepers)),
+                self.chance.choice(sorted(self.replicas)),
                 frames.MembershipChangeRequest(ident, CLIENT, asked.kind, asked.old, asked.new, asked.base),
             )
         self.at(AGAIN_S, "ask", "", ident)
@@ -136,8 +128,8 @@
 
     def check(self, ip: str) -> None:
         super().check(ip)
-        keeper = self.keepers.get(ip)
-        member = keeper.member if keeper is not None else None
+        replica = self.replicas.get(ip)
+        member = replica.state.chain if replica is not None else None
         if member is not None and member.active and member.view.epoch not in self.active:
             self.became_active(member.view)
 
@@ -231,38 +223,30 @@
 def count_before_level(patch: Patch) -> None:
     """A newcomer counts as soon as it is named: a view is active before it has it."""
 
-    def all_hold(self: Keeper, now_s: float) -> bool:
-        assert self.view is not None
-        return all(
-            name == self.name
-            or (
-                (heard := self.heard.get(ip_of(name))) is not None
-                and heard.name == name
-                and (heard.epoch == self.view.epoch or heard.standing != COUNTED)
-            )
-            for name in self.view.chain
-        )
+    def has_installed(self: FailureDetector, name: str, epoch: int) -> bool:
+        peer = self.peers.get(ip_of(name))
+        return peer is not None and peer.name == name and (peer.epoch == epoch or peer.disk_state != DiskState.VOTER)
 
-    patch(Keeper, "all_hold", all_hold)
+    patch(FailureDetector, "has_installed", has_installed)
 
 
 def step_from_any_view(patch: Patch) -> None:
     """Any machine changes the group on top of what it holds, settled or not, and to several groups."""
     patch(MembershipManager, "may_propose_group", lambda self, epoch, wanted: True)
-    patch(MembershipManager, "is_active_head", lambda self, now_s: self.replica.member is not None)
+    patch(MembershipManager, "is_active_head", lambda self, now_s: self.replica.state.chain is not None)
 
 
 def keep_a_proposal(patch: Patch) -> None:
     """A proposal goes on with the group that it began with, though its machine has heard of a newer view."""
-    real = Keeper.on_view
+    real = Replica.on_view_announcement
 
-    def on_view(self: Keeper, frame: frames.ViewAnnouncement, now_s: float) -> list[Any]:
-        proposal = self.proposal
+    def on_view(self: Replica, frame: frames.ViewAnnouncement, now_s: float) -> list[Any]:
+        proposal = self.proposer.proposal
         done = real(self, frame, now_s)
-        self.proposal = proposal
+        self.proposer.proposal = proposal
         return done
 
-    patch(Keeper, "on_view", on_view)
+    patch(Replica, "on_view_announcement", on_view)
 
 
 FAULTS: dict[str, Callable[[Patch], None]] = {
--- a/lab/partitions.py
+++ b/lab/partitions.py
@@ -15,7 +15,7 @@
 from typing import Any
 from unittest import mock
 
-from cypressbeam.consensus import replica
+from cypressbeam.consensus.failure_detection import FAILURE_TIMEOUT_S
 from cypressbeam.distribution.fencing import EpochFence
 from cypressbeam.distribution.subscription import HOLD_S
 from cypressbeam.node import core_machine
@@ -33,7 +33,7 @@
 #: Bounds, seconds: until all are under the root that leads; until all hold what was confirmed (convergeMs).
 UNDER_S, NEWEST_S = 2.0, 3.0
 #: A machine knows so long after a majority's last pulses that it hears none; then it names no root and has no news.
-KNOWS_S = replica.DEAD_S + 0.2
+KNOWS_S = FAILURE_TIMEOUT_S + 0.2
 TICK_S, ORDER_S, RESTART_S, SETTLE_S = 0.02, 0.4, 0.3, 6.0
 
 Machine = tuple[Host, Settings]
@@ -107,8 +107,8 @@
         at = self.relay
         return (
             at.configuration.newest,
-            at.listing.life,
-            at.listing.seq,
+            at.servers.listing.life,
+            at.servers.listing.seq,
             sum(at.heartbeats.numbers.values()),
             at.registration.assignment,
         )
@@ -176,7 +176,7 @@
         if root is None or root.core is None or root.core.view is None:
             return False
         if isinstance(frame, (frames.RootHeartbeat, frames.EndpointUpdate)):
-            return frame.term == root.relay.listing.life
+            return frame.term == root.relay.servers.listing.life
         return (
             isinstance(frame, (frames.ConfigurationAnnouncement, frames.ConfigurationDelta, frames.OutlierEjection))
             and getattr(frame, "epoch", 0) == root.core.view.epoch
@@ -189,9 +189,9 @@
             for node in self.cluster.nodes.values()
             if (core := node.core) is not None
             and core.view is not None
-            and core.keeper is not None
-            and node.relay.is_root
-            and core.keeper.leads(self.now_s)
+            and core.replica is not None
+            and node.relay.position.is_root
+            and core.replica.leadership.leads(self.now_s)
             and not (self.cut_s and self.is_struck(node.settings.ip))
         ]
         return max(led, key=lambda one: one[0], default=(0, None))[1]
@@ -201,22 +201,22 @@
         by_ip = {other.settings.ip: other for other in self.cluster.nodes.values()}
         at: GatewayNode | None = node
         for _ in range(len(by_ip)):
-            if at is None or at is root or at.relay.parent is None:
+            if at is None or at is root or at.relay.subscription.parent is None:
                 break
-            at = by_ip.get(at.relay.parent.ip)
+            at = by_ip.get(at.relay.subscription.parent.ip)
         return at is root and self.now_s - node.relay.subscription.beat_s < HOLD_S
 
     def look(self) -> None:
         """One instant: bounds, and that nobody goes back to a list of an earlier root's."""
         root = self.leader()
-        now = (root.settings.ip, root.relay.listing.life) if root is not None else None
+        now = (root.settings.ip, root.relay.servers.listing.life) if root is not None else None
         if now != self.led:
             self.led, self.led_s = now, self.now_s
         if root is None:
             return
         assert root.core is not None and root.core.view is not None
-        self.lives.setdefault(root.relay.listing.life, root.core.view.epoch)
-        if root.relay.revision == self.cluster.revision:
+        self.lives.setdefault(root.relay.servers.listing.life, root.core.view.epoch)
+        if root.relay.configuration.revision == self.cluster.revision:
             self.acked.setdefault(self.cluster.revision, self.now_s)
         for node in self.cluster.edges:
             if self.under(node, root):
@@ -224,7 +224,9 @@
             elif self.now_s - max(self.led_s, self.calm_s, self.under_s.get(node.settings.node, 0.0)) > UNDER_S:
                 self.breach(f"{node.settings.node} not under {root.settings.node} for {UNDER_S} s")
         due = [revision for revision, at_s in self.acked.items() if self.now_s - max(at_s, self.calm_s) > NEWEST_S]
-        behind = [node.settings.node for node in self.cluster.edges if due and node.relay.revision < max(due)]
+        behind = [
+            node.settings.node for node in self.cluster.edges if due and node.relay.configuration.revision < max(due)
+        ]
         if behind:
             self.breach(f"{' '.join(behind)} without version {max(due)} after {NEWEST_S} s")
 
@@ -283,7 +285,7 @@
         while True:
             root = self.leader()
             if root is not None:
-                if root.relay.revision < self.cluster.revision:
+                if root.relay.configuration.revision < self.cluster.revision:
                     self.cluster.revision -= 1
                 with contextlib.suppress(StopIteration):  # the head is just restarting
                     self.cluster.order_at(root.members()[0])
@@ -301,7 +303,7 @@
         found.under_s.append(await until(lambda: all(self.under(node, root) for node in self.cluster.edges)))
         await until(lambda: any(revision >= first for revision in self.acked))
         number, at_s = min((one, at) for one, at in self.acked.items() if one >= first)
-        await until(lambda: all(node.relay.revision >= number for node in self.cluster.edges))
+        await until(lambda: all(node.relay.configuration.revision >= number for node in self.cluster.edges))
         found.newest_s.append(self.now_s - at_s)
         found.cut_newest_s.append(self.now_s - self.cut_s)
 
@@ -365,10 +367,10 @@
 def names_itself() -> Iterator[None]:
     """A machine of the core names the last of the chain that it holds, whomever it hears."""
 
-    def vouched(self: core_machine.Core) -> str:
+    def vouched(self: core_machine.CoreMachine) -> str:
         return self.view.members[-1] if self.view is not None else ""
 
-    with mock.patch.object(core_machine.Core, "vouched", vouched):
+    with mock.patch.object(core_machine.CoreMachine, "vouched_leader", vouched):
         yield
 
 
--- a/lab/power_loss_recovery.py
+++ b/lab/power_loss_recovery.py
@@ -88,9 +88,9 @@
         cluster = self.cluster
         root = cluster.root
         assert root is not None
-        cluster.revision = root.relay.revision
+        cluster.revision = root.relay.configuration.revision
         cluster.order_at(root.members()[0])
-        assert await cluster.until(lambda: root.relay.revision >= cluster.revision) < math.inf
+        assert await cluster.until(lambda: root.relay.configuration.revision >= cluster.revision) < math.inf
         return cluster.revision
 
     def cut_edges_off(self) -> None:
@@ -125,7 +125,7 @@
         cluster, found = self.cluster, self.found
 
         def held() -> bool:
-            told = {node.settings.node: node.relay.revision for node in cluster.edges}
+            told = {node.settings.node: node.relay.configuration.revision for node in cluster.edges}
             older = [name for name, revision in told.items() if 0 < revision < confirmed]
             found.older = found.older or " ".join(older)
             return len(told) == EDGES and all(revision >= confirmed for revision in told.values())
--- a/lab/repair.py
+++ b/lab/repair.py
@@ -74,7 +74,7 @@
         views, there = set(), 0
         for node in self.cores_up():
             if node.settings.ip in wanted:
-                member = node.core.keeper.member if node.core and node.core.keeper else None
+                member = node.core.replica.state.chain if node.core and node.core.replica else None
                 if member is None or not member.active or member.sealed or len(member.view.chain) != len(wanted):
                     return False
                 there += 1
@@ -87,7 +87,7 @@
         assert node.core is not None
         self.at(
             node,
-            node.core.on_core,
+            node.core.on_message,
             frames.MembershipChangeRequest(1, node.settings.ip, kind, old, new, tuple(sorted(base))),
         )
 
@@ -119,7 +119,9 @@
     )
     cluster.order()
     assert (
-        await cluster.until(lambda: all(node.relay.revision >= cluster.revision for node in cluster.cores_up()))
+        await cluster.until(
+            lambda: all(node.relay.configuration.revision >= cluster.revision for node in cluster.cores_up())
+        )
         < math.inf
     )
 
--- a/lab/replacements.py
+++ b/lab/replacements.py
@@ -24,10 +24,10 @@
 from typing import Any
 from unittest import mock
 
-from cypressbeam.consensus.chain import View, ip_of
 from cypressbeam.consensus.membership import REPLACE, MembershipChange
 from cypressbeam.consensus.replacement import ReplacementManager
-from cypressbeam.consensus.replica import COUNTED
+from cypressbeam.consensus.state import DiskState
+from cypressbeam.consensus.views import View, ip_of
 from cypressbeam.node import gateway_node as nodes
 from cypressbeam.protocol.settings import REPLACE_SHARE, Settings
 from lab.repair import CORE_MBPS, ROUTES, THIN_MBPS, Core, begin
@@ -109,7 +109,7 @@
         """Whether an active view counts only machines that are there, in an odd group without that address."""
         up = {node.settings.ip for node in self.cores_up()}
         for node in self.cores_up():
-            member = node.core.keeper.member if node.core is not None and node.core.keeper is not None else None
+            member = node.core.replica.state.chain if node.core is not None and node.core.replica is not None else None
             if member is None or not member.active or member.sealed or not member.is_caught_up():
                 continue
             group = {ip_of(name) for name in member.view.group}
@@ -209,7 +209,7 @@
     async def storm(self) -> None:
         while True:
             root = self.cluster.root
-            if root is not None and root.relay.revision >= self.cluster.revision:
+            if root is not None and root.relay.configuration.revision >= self.cluster.revision:
                 with contextlib.suppress(StopIteration):
                     self.cluster.order_at(root.members()[0])
             await asyncio.sleep(STORM_S)
@@ -229,23 +229,25 @@
 
     def newest_confirmed(self) -> bool:
         root = self.cluster.root
-        return root is not None and root.relay.revision >= self.cluster.revision
+        return root is not None and root.relay.configuration.revision >= self.cluster.revision
 
     async def lose_another(self) -> None:
         """The first machine of the chain that is left dies, and nothing of its disk comes back."""
         cluster = self.cluster
         victim = self.machine_at(cluster.newest().members()[0])
-        confirmed = max(node.relay.revision for node in cluster.cores_up())
+        confirmed = max(node.relay.configuration.revision for node in cluster.cores_up())
         cluster.stop(*victim)
         cluster.disks[victim[1].node] = Disk("f" * 12)
         began_s = self.now_s
         while self.now_s - began_s < NEXT_CHANGE_S:
             root = cluster.root
             if root is not None and root.settings.ip != victim[1].ip:
-                if root.relay.revision < confirmed:
-                    self.found.lost = f"version {confirmed} was confirmed, the core has {root.relay.revision}"
+                if root.relay.configuration.revision < confirmed:
+                    self.found.lost = (
+                        f"version {confirmed} was confirmed, the core has {root.relay.configuration.revision}"
+                    )
                     return
-                cluster.revision = root.relay.revision
+                cluster.revision = root.relay.configuration.revision
                 with contextlib.suppress(StopIteration):
                     cluster.order_at(root.members()[0])
                 if await cluster.until(self.newest_confirmed, 0.5) < math.inf:
@@ -323,8 +325,8 @@
     real = ReplacementManager.spares
 
     def spares(self: ReplacementManager, now_s: float) -> list[str]:
-        heard = self.replica.heard
-        return [ip for ip in real(self, now_s) if heard[ip].standing != COUNTED]
+        heard = self.replica.failure_detector.peers
+        return [ip for ip in real(self, now_s) if heard[ip].disk_state != DiskState.VOTER]
 
     with mock.patch.object(ReplacementManager, "spares", spares):
         yield
--- a/lab/rules_fencing.py
+++ b/lab/rules_fencing.py
@@ -2,26 +2,29 @@
 
 from __future__ import annotations
 
+from lab.rule_files import (
+    CODEC,
+    CONFIGURATION_REPLICA,
+    CONTROL,
+    ENDPOINT_LIST,
+    FEED,
+    FENCE,
+    LEADER_ROLE,
+    LOCATOR,
+    MACHINE,
+    MEMBERSHIP_RULES,
+    NODE,
+    NODE_REGISTRY,
+    OUTLIERS,
+    POSITION,
+    REGISTRATION,
+    RELAY,
+    REPAIR,
+    SEARCH,
+    SUBSCRIPTION,
+)
 from lab.rules import Rule
 
-AGREEMENT = "cypressbeam/consensus/replica.py"
-CONTROL = "cypressbeam/node/control_api.py"
-CODEC = "cypressbeam/protocol/frames/codec.py"
-FEED = "cypressbeam/distribution/feed.py"
-FENCE = "cypressbeam/distribution/fencing.py"
-LOCATOR = "cypressbeam/distribution/root_locator.py"
-MACHINE = "cypressbeam/node/core_machine.py"
-MEMBERS = "cypressbeam/consensus/membership.py"
-NODE = "cypressbeam/node/gateway_node.py"
-OUTLIERS = "cypressbeam/distribution/outlier_reports.py"
-POSITION = "cypressbeam/distribution/position.py"
-REGISTRATION = "cypressbeam/distribution/registration.py"
-RELAY = "cypressbeam/distribution/relay.py"
-REPLICA = "cypressbeam/distribution/configuration_replica.py"
-ROSTER = "cypressbeam/distribution/node_registry.py"
-SEARCH = "cypressbeam/distribution/root_search.py"
-SERVER_LIST = "cypressbeam/distribution/endpoint_list_replica.py"
-SUBSCRIPTION = "cypressbeam/distribution/subscription.py"
 FENCING = ("tests/test_fencing_rules.py", "tests/test_word_rules.py")
 SEARCHES = (
     "tests/test_cuts.py::test_a_round_over_all_that_may_know_ends_in_time_though_all_are_silent",
@@ -75,14 +78,14 @@
     ),
     fencing(
         "news is fenced",
-        REPLICA,
+        CONFIGURATION_REPLICA,
         "if not self.fence.rejects(link, frame.epoch) and self.wants(frame.revision, frame.digest):\n"
         "            self.fetch(link.ip)",
         "if self.wants(frame.revision, frame.digest):\n            self.fetch(link.ip)",
     ),
     fencing(
         "an update is fenced",
-        REPLICA,
+        CONFIGURATION_REPLICA,
         "elif not self.fence.rejects(link, frame.epoch) and self.wants(",
         "elif self.wants(",
     ),
@@ -119,8 +122,8 @@
     fencing(
         "a verdict is fenced",
         OUTLIERS,
-        "if link is self.relay.parent and not self.relay.fence.rejects(link, frame.epoch):",
-        "if link is self.relay.parent:",
+        "if link is self.relay.subscription.parent and not self.relay.fence.rejects(link, frame.epoch):",
+        "if link is self.relay.subscription.parent:",
     ),
     fencing(
         "an epoch that is told with a reference is seen",
@@ -137,8 +140,8 @@
     fencing(
         "an epoch that a join tells is seen",
         NODE,
-        "        self.relay.fence.see(frame.epoch)\n        if self.relay.is_root and self.core",
-        "        if self.relay.is_root and self.core",
+        "        self.relay.fence.see(frame.epoch)\n        if self.relay.position.is_root and self.core",
+        "        if self.relay.position.is_root and self.core",
     ),
     fencing(
         "a beat carries the root's epoch",
@@ -148,7 +151,7 @@
     ),
     fencing(
         "news carries the epoch under which it stands",
-        REPLICA,
+        CONFIGURATION_REPLICA,
         "else frames.ConfigurationAnnouncement(self.revision, mark, self.standing())\n"
         "        )\n"
         "        self.announced",
@@ -156,25 +159,25 @@
     ),
     fencing(
         "a small change carries the epoch",
-        REPLICA,
+        CONFIGURATION_REPLICA,
         "former, brief, self.standing())\n            if brief",
         "former, brief, 0) if brief",
     ),
     fencing(
         "what a child lacks is told under the epoch of now",
-        REPLICA,
+        CONFIGURATION_REPLICA,
         "        return frames.ConfigurationAnnouncement(newest, mark, self.standing())",
         "        return frames.ConfigurationAnnouncement(newest, mark, 0)",
     ),
     fencing(
         "a small change that a child lacks is told under the epoch of now",
-        REPLICA,
+        CONFIGURATION_REPLICA,
         "return replace(self.announced.message, epoch=self.standing())",
         "return self.announced.message",
     ),
     fencing(
         "a relay that begins to fetch tells of it under its beat's epoch",
-        REPLICA,
+        CONFIGURATION_REPLICA,
         "self.tell(frames.ConfigurationAnnouncement(revision, mark, self.standing()))",
         "self.tell(frames.ConfigurationAnnouncement(revision, mark, 0))",
     ),
@@ -186,19 +189,19 @@
     ),
     fencing(
         "the list that a child lacks is told under its epoch",
-        SERVER_LIST,
+        ENDPOINT_LIST,
         "return replace(self.listing.whole(), epoch=in_force)",
         "return self.listing.whole()",
     ),
     fencing(
         "a list of another epoch is told to nobody",
-        SERVER_LIST,
+        ENDPOINT_LIST,
         "if not self.listing.seq or in_force != epoch or",
         "if not self.listing.seq or",
     ),
     fencing(
         "a list that a beat confirms is in force",
-        SERVER_LIST,
+        ENDPOINT_LIST,
         "            self.epoch = beat.epoch\n",
         "            pass\n",
     ),
@@ -252,40 +255,48 @@
     ),
     fencing(
         "a place carries the root's epoch",
-        MACHINE,
-        "self.roster.place(\n                frame.name, self.relay.epoch,",
-        "self.roster.place(frame.name, 0,",
+        LEADER_ROLE,
+        "self.registry.place(frame.name, epoch,",
+        "self.registry.place(frame.name, 0,",
     ),
     fencing(
-        "changes of the list carry the root's epoch", MACHINE, "replace(changes, epoch=self.relay.epoch)", "changes"
+        "changes of the list carry the root's epoch",
+        LEADER_ROLE,
+        "replace(changes, epoch=relay.fence.epoch)",
+        "changes",
     ),
-    fencing("a verdict carries the root's epoch", OUTLIERS, "tuple(found), self.relay.epoch))", "tuple(found)))"),
+    fencing("a verdict carries the root's epoch", OUTLIERS, "tuple(found), self.relay.fence.epoch))", "tuple(found)))"),
     fencing(
         "an epoch counts as seen only once somebody leads in it",
         MACHINE,
-        "if keeper.leads(self.loop.time()):\n                self.relay.see",
-        "if True:\n                self.relay.see",
+        "if replica.leadership.leads(self.loop.time()):\n                self.relay.fence.see",
+        "if True:\n                self.relay.fence.see",
     ),
     fencing(
-        "a machine without a majority names nobody", MACHINE, "now_s - keeper.contact_s(now_s) <= DEAD_S\n", "True\n"
+        "a machine without a majority names nobody",
+        MACHINE,
+        "return detector.has_quorum_contact(self.loop.time()) and all(",
+        "return all(",
     ),
     fencing(
         "a machine that knows of a later view names nobody",
         MACHINE,
-        "and all(heard.epoch <= view.epoch for heard in keeper.heard.values())\n        )",
-        ")",
+        "detector.has_quorum_contact(self.loop.time()) and all(\n"
+        "            peer.epoch <= view.epoch for peer in detector.peers.values()\n"
+        "        )",
+        "detector.has_quorum_contact(self.loop.time())",
     ),
     fencing(
         "a machine that has promised a later view, or seen a higher epoch, names nobody",
         MACHINE,
-        "if max(keeper.promised, self.relay.epoch) <= view.epoch else",
-        "if True else",
+        'return view.tail if highest_epoch <= view.epoch else ""',
+        "return view.tail",
     ),
     fencing(
         "a machine without a part in the group names the root by hearsay rules",
         MACHINE,
-        "if keeper is None or view is None or keeper.name not in view.group:",
-        "if keeper is None or view is None:",
+        "if replica is None or view is None or replica.name not in view.group:\n            return self.relay",
+        "if replica is None or view is None:\n            return self.relay",
     ),
     fencing(
         "a root without a majority sends no beat",
@@ -295,20 +306,20 @@
     ),
     fencing(
         "a root without a majority places nobody",
-        MACHINE,
-        "if not self.relay.is_root or not self.vouched():\n            link.send",
-        "if not self.relay.is_root:\n            link.send",
+        LEADER_ROLE,
+        "if not self.relay.position.is_root or not self.vouched_leader():\n            link.send",
+        "if not self.relay.position.is_root:\n            link.send",
     ),
     fencing(
         "a root without a majority takes up no list",
-        MACHINE,
-        "        if not self.vouched():\n            return  # whoever leads by now asks the platform too\n",
+        LEADER_ROLE,
+        "        if not self.vouched_leader():\n            return  # whoever leads by now asks the platform too\n",
         "",
     ),
     fencing(
         "a root without a majority names itself to no seed",
-        MACHINE,
-        "        if not self.vouched():\n            return\n        known",
+        LEADER_ROLE,
+        "        if not self.vouched_leader():\n            return\n        known",
         "        known",
     ),
     fencing(
@@ -344,20 +355,20 @@
     fencing(
         "a root that is over resigns at once",
         MACHINE,
-        "self.view.epoch, self.relay.epoch)\n            self.lead(False)",
-        "self.view.epoch, self.relay.epoch)",
+        "view.epoch, epoch)\n            self.set_leadership(False)",
+        "view.epoch, epoch)",
     ),
     fencing(
         "a root whose own view is the higher one tells so at once",
         MACHINE,
-        "            self.relay.tell_beat()\n",
+        "            self.relay.feed.send_beat()\n",
         "            pass\n",
     ),
     fencing(
         "a machine below what was seen does not become the root",
         MACHINE,
-        "if root is self.relay.is_root or (root and self.relay.epoch > self.view.epoch):",
-        "if root is self.relay.is_root:",
+        "if leads is self.relay.position.is_root or (leads and self.relay.fence.epoch > view.epoch):",
+        "if leads is self.relay.position.is_root:",
     ),
     fencing(
         "a root that resigns lets its children go",
@@ -366,36 +377,41 @@
         "        self.locator.forget()\n        self.registration.due_s = 0.0\n",
     ),
     fencing(
-        "a tail below what nodes have seen proposes a view", MACHINE, "self.carry_out(keeper.propose(now_s))", "pass"
+        "a tail below what nodes have seen proposes a view",
+        MACHINE,
+        "self.executor.execute(proposer.propose(now_s))",
+        "pass",
     ),
     fencing(
         "that view is above what nodes have seen",
         MACHINE,
-        "keeper.seen_epoch = max(keeper.seen_epoch, self.relay.epoch)",
-        "pass",
+        "            replica.state.observe_epoch(epoch)\n",
+        "",
     ),
-    fencing("it waits a second before that", MACHINE, "elif now_s - self.above_since_s >= ABOVE_S and", "elif"),
     fencing(
-        "a root is the root only as long as its keeper says so",
+        "it waits a second before that", MACHINE, "elif now_s - self.higher_epoch_since_s >= HIGHER_EPOCH_S and", "elif"
+    ),
+    fencing(
+        "a root is the root only as long as its replica says so",
         MACHINE,
-        "root = keeper.root and self.relay.epoch <= view.epoch",
-        "root = self.relay.epoch <= view.epoch",
+        "leads = leadership.is_leader and self.relay.fence.epoch <= view.epoch",
+        "leads = self.relay.fence.epoch <= view.epoch",
     ),
     fencing(
         "one that does not hear the root feeds nobody",
-        ROSTER,
+        NODE_REGISTRY,
         "self.deaf = self.deaf or now_s - self.unheard_s >= DEAF_S",
         "pass",
     ),
     fencing(
         "one that hears it again feeds others again",
-        ROSTER,
+        NODE_REGISTRY,
         "self.unheard_s, self.deaf = None, False",
         "self.unheard_s = None",
     ),
     fencing(
         "only joins again and again show that",
-        ROSTER,
+        NODE_REGISTRY,
         "elif self.unheard_s is None or now_s - self.seen_s > AGAIN_S:",
         "elif self.unheard_s is None:",
     ),
@@ -487,45 +503,50 @@
 MEMBERS_RULES = (
     members(
         "a member is no newcomer",
-        MEMBERS,
+        MEMBERSHIP_RULES,
         "if change.kind in (ADD, REPLACE) and change.new in change.base:",
         "if False:",
     ),
     members(
         "who is no member is not let go",
-        MEMBERS,
+        MEMBERSHIP_RULES,
         "if change.kind in (REMOVE, REPLACE) and change.old not in change.base:",
         "if False:",
     ),
-    members("the same order gets the same answer", MEMBERS, "    if now == steps[-1]:\n", "    if False:\n"),
-    members("an order is for the group that it names", MEMBERS, "    if now not in steps:\n", "    if not steps:\n"),
+    members("the same order gets the same answer", MEMBERSHIP_RULES, "    if now == steps[-1]:\n", "    if False:\n"),
+    members(
+        "an order is for the group that it names", MEMBERSHIP_RULES, "    if now not in steps:\n", "    if not steps:\n"
+    ),
     members(
         "a newcomer must stand by",
-        MEMBERS,
+        MEMBERSHIP_RULES,
         "    if name is None:\n        return ChangeDecision(UNKNOWN",
         "    if False:\n        return ChangeDecision(UNKNOWN",
     ),
-    members("nine members are the most", MEMBERS, "if len(known.view.group) >= MAX_MEMBERS:", "if False:"),
+    members("nine members are the most", MEMBERSHIP_RULES, "if len(known.view.group) >= MAX_MEMBERS:", "if False:"),
     members(
-        "a newcomer is level before it counts", MEMBERS, "    if name not in known.caught_up:\n", "    if False:\n"
+        "a newcomer is level before it counts",
+        MEMBERSHIP_RULES,
+        "    if name not in known.caught_up:\n",
+        "    if False:\n",
     ),
-    members("enough members are left", MEMBERS, "    if len(group) < least:\n", "    if False:\n"),
-    members("enough whole copies are left", MEMBERS, "    if len(chain) < copies:\n", "    if False:\n"),
+    members("enough members are left", MEMBERSHIP_RULES, "    if len(group) < least:\n", "    if False:\n"),
+    members("enough whole copies are left", MEMBERSHIP_RULES, "    if len(chain) < copies:\n", "    if False:\n"),
     members(
         "one address at a time: an add, then a remove",
-        MEMBERS,
+        MEMBERSHIP_RULES,
         "    wanted = steps[steps.index(now) + 1]\n",
         "    wanted = steps[-1]\n",
     ),
     members(
         "only the head of an active view steps",
-        MEMBERS,
-        "return keeper.member is not None and keeper.member.is_head() and keeper.leads(now_s)",
-        "return keeper.member is not None and keeper.leads(now_s)",
+        MEMBERSHIP_RULES,
+        "return replica.state.chain is not None and replica.state.chain.is_head() and replica.leadership.leads(now_s)",
+        "return replica.state.chain is not None and replica.leadership.leads(now_s)",
     ),
     members(
         "to one other group only",
-        MEMBERS,
+        MEMBERSHIP_RULES,
         "return fresh and (\n"
         "            self.proposed_group is None or self.proposed_group[0] != epoch or self.proposed_group[1] == wanted\n"
         "        )",
@@ -533,51 +554,52 @@
     ),
     members(
         "not from memory that a restart has emptied",
-        MEMBERS,
+        MEMBERSHIP_RULES,
         "return fresh and (\n            self.proposed_group is None or",
         "return (self.proposed_group is None or",
     ),
     members(
         "the new chain holds the newcomer",
-        AGREEMENT,
+        REPAIR,
         "return all(name in chain for name in group if ip_of(name) not in old)",
         "return True",
     ),
     members(
         "one that stands by and is in the group already is not levelled",
-        MEMBERS,
-        "if frame.name != keeper.name or keeper.name in frame.group or older or keeper.accepting is not None:",
-        "if frame.name != keeper.name or older or keeper.accepting is not None:",
+        MEMBERSHIP_RULES,
+        "if frame.name != replica.name or replica.name in frame.group or older or replica.state.pending_view is not None:",
+        "if frame.name != replica.name or older or replica.state.pending_view is not None:",
     ),
     members(
         "a level of an older view is not taken",
-        MEMBERS,
-        "if frame.name != keeper.name or keeper.name in frame.group or older or keeper.accepting is not None:",
-        "if frame.name != keeper.name or keeper.name in frame.group or keeper.accepting is not None:",
+        MEMBERSHIP_RULES,
+        "if frame.name != replica.name or replica.name in frame.group or older or replica.state.pending_view is not None:",
+        "if frame.name != replica.name or replica.name in frame.group or replica.state.pending_view is not None:",
     ),
     members(
         "a level is for the one that it names",
-        MEMBERS,
-        "if frame.name != keeper.name or keeper.name in frame.group or older or keeper.accepting is not None:",
-        "if keeper.name in frame.group or older or keeper.accepting is not None:",
+        MEMBERSHIP_RULES,
+        "if frame.name != replica.name or replica.name in frame.group or older or replica.state.pending_view is not None:",
+        "if replica.name in frame.group or older or replica.state.pending_view is not None:",
     ),
     members(
         "it tells that it is level only with the body's digest",
-        MEMBERS,
+        MEMBERSHIP_RULES,
         "        if not wrong:\n",
         "        if True:\n",
     ),
     members(
         "a stand-by may be one entry behind",
-        MEMBERS,
+        MEMBERSHIP_RULES,
         "least = max(number - MAX_SPARE_LAG, min(number, 1))",
         "least = number",
     ),
-    members("and no more", MEMBERS, "least = max(number - MAX_SPARE_LAG, min(number, 1))", "least = 0"),
+    members("and no more", MEMBERSHIP_RULES, "least = max(number - MAX_SPARE_LAG, min(number, 1))", "least = 0"),
     members(
         "no step while a proposal is under way or a newcomer waits",
-        MEMBERS,
-        "        if keeper.proposal is not None or keeper.newcomers(now_s):\n            return []\n",
+        MEMBERSHIP_RULES,
+        "        if replica.proposer.proposal is not None or replica.failure_detector.new_identities(now_s):\n"
+        "            return []\n",
         "",
     ),
 )
--- a/lab/rules_orders.py
+++ b/lab/rules_orders.py
@@ -3,17 +3,22 @@
 
 from __future__ import annotations
 
+from lab.rule_files import (
+    CHAIN,
+    CONFIGURATION,
+    CONFIGURATION_REPLICA,
+    CONSENSUS_REPLICA,
+    CONTROL,
+    DEDUPLICATION,
+    GATE,
+    REPAIR,
+    ROUTING,
+    STATE,
+    STORE,
+    VOTING,
+)
 from lab.rules import Rule
 
-AGREEMENT = "cypressbeam/consensus/replica.py"
-CHAIN = "cypressbeam/consensus/chain.py"
-CONFIGURATION = "cypressbeam/protocol/configuration.py"
-CONTROL = "cypressbeam/node/control_api.py"
-GATE = "cypressbeam/proxy/gateway.py"
-REPLICA = "cypressbeam/distribution/configuration_replica.py"
-ROUTING = "cypressbeam/proxy/routing.py"
-STORE = "cypressbeam/storage/store.py"
-TAKEN = "cypressbeam/consensus/deduplication.py"
 ORDERS = (
     "tests/test_validity.py",
     "tests/test_order_rules.py",
@@ -171,73 +176,79 @@
     ),
     orders(
         "a refusal waits for a majority's word",
-        AGREEMENT,
-        "                and action.frame.status in REFUSALS\n            ):",
-        "                    and action.frame.status == 0):",
+        CONSENSUS_REPLICA,
+        "if result.status in REFUSALS:",
+        "if False:",
+    ),
+    orders(
+        "both kinds of refusal do",
+        CONSENSUS_REPLICA,
+        "REFUSALS = (INVALID, PRECONDITION_FAILED)",
+        "REFUSALS = (PRECONDITION_FAILED,)",
     ),
-    orders("both kinds of refusal do", AGREEMENT, "REFUSALS = (INVALID, 412)", "REFUSALS = (412,)"),
     orders("a refusal's text fits into its frame", CHAIN, "text[:MAX_RESULT_TEXT]", "text"),
-    orders("an entry drops the digests above its base", TAKEN, "        del taken[wrong]\n", "        pass\n"),
+    orders("an entry drops the digests above its base", DEDUPLICATION, "        del taken[wrong]\n", "        pass\n"),
     orders("on disk too", STORE, '    database.execute("delete from taken where revision > ?", (entry.base,))\n', ""),
     orders(
         "the newest digests are kept, in memory",
-        TAKEN,
+        DEDUPLICATION,
         "    while len(taken) > MAX_DIGESTS:\n        del taken[next(iter(taken))]\n",
         "",
     ),
     orders("and on disk", STORE, "        (MAX_DIGESTS,),\n", "        (10**9,),\n"),
-    orders("digests are missing when there are fewer than entries", TAKEN, "if len(taken) >= number:", "if True:"),
+    orders(
+        "digests are missing when there are fewer than entries", DEDUPLICATION, "if len(taken) >= number:", "if True:"
+    ),
     orders(
         "all below the lowest are missing then",
-        TAKEN,
+        DEDUPLICATION,
         "return next(iter(taken)) - 1 if taken else MOST_REVISION",
         "return 0 if taken else MOST_REVISION",
     ),
     orders(
         "without any all may be",
-        TAKEN,
+        DEDUPLICATION,
         "return next(iter(taken)) - 1 if taken else MOST_REVISION",
         "return next(iter(taken)) - 1 if taken else 0",
     ),
-    orders("digests that cannot be are refused: cut off", TAKEN, "if len(data) % RECORD.size:", "if False:"),
-    orders("too many", TAKEN, "if len(found) > MAX_DIGESTS:", "if False:"),
-    orders("out of order", TAKEN, "if any(one[0] >= other[0] for one, other in pairwise(found)):", "if False:"),
+    orders("digests that cannot be are refused: cut off", DEDUPLICATION, "if len(data) % RECORD.size:", "if False:"),
+    orders("too many", DEDUPLICATION, "if len(found) > MAX_DIGESTS:", "if False:"),
+    orders("out of order", DEDUPLICATION, "if any(one[0] >= other[0] for one, other in pairwise(found)):", "if False:"),
     orders(
         "one's own digests count up to the revision that all hold",
-        TAKEN,
+        DEDUPLICATION,
         "for revision, mark in sorted(own.items()) if revision <= above} | told",
         "for revision, mark in sorted(own.items())} | told",
     ),
     orders(
         "a proposer names the base of its newest entry",
-        AGREEMENT,
+        STATE,
         "return entry.base if entry is not None else 0",
         "return entry.revision if entry is not None else 0",
     ),
     orders(
         "a promise brings the digests above that",
-        AGREEMENT,
-        "digests.pack(self.all_taken(), self.promised_since),",
-        "digests.pack(self.all_taken(), 1 << 60),",
+        VOTING,
+        "deduplication.pack(state.applied_digests(), self.digests_since),",
+        "deduplication.pack(state.applied_digests(), 1 << 60),",
     ),
     orders(
         "who lacks the base takes no part",
-        AGREEMENT,
-        "if frame.digests_since and frame.digests_since not in self.all_taken():",
+        CONSENSUS_REPLICA,
+        "if frame.digests_since and frame.digests_since not in digests:",
         "if False:",
     ),
     orders(
         "to each member go the digests above its own base",
-        AGREEMENT,
+        REPAIR,
         "since = promise.base if promise is not None else 0",
         "since = promise.revision if promise is not None else 0",
     ),
     orders(
         "a member that takes a view up keeps its own digests",
-        AGREEMENT,
-        "taken = digests.merge(self.all_taken(), frame.digests_since, digests.unpack(frame.applied_digests))\n"
-        "        return self.accept_view",
-        "taken = digests.unpack(frame.applied_digests)\n        return self.accept_view",
+        CONSENSUS_REPLICA,
+        "digests = deduplication.merge(digests, frame.digests_since, deduplication.unpack(frame.applied_digests))",
+        "digests = deduplication.unpack(frame.applied_digests)",
     ),
     orders(
         "an edge node passes on what it can't read",
@@ -392,42 +403,48 @@
     ),
     orders(
         "an older version is not taken",
-        REPLICA,
+        CONFIGURATION_REPLICA,
         "        if revision <= self.revision:\n            return\n        before",
         "        before",
         ROUTES,
     ),
-    orders("nor asked for", REPLICA, "if revision <= self.revision or revision < self.newest[0]:", "if False:", ROUTES),
+    orders(
+        "nor asked for",
+        CONFIGURATION_REPLICA,
+        "if revision <= self.revision or revision < self.newest[0]:",
+        "if False:",
+        ROUTES,
+    ),
     orders(
         "while members judge by two versions of the check nothing is said to be invalid",
-        AGREEMENT,
-        "(action.frame.status == INVALID and not self.judge_alike())",
-        "False",
+        CONSENSUS_REPLICA,
+        "if result.status == INVALID and not self.checks_agree():",
+        "if False:",
     ),
     orders(
         "all members count for that",
-        AGREEMENT,
-        "return self.view is None or all(\n"
-        "            self.checks_of.get(ip_of(name), self.checks) == self.checks for name in self.view.group\n"
+        CONSENSUS_REPLICA,
+        "return view is None or all(\n"
+        "            self.peer_check_versions.get(ip_of(name), self.check_version) == self.check_version for name in view.group\n"
         "        )",
         "return True",
     ),
     orders(
         "members only",
-        AGREEMENT,
-        "for name in self.view.group\n        )\n\n    def confirm",
-        "                                        for name in [*self.view.group, *self.checks_of])\n\n    def confirm",
+        CONSENSUS_REPLICA,
+        "self.check_version for name in view.group\n",
+        "self.check_version\n            for name in [*view.group, *self.peer_check_versions]\n",
     ),
     orders(
         "a pulse tells the version of the check",
-        AGREEMENT,
-        "disk = 1 + 2 * self.checks if self.offers_disk(now_s) else 0",
-        "disk = int(self.offers_disk(now_s))",
+        CONSENSUS_REPLICA,
+        "1 + 2 * self.check_version if self.offers_disk(now_s) else 0,",
+        "int(self.offers_disk(now_s)),",
     ),
     orders(
         "which stays known of a disk in trouble",
-        AGREEMENT,
-        "        if frame.disk_flags:\n            self.checks_of[ip]",
-        "        if True:\n            self.checks_of[ip]",
+        CONSENSUS_REPLICA,
+        "        if frame.disk_flags:\n            self.peer_check_versions[ip]",
+        "        if True:\n            self.peer_check_versions[ip]",
     ),
 )
--- a/lab/rules_replacement.py
+++ b/lab/rules_replacement.py
@@ -2,10 +2,12 @@
 
 from __future__ import annotations
 
+from lab.rule_files import (
+    CONSENSUS_REPLICA,
+    REPLACEMENT,
+)
 from lab.rules import Rule
 
-AGREEMENT = "cypressbeam/consensus/replica.py"
-REPLACEMENT = "cypressbeam/consensus/replacement.py"
 REPLACEMENTS = (
     "tests/test_replacement_rules.py",
     "tests/test_replacement.py::test_silence_counts_only_while_the_process_runs",
@@ -26,9 +28,9 @@
 REPLACEMENT_RULES = (
     replacement(
         "every member counts the silence of the others",
-        "        self.silence.update(others, self.replica.heard_lately, now_s)\n",
+        "        self.silence.update(others, self.replica.failure_detector.is_alive, now_s)\n",
         "        if self.membership.is_active_head(now_s):\n"
-        "            self.silence.update(others, self.replica.heard_lately, now_s)\n",
+        "            self.silence.update(others, self.replica.failure_detector.is_alive, now_s)\n",
     ),
     replacement(
         "a process that stood still begins to count anew",
@@ -48,7 +50,7 @@
     ),
     replacement(
         "spares that were never members go before former ones",
-        "key=lambda ip: (heard[ip].standing == COUNTED, ip)",
+        "key=lambda ip: (peers[ip].disk_state == DiskState.VOTER, ip)",
         "key=lambda ip: ip",
     ),
     replacement(
@@ -82,19 +84,21 @@
         "return len(group) > least",
     ),
     replacement(
-        "a new spare is brought level at once", "new = self.replica.heard[ip].standing == EMPTY", "new = False"
+        "a new spare is brought level at once",
+        "new = self.replica.failure_detector.peers[ip].disk_state == DiskState.EMPTY",
+        "new = False",
     ),
     replacement(
         "a machine that leaves is no spare",
-        "return self.disk_works(now_s) and (member or not self.leaving)",
+        "return self.disk_works(now_s) and (self.state.is_voter() or not self.is_draining)",
         "return self.disk_works(now_s)",
-        AGREEMENT,
+        CONSENSUS_REPLICA,
     ),
     replacement(
         "but serves its group to the end",
-        "return self.disk_works(now_s) and (member or not self.leaving)",
-        "return self.disk_works(now_s) and not self.leaving",
-        AGREEMENT,
+        "return self.disk_works(now_s) and (self.state.is_voter() or not self.is_draining)",
+        "return self.disk_works(now_s) and not self.is_draining",
+        CONSENSUS_REPLICA,
     ),
     replacement(
         "who leaves waits for nothing without a spare",
@@ -106,12 +110,13 @@
     ),
     replacement(
         "who has left waits until its successors hold their view",
-        "        return any(self.replica.heard_lately(ip, now_s) and heard[ip].epoch < view.epoch",
+        "        return any(\n"
+        "            self.replica.failure_detector.is_alive(ip, now_s) and heard[ip].epoch < view.epoch",
         "        return any(False and heard[ip].epoch < view.epoch",
     ),
     replacement(
         "for those that are heard",
-        "return any(self.replica.heard_lately(ip, now_s) and heard[ip].epoch < view.epoch",
+        "return any(\n            self.replica.failure_detector.is_alive(ip, now_s) and heard[ip].epoch < view.epoch",
         "return any(ip in heard and heard[ip].epoch < view.epoch",
     ),
     replacement(
--- a/lab/scale.py
+++ b/lab/scale.py
@@ -75,10 +75,10 @@
         """Seconds until all edge nodes hold the root's list."""
         root = self.cluster.root
         assert root is not None
-        wanted = root.relay.listing
+        wanted = root.relay.servers.listing
         return await self.cluster.until(
             lambda: all(
-                (node.relay.listing.life, node.relay.listing.seq) == (wanted.life, wanted.seq)
+                (node.relay.servers.listing.life, node.relay.servers.listing.seq) == (wanted.life, wanted.seq)
                 for node in self.cluster.edges
             )
         )
--- a/lab/simulation/disk.py
+++ b/lab/simulation/disk.py
@@ -5,8 +5,8 @@
 import asyncio
 from dataclasses import replace
 
-from cypressbeam.consensus.chain import Entry, View
-from cypressbeam.consensus.rollback_detection import HighWaterMarks
+from cypressbeam.consensus.high_water_marks import HighWaterMarks
+from cypressbeam.consensus.views import Entry, View
 from cypressbeam.protocol.configuration import digest
 from cypressbeam.storage.store import Loaded
 
--- a/lab/update_propagation.py
+++ b/lab/update_propagation.py
@@ -51,8 +51,8 @@
         """Whether no edge node takes a draining server for one in service."""
         names = {f"i-{number}" for number in range(self.drained)}
         return all(
-            names <= node.relay.listing.servers.keys()
-            and all(node.relay.listing.servers[name].state == endpoint_list.DRAINING for name in names)
+            names <= node.relay.servers.listing.servers.keys()
+            and all(node.relay.servers.listing.servers[name].state == endpoint_list.DRAINING for name in names)
             for node in self.cluster.edges
         )
 
--- a/tests/core_parts.py
+++ b/tests/core_parts.py
@@ -5,8 +5,10 @@
 from dataclasses import replace
 from typing import Any
 
-from cypressbeam.consensus.chain import ChainReplica, Entry, SendMessage, View
-from cypressbeam.consensus.replica import Keeper
+from cypressbeam.consensus.chain import ChainReplica
+from cypressbeam.consensus.effects import SendMessage
+from cypressbeam.consensus.replica import Replica
+from cypressbeam.consensus.views import Entry, View
 from cypressbeam.protocol import frames
 from lab.histories import invariants
 from lab.histories.network import CLIENT
@@ -38,9 +40,12 @@
     world.run(1.0)
     world.callers.call("x", "replace")
     world.run(3.0)
-    assert all(keeper.view == VIEW and keeper.stands() and keeper.newest() for keeper in world.keepers.values())
-    for keeper in world.keepers.values():
-        keeper.marks.clear()  # what the tests make up tells less than what was told
+    assert all(
+        replica.state.view == VIEW and replica.state.is_active() and replica.state.newest_entry()
+        for replica in world.replicas.values()
+    )
+    for replica in world.replicas.values():
+        replica.rollback.reported.clear()  # what the tests make up tells less than what was told
     return world
 
 
@@ -53,10 +58,12 @@
     )
 
 
-def echo(keeper: Keeper, now_s: float, *pulses: frames.ReplicaHeartbeat) -> list[Any]:
+def echo(replica: Replica, now_s: float, *pulses: frames.ReplicaHeartbeat) -> list[Any]:
     """A pulse of this machine that others answer, and what it wants done then."""
-    number = told(keeper.pulse(now_s), frames.ReplicaHeartbeat)[0].sequence
-    return [action for frame in pulses for action in keeper.on_pulse(replace(frame, echoed_sequence=number), now_s)]
+    number = told(replica.heartbeat(now_s), frames.ReplicaHeartbeat)[0].sequence
+    return [
+        action for frame in pulses for action in replica.on_heartbeat(replace(frame, echoed_sequence=number), now_s)
+    ]
 
 
 def promise(name: str, epoch: int, entry: Entry = ONE, view: View = VIEW) -> frames.Promise:
--- a/tests/golden_state.py
+++ b/tests/golden_state.py
@@ -12,8 +12,8 @@
 from dataclasses import replace
 from pathlib import Path
 
-from cypressbeam.consensus.chain import Entry, View
-from cypressbeam.consensus.rollback_detection import HighWaterMarks
+from cypressbeam.consensus.high_water_marks import HighWaterMarks
+from cypressbeam.consensus.views import Entry, View
 from cypressbeam.storage.store import Loaded, Store
 from lab.golden_traces import canonical
 from lab.membership import many_routes
--- a/tests/test_added_routes.py
+++ b/tests/test_added_routes.py
@@ -145,9 +145,9 @@
         taken: list[int] = []
         relay, link = relay_of(taken)
         old, new = document(4), document(5)
-        relay.see(512)
-        relay.publish(5, new)
-        relay.publish(4, old)
+        relay.fence.see(512)
+        relay.configuration.publish(5, new)
+        relay.configuration.publish(4, old)
         relay.configuration.store.put(old)
         relay.configuration.on_news(link, frames.ConfigurationAnnouncement(4, digest(old), 512))
         relay.configuration.on_news(
@@ -157,7 +157,7 @@
         data = relay.configuration.store.brief(digest(old), digest(new))
         assert data
         relay.configuration.on_update(link, frames.ConfigurationDelta(4, digest(old), digest(new), data, 768))
-        assert taken == [5] and (relay.revision, relay.configuration.body) == (5, new)
+        assert taken == [5] and (relay.configuration.revision, relay.configuration.body) == (5, new)
 
     run(scenario())
 
@@ -171,7 +171,7 @@
         bodies = [document(revision) for revision in (4, 5, 6)]
         relay.configuration.on_news(link, frames.ConfigurationAnnouncement(4, digest(bodies[0]), 512))
         assert relay.configuration.transfer.mark == digest(bodies[0]) and not taken
-        relay.publish(6, bodies[2])
+        relay.configuration.publish(6, bodies[2])
         relay.configuration.fetcher.arrived(digest(bodies[0]), bodies[0])
         relay.configuration.take(5, bodies[1], link.ip)
         assert taken == [6] and relay.configuration.body == bodies[2]
--- a/tests/test_chain.py
+++ b/tests/test_chain.py
@@ -5,7 +5,9 @@
 import random
 from collections import deque
 
-from cypressbeam.consensus.chain import ChainEffect, ChainReplica, Entry, PersistEntry, Publish, SendMessage, View
+from cypressbeam.consensus.chain import ChainReplica
+from cypressbeam.consensus.effects import ChainEffect, PersistEntry, Publish, SendMessage
+from cypressbeam.consensus.views import Entry, View
 from cypressbeam.protocol import frames
 
 VIEW = View(1, ("a", "b", "c"), ("a", "b", "c"))
--- a/tests/test_chain_rules.py
+++ b/tests/test_chain_rules.py
@@ -7,7 +7,9 @@
 
 import pytest
 
-from cypressbeam.consensus.chain import RESEND_INTERVAL_S, Entry, PersistEntry, Publish
+from cypressbeam.consensus.chain import RESEND_INTERVAL_S
+from cypressbeam.consensus.effects import PersistEntry, Publish
+from cypressbeam.consensus.views import Entry
 from cypressbeam.protocol import frames
 from tests.core_parts import ONE, TWO, VIEW, forward, member, told
 
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -6,9 +6,16 @@
 
 import pytest
 
-from cypressbeam.consensus import replica
-from cypressbeam.consensus.chain import SendMessage, View
-from cypressbeam.consensus.replica import DEAD_S, ROOT_ALONE_S, STALL_S, Keeper, Lead, SavePromise
+from cypressbeam.consensus.disk_health import STALL_TIMEOUT_S
+from cypressbeam.consensus.effects import Effect, PersistPromise, SendMessage, SetLeadership
+from cypressbeam.consensus.failure_detection import (
+    FAILURE_TIMEOUT_S,
+    HEARTBEAT_INTERVAL_S,
+    LEADER_CONTACT_GRACE_S,
+    NEVER_S,
+)
+from cypressbeam.consensus.replica import Replica
+from cypressbeam.consensus.views import View
 from cypressbeam.protocol import frames
 from lab.histories import faults, invariants, runner, simulated_core
 from lab.histories.downstream import Announcement, DownstreamNode
@@ -31,7 +38,7 @@
     )
 
 
-def asked(actions: list[replica.Action]) -> int:
+def asked(actions: list[Effect]) -> int:
     """The number of the pulse among what a machine wants done."""
     (number,) = {
         action.frame.sequence
@@ -46,36 +53,38 @@
 def test_one_that_was_frozen_for_20_s_leads_nothing_answers_nothing_and_resigns() -> None:
     """It took the pulses that its sockets held for new ones."""
     world = quiet_world()
-    root, head = world.keepers["c"], world.keepers["a"]
-    assert root.root and root.leads(world.now_s) and head.leads(world.now_s)
+    root, head = world.replicas["c"], world.replicas["a"]
+    assert root.leadership.is_leader and root.leadership.leads(world.now_s) and head.leadership.leads(world.now_s)
     now_s = world.now_s + 20.0
-    for keeper, others in ((root, ("a/0", "b/0")), (head, ("b/0", "c/0"))):
-        last = keeper.pulse_number
+    for replica, others in ((root, ("a/0", "b/0")), (head, ("b/0", "c/0"))):
+        last = replica.failure_detector.sequence
         for number in range(1, 101):  # what the others had sent meanwhile
             for name in others:
-                keeper.on_pulse(pulse(name, last, number), now_s)
-        assert not keeper.leads(now_s) and not keeper.holds_root(now_s)
+                replica.on_heartbeat(pulse(name, last, number), now_s)
+        assert not replica.leadership.leads(now_s) and not replica.leadership.holds_lease(now_s)
     assert root.read(frames.ReadRequest(7, CLIENT), now_s) == []
-    assert head.order(frames.WriteRequest(8, CLIENT, 0, b"10:x"), now_s) == []
+    assert head.submit(frames.WriteRequest(8, CLIENT, 0, b"10:x"), now_s) == []
     actions = root.tick(now_s)
-    assert Lead(False) in actions and not root.root
+    assert SetLeadership(False) in actions and not root.leadership.is_leader
     # One echo of what it sends now is a majority with itself, and it may go on.
-    root.on_pulse(pulse("a/0", asked(actions)), now_s + 0.01)
-    assert root.leads(now_s + 0.01) and Lead(True) in root.tick(now_s + 0.02)
+    root.on_heartbeat(pulse("a/0", asked(actions)), now_s + 0.01)
+    assert root.leadership.leads(now_s + 0.01) and SetLeadership(True) in root.tick(now_s + 0.02)
 
 
 def test_one_that_was_frozen_and_then_cut_off_speaks_no_more_when_it_goes_on() -> None:
     """What would ask it to promise never came, so nothing in its sockets told of the new view: it led for 0.9 s."""
     world = quiet_world()
-    keeper = world.keepers["c"]
+    replica = world.replicas["c"]
     world.begin(Step(world.now_s, "freeze", "c", 20.0))
     world.at(1.0, "begin", "", Step(world.now_s + 1.0, "tail", "", 30.0))
     world.run(21.0)
     sockets = len(world.frozen["c"])
     world.run(21.3)
-    assert sockets > 8 and "c" not in world.frozen and keeper.view is not None and keeper.view.epoch == 256
-    assert not keeper.leads(world.now_s) and not keeper.root
-    assert sum(other.root for other in world.keepers.values()) == 1
+    assert (
+        sockets > 8 and "c" not in world.frozen and replica.state.view is not None and replica.state.view.epoch == 256
+    )
+    assert not replica.leadership.leads(world.now_s) and not replica.leadership.is_leader
+    assert sum(other.leadership.is_leader for other in world.replicas.values()) == 1
 
 
 @pytest.mark.usefixtures("quiet")
@@ -94,48 +103,58 @@
     await cluster.until(lambda: cluster.root is not None)
     await asyncio.sleep(1.0)
     node = cluster.root
-    assert node is not None and node.core is not None and node.core.keeper is not None
-    core, keeper = node.core, node.core.keeper
+    assert node is not None and node.core is not None and node.core.replica is not None
+    core, replica = node.core, node.core.replica
     if late:  # as if it had stood still for 20 s until now
-        core.went_on_s -= 20.0
-        keeper.root_s -= 20.0
-        for heard in keeper.heard.values():
-            heard.at_s -= 20.0
-    seq = node.relay.listing.seq
+        core.last_turn_s -= 20.0
+        replica.leadership.last_active_tail_s -= 20.0
+        for heard in replica.failure_detector.peers.values():
+            heard.alive_s -= 20.0
+    seq = node.relay.servers.listing.seq
     cluster.at(node, core.take_list, [])
-    assert (node.relay.listing.seq != seq) is not late
+    assert (node.relay.servers.listing.seq != seq) is not late
     cluster.at(node, node.on_frame, node.peers.local, frames.JoinRequest("new", "10.9.0.9", "a", 0, 0, ""))
-    assert (node.relay.is_root, "new" in core.roster.nodes) == ((False, False) if late else (True, True))
+    assert (node.relay.position.is_root, "new" in core.leader_role.registry.nodes) == (
+        (False, False) if late else (True, True)
+    )
 
 
 def test_after_a_short_stall_the_root_stays_it_and_answers_only_once_it_is_echoed() -> None:
     world = quiet_world()
-    keeper, now_s = world.keepers["c"], world.now_s + DEAD_S + 0.2
-    assert not keeper.holds_root(now_s)  # what is in its sockets is read before its timer runs
-    actions = keeper.tick(now_s)
-    assert Lead(False) not in actions and keeper.holds_root(now_s) and not keeper.leads(now_s)
-    assert keeper.read(frames.ReadRequest(7, CLIENT), now_s) == []
-    keeper.on_pulse(pulse("b/0", asked(actions)), now_s)
-    assert keeper.leads(now_s) and keeper.read(frames.ReadRequest(7, CLIENT), now_s)
+    replica, now_s = world.replicas["c"], world.now_s + FAILURE_TIMEOUT_S + 0.2
+    assert not replica.leadership.holds_lease(now_s)  # what is in its sockets is read before its timer runs
+    actions = replica.tick(now_s)
+    assert (
+        SetLeadership(False) not in actions
+        and replica.leadership.holds_lease(now_s)
+        and not replica.leadership.leads(now_s)
+    )
+    assert replica.read(frames.ReadRequest(7, CLIENT), now_s) == []
+    replica.on_heartbeat(pulse("b/0", asked(actions)), now_s)
+    assert replica.leadership.leads(now_s) and replica.read(frames.ReadRequest(7, CLIENT), now_s)
 
 
 def test_a_root_that_is_cut_off_is_it_for_no_longer_than_its_bound() -> None:
     world = quiet_world()
     cut_s = world.now_s
     world.begin(Step(cut_s, "tail", "", 5.0))
-    world.run(cut_s + DEAD_S - replica.PULSE_S - 2 * simulated_core.TICK_S)
-    assert world.keepers["c"].root and world.keepers["a"].present("c/0", world.now_s)  # no alarm before its time
-    world.run(cut_s + DEAD_S + ROOT_ALONE_S + simulated_core.TICK_S)
-    assert not world.keepers["c"].root and not world.keepers["a"].present("c/0", world.now_s)
+    world.run(cut_s + FAILURE_TIMEOUT_S - HEARTBEAT_INTERVAL_S - 2 * simulated_core.TICK_S)
+    assert world.replicas["c"].leadership.is_leader and world.replicas["a"].failure_detector.is_available(
+        "c/0", world.now_s
+    )  # no alarm before its time
+    world.run(cut_s + FAILURE_TIMEOUT_S + LEADER_CONTACT_GRACE_S + simulated_core.TICK_S)
+    assert not world.replicas["c"].leadership.is_leader and not world.replicas["a"].failure_detector.is_available(
+        "c/0", world.now_s
+    )
 
 
 def test_a_link_that_carries_one_way_alone_shows_as_unheard_at_both_its_ends() -> None:
     world = quiet_world()
     world.begin(Step(world.now_s, "one-way", "c", 9.0))
     world.run(world.now_s + 1.5)
-    assert not world.keepers["a"].heard_lately("c", world.now_s)
-    assert not world.keepers["c"].heard_lately("a", world.now_s)
-    assert world.keepers["a"].heard_lately("b", world.now_s)
+    assert not world.replicas["a"].failure_detector.is_alive("c", world.now_s)
+    assert not world.replicas["c"].failure_detector.is_alive("a", world.now_s)
+    assert world.replicas["a"].failure_detector.is_alive("b", world.now_s)
 
 
 def test_stalls_that_were_no_alarm_by_silence_are_none_by_echoes() -> None:
@@ -143,28 +162,30 @@
     world = quiet_world()
     world.begin(Step(world.now_s, "freeze", "b", 0.6))
     world.run(world.now_s + 3.0)
-    assert [keeper.promised for keeper in world.keepers.values()] == [256] * 3
+    assert [replica.voter.promised for replica in world.replicas.values()] == [256] * 3
 
 
 def test_a_newcomer_counts_once_it_has_echoed_and_not_by_what_its_address_echoed_before() -> None:
     world = quiet_world()
-    keeper, now_s = world.keepers["a"], world.now_s
-    told = keeper.on_pulse(frames.ReplicaHeartbeat("c/7", 0, 0, 1, 0, sequence=3), now_s)
-    assert keeper.newcomers(now_s) == {} and not keeper.present("c/0", now_s)
+    replica, now_s = world.replicas["a"], world.now_s
+    told = replica.on_heartbeat(frames.ReplicaHeartbeat("c/7", 0, 0, 1, 0, sequence=3), now_s)
+    assert replica.failure_detector.new_identities(now_s) == {} and not replica.failure_detector.is_available(
+        "c/0", now_s
+    )
     assert [
         action.frame.echoed_sequence
         for action in told
         if isinstance(action, SendMessage) and isinstance(action.frame, frames.ReplicaHeartbeat)
     ] == [3]
-    keeper.on_pulse(frames.ReplicaHeartbeat("c/7", 0, 0, 1, 0, echoed_sequence=asked(told)), now_s)
-    assert keeper.newcomers(now_s) == {"c/0": "c/7"}
+    replica.on_heartbeat(frames.ReplicaHeartbeat("c/7", 0, 0, 1, 0, echoed_sequence=asked(told)), now_s)
+    assert replica.failure_detector.new_identities(now_s) == {"c/0": "c/7"}
 
 
 def test_a_machine_without_a_view_answers_pulses_so_that_it_is_taken_in_before_it_finds_the_root() -> None:
     """One that had lost its disk, while it held the root, told of itself only once it had found another root."""
-    keeper = Keeper("c/7", 2, invariants.revision, invariants.digest, lambda: 0.5)
-    assert keeper.load(None, 0, None, {}, 0.0) == []
-    (told,) = keeper.on_pulse(pulse("a/0", 0, 5), 0.1)
+    replica = Replica("c/7", 2, invariants.revision, invariants.digest, lambda: 0.5)
+    assert replica.load(None, 0, None, {}, 0.0) == []
+    (told,) = replica.on_heartbeat(pulse("a/0", 0, 5), 0.1)
     assert isinstance(told, SendMessage) and told.ip == "a" and isinstance(told.frame, frames.ReplicaHeartbeat)
     assert (told.frame.echoed_sequence, told.frame.epoch, told.frame.disk_state, told.frame.disk_flags) == (5, 0, 0, 1)
 
@@ -173,73 +194,73 @@
     """At the founding the others may be slow to put the view on disk: they answer, and can promise nothing yet."""
     view = View(256, ("a/0", "b/0", "c/0"), ("a/0", "b/0", "c/0"))
     for empty in (True, False):
-        keeper = Keeper("a/0", 2, invariants.revision, invariants.digest, lambda: 0.5)
-        keeper.load(view, 256, None, {}, 0.0)
-        told: list[replica.Action] = []
+        replica = Replica("a/0", 2, invariants.revision, invariants.digest, lambda: 0.5)
+        replica.load(view, 256, None, {}, 0.0)
+        told: list[Effect] = []
         for tick in range(1, 30):
-            number = asked(keeper.pulse(0.1 * tick))
+            number = asked(replica.heartbeat(0.1 * tick))
             for name in view.group[1:]:
-                keeper.on_pulse(
+                replica.on_heartbeat(
                     frames.ReplicaHeartbeat(name, 0, 0, 1, int(not empty), echoed_sequence=number), 0.1 * tick
                 )
-            told += keeper.tick(0.1 * tick)
+            told += replica.tick(0.1 * tick)
         assert proposes(told) is not empty
 
 
 def test_echoes_of_a_former_life_prove_nothing() -> None:
     lives = [
-        Keeper("a/0", 2, invariants.revision, invariants.digest, lambda share=share: share)  # type: ignore[misc]
+        Replica("a/0", 2, invariants.revision, invariants.digest, lambda share=share: share)  # type: ignore[misc]
         for share in (0.25, 0.75)
     ]
-    number = lives[0].own_pulse(1.0).sequence
-    lives[1].own_pulse(1.0)
+    number = lives[0].own_heartbeat(1.0).sequence
+    lives[1].own_heartbeat(1.0)
     for life in lives:
-        life.on_pulse(pulse("b/0", number), 1.1)
-    assert [life.heard_lately("b", 1.1) for life in lives] == [True, False]
+        life.on_heartbeat(pulse("b/0", number), 1.1)
+    assert [life.failure_detector.is_alive("b", 1.1) for life in lives] == [True, False]
 
 
 def test_a_stall_of_the_process_is_none_of_its_disk() -> None:
     world = quiet_world()
-    keeper, now_s = world.keepers["a"], world.now_s
-    (write,) = keeper.on_prepare(frames.Prepare(1024, "b/0"), now_s)
-    assert isinstance(write, SavePromise)
-    keeper.tick(now_s + 20.0)
-    assert keeper.disk_works(now_s + 20.0)
+    replica, now_s = world.replicas["a"], world.now_s
+    (write,) = replica.on_prepare(frames.Prepare(1024, "b/0"), now_s)
+    assert isinstance(write, PersistPromise)
+    replica.tick(now_s + 20.0)
+    assert replica.disk_works(now_s + 20.0)
     for tick in range(1, 13):
-        keeper.tick(now_s + 20.0 + 0.1 * tick)
-    assert not keeper.disk_works(now_s + 20.0 + STALL_S + 0.2)
+        replica.tick(now_s + 20.0 + 0.1 * tick)
+    assert not replica.disk_works(now_s + 20.0 + STALL_TIMEOUT_S + 0.2)
 
 
 def test_what_seemed_wrong_before_a_stall_must_be_seen_again_after_it() -> None:
     """A member had just fallen silent; after 20 s nobody has watched it for so long, and it answers a moment later."""
     world = quiet_world()
-    keeper, now_s = world.keepers["a"], world.now_s
-    echo(keeper, ("b/0",), now_s + DEAD_S)
-    assert keeper.wrong_since_s is not None
-    assert proposes(echo(keeper, ("b/0",), now_s + 20.0)) is False
-    assert proposes(echo(keeper, ("b/0", "c/0"), now_s + 20.1)) is False
-    assert keeper.wrong_since_s is None
+    replica, now_s = world.replicas["a"], world.now_s
+    echo(replica, ("b/0",), now_s + FAILURE_TIMEOUT_S)
+    assert replica.proposer.needs_repair_since_s is not None
+    assert proposes(echo(replica, ("b/0",), now_s + 20.0)) is False
+    assert proposes(echo(replica, ("b/0", "c/0"), now_s + 20.1)) is False
+    assert replica.proposer.needs_repair_since_s is None
 
 
-def echo(keeper: Keeper, names: tuple[str, ...], now_s: float) -> list[replica.Action]:
+def echo(replica: Replica, names: tuple[str, ...], now_s: float) -> list[Effect]:
     """A pulse that these answer, and then the timer."""
-    number = asked(keeper.pulse(now_s))
+    number = asked(replica.heartbeat(now_s))
     for name in names:
-        keeper.on_pulse(pulse(name, number), now_s)
-    return keeper.tick(now_s)
+        replica.on_heartbeat(pulse(name, number), now_s)
+    return replica.tick(now_s)
 
 
-def proposes(actions: list[replica.Action]) -> bool:
+def proposes(actions: list[Effect]) -> bool:
     return any(isinstance(one, SendMessage) and isinstance(one.frame, frames.Prepare) for one in actions)
 
 
 def test_a_majority_s_word_that_is_read_late_answers_nothing() -> None:
     world = quiet_world()
-    keeper, now_s = world.keepers["c"], world.now_s
-    assert keeper.read(frames.ReadRequest(7, CLIENT), now_s)
+    replica, now_s = world.replicas["c"], world.now_s
+    assert replica.read(frames.ReadRequest(7, CLIENT), now_s)
     late = frames.QuorumReadAck(256, 7, "a/0")
-    assert keeper.on_confirmed(late, now_s + 20.0) == []
-    (told,) = keeper.on_confirmed(late, now_s + 0.1)
+    assert replica.reads.on_ack(late, now_s + 20.0) == []
+    (told,) = replica.reads.on_ack(late, now_s + 0.1)
     assert isinstance(told, SendMessage) and told.ip == CLIENT
 
 
@@ -257,7 +278,7 @@
     clocks.on_read("b", "a", sent)
     clocks.on_read("a", "b", clocks.on_send("b", 1.1))
     assert clocks.contact_s("a", ("a", "b", "c"), 21.0) == 1.0
-    assert clocks.contact_s("b", ("a", "b", "c"), 21.0) == replica.NEVER_S
+    assert clocks.contact_s("b", ("a", "b", "c"), 21.0) == NEVER_S
 
 
 def test_five_machines_work_on_without_two() -> None:
@@ -266,7 +287,9 @@
         world.begin(Step(world.now_s, "kill", ip, 9.0))
     world.run(world.now_s + 3.0)
     assert world.callers.finish("x", "replace") == 200
-    assert {keeper.view.chain for keeper in world.keepers.values() if keeper.view} == {("a/0", "b/0", "d/0")}
+    assert {replica.state.view.chain for replica in world.replicas.values() if replica.state.view} == {
+        ("a/0", "b/0", "d/0")
+    }
 
 
 def test_a_second_disk_is_lost_only_once_the_first_one_counts_again() -> None:
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from cypressbeam.consensus.replica import DEAD_S
+from cypressbeam.consensus.failure_detection import FAILURE_TIMEOUT_S
 from cypressbeam.distribution.root_search import PAUSE_S, STEP_S, Search
 from cypressbeam.protocol import frames
 from cypressbeam.proxy.frontend import ClientConnection
@@ -35,7 +35,7 @@
 def test_all_nodes_follow_the_side_that_leads_and_nobody_the_other(case: partitions.Case) -> None:
     _, found = partitions.play(7, case, edges=12)
     assert found.breaches == []
-    if case.way == "both" and case.who == "root" and case.lasts_s > DEAD_S:
+    if case.way == "both" and case.who == "root" and case.lasts_s > FAILURE_TIMEOUT_S:
         assert found.root_s and found.under_s and found.newest_s
 
 
@@ -115,7 +115,7 @@
         lost = {node.settings.ip}
         cluster.net.cut = lambda one, other: (one.ip in lost) != (other.ip in lost)
         await asyncio.sleep(5.0)
-        assert node.relay.revision == 1 and 4.0 < node.tell()["age_s"] < 5.5 and node.alone()
+        assert node.relay.configuration.revision == 1 and 4.0 < node.tell()["age_s"] < 5.5 and node.alone()
         answer = node.control.pass_on(frames.WriteRequest(1, node.settings.ip, 1, b""), cast(ClientConnection, None))
         assert answer is not None and answer.status == 503 and (b"Retry-After", b"0.3") in answer.headers
         cluster.net.cut = lambda one, other: False
@@ -131,7 +131,7 @@
     async def scenario() -> None:
         await cluster.start_tree()
         for node in cluster.edges:
-            node.relay.see(9 << 8)
+            node.relay.fence.see(9 << 8)
         cores = cluster.machines[:3]
         for machine in cores:
             cluster.stop(*machine)
@@ -141,7 +141,9 @@
             cluster.start(*machine)
         assert (
             await cluster.until(
-                lambda: cluster.root is not None and cluster.root.relay.epoch > 9 << 8 and len(cluster.depths()) == 6
+                lambda: (
+                    cluster.root is not None and cluster.root.relay.fence.epoch > 9 << 8 and len(cluster.depths()) == 6
+                )
             )
             < 6.0
         )
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -7,7 +7,7 @@
 import pytest
 
 from cypressbeam.consensus import deduplication
-from cypressbeam.consensus.rollback_detection import HighWaterMarks, pack_marks, unpack_marks
+from cypressbeam.consensus.high_water_marks import HighWaterMarks, pack_marks, unpack_marks
 from cypressbeam.protocol import frames
 from lab.histories import faults, runner
 from lab.histories.disks import Disk
@@ -64,7 +64,7 @@
         world.run(world.now_s + 1.0)
     read = [call.seen for call in list(world.callers.calls.values())[before:] if call.status]
     assert read and set(read) == {world.observer.committed[newest].revision}
-    assert {keeper.own_marks().number for keeper in world.keepers.values()} == {newest}
+    assert {replica.rollback.own_marks().number for replica in world.replicas.values()} == {newest}
     if behind > 1:
         assert world.disks[ip].name != older.name
     change(world)
@@ -108,13 +108,15 @@
     world.stop("b")
     comes_back(world, "c", older, others_too=False)
     world.run(world.now_s + 3.0)
-    keeper = world.keepers["c"]
-    assert keeper.lacks and world.disks["c"].name == "c/0" and not keeper.disk_works(world.now_s)
-    assert keeper.view is not None
-    assert not any(keeper.leads(world.now_s) or keeper.root for keeper in world.keepers.values())
+    replica = world.replicas["c"]
+    assert replica.rollback.reason and world.disks["c"].name == "c/0" and not replica.disk_works(world.now_s)
+    assert replica.state.view is not None
+    assert not any(
+        replica.leadership.leads(world.now_s) or replica.leadership.is_leader for replica in world.replicas.values()
+    )
     world.start("b")
     world.run(world.now_s + 4.0)
-    assert world.disks["c"].name != "c/0" and world.keepers["c"].own_marks().number == 4
+    assert world.disks["c"].name != "c/0" and world.replicas["c"].rollback.own_marks().number == 4
 
 
 class Weighed(World):
@@ -151,8 +153,8 @@
         world.named.clear()
         world.start("c")
         world.begin(Step(0.0, "read", "y"))
-        while world.keepers["c"].own_marks().number != newest:
-            assert not world.keepers["c"].leads(world.now_s)
+        while world.replicas["c"].rollback.own_marks().number != newest:
+            assert not world.replicas["c"].leadership.leads(world.now_s)
             assert world.now_s - began_s < 4.0
             world.step()
         weights.append(world.frames + sum(map(len, world.named)))
--- a/tests/test_disk_rules.py
+++ b/tests/test_disk_rules.py
@@ -11,9 +11,10 @@
 
 import pytest
 
-from cypressbeam.consensus.chain import Entry, View
-from cypressbeam.consensus.replica import Keeper, StartAnew
-from cypressbeam.consensus.rollback_detection import HighWaterMarks
+from cypressbeam.consensus.effects import ResetIdentity
+from cypressbeam.consensus.high_water_marks import HighWaterMarks
+from cypressbeam.consensus.replica import Replica
+from cypressbeam.consensus.views import Entry, View
 from cypressbeam.protocol import frames
 from cypressbeam.storage import files
 from cypressbeam.storage.store import FILE, Store, StoreError
@@ -35,28 +36,30 @@
 @pytest.mark.parametrize("what", LESS)
 def test_who_tells_less_than_it_told_is_not_heard_and_learns_what_it_told(what: str) -> None:
     world = quiet_world()
-    keeper, now_s = world.keepers["a"], world.now_s
-    echo(keeper, now_s, TOLD)
-    heard = keeper.heard["b"]
-    actions = echo(keeper, now_s + 0.2, replace(TOLD, sequence=5, **LESS[what]))
-    assert keeper.heard["b"] is heard and heard.at_s == now_s and keeper.refused == {"b/0"}
+    replica, now_s = world.replicas["a"], world.now_s
+    echo(replica, now_s, TOLD)
+    heard = replica.failure_detector.peers["b"]
+    actions = echo(replica, now_s + 0.2, replace(TOLD, sequence=5, **LESS[what]))
+    assert (
+        replica.failure_detector.peers["b"] is heard and heard.alive_s == now_s and replica.rollback.rejected == {"b/0"}
+    )
     stale, answer = told(actions)
     assert stale == frames.RollbackNotice("b/0", 3, 9, 256, 256, 1) and answer.echoed_sequence == 5
-    keeper.propose(now_s)
-    assert keeper.proposal is not None
-    less = promise("b/0", keeper.proposal.epoch)  # of an incarnation before all that were told
-    assert [type(frame) for frame in told(keeper.on_promise(less, now_s))] == [frames.RollbackNotice]
-    assert not keeper.proposal.promises
+    replica.proposer.propose(now_s)
+    assert replica.proposer.proposal is not None
+    less = promise("b/0", replica.proposer.proposal.epoch)  # of an incarnation before all that were told
+    assert [type(frame) for frame in told(replica.proposer.on_promise(less, now_s))] == [frames.RollbackNotice]
+    assert not replica.proposer.proposal.promises
 
 
 def test_the_word_of_a_member_that_is_refused_confirms_nothing() -> None:
     world = quiet_world()
-    keeper = world.keepers["c"]
-    assert keeper.read(frames.ReadRequest(7, CLIENT), world.now_s)
-    keeper.refused.add("b/0")
-    assert keeper.on_confirmed(frames.QuorumReadAck(256, 7, "b/0"), world.now_s) == []
-    keeper.refused.clear()
-    assert keeper.on_confirmed(frames.QuorumReadAck(256, 7, "b/0"), world.now_s)
+    replica = world.replicas["c"]
+    assert replica.read(frames.ReadRequest(7, CLIENT), world.now_s)
+    replica.rollback.rejected.add("b/0")
+    assert replica.reads.on_ack(frames.QuorumReadAck(256, 7, "b/0"), world.now_s) == []
+    replica.rollback.rejected.clear()
+    assert replica.reads.on_ack(frames.QuorumReadAck(256, 7, "b/0"), world.now_s)
 
 
 def stale(name: str, number: int) -> frames.RollbackNotice:
@@ -66,20 +69,20 @@
 def test_a_machine_judges_itself_by_its_own_disk() -> None:
     for name, number, lost in (("a/0", 1, False), ("b/0", 9, False), ("a/0", 9, True)):
         world = quiet_world()
-        keeper = world.keepers["a"]
-        keeper.on_stale(stale(name, number), world.now_s)
-        assert bool(keeper.lacks) is lost and keeper.stands() is not lost
+        replica = world.replicas["a"]
+        replica.on_rollback_notice(stale(name, number), world.now_s)
+        assert bool(replica.rollback.reason) is lost and replica.state.is_active() is not lost
 
 
 def test_a_machine_whose_disk_is_older_promises_takes_up_and_confirms_nothing() -> None:
     world = quiet_world()
-    keeper, now_s = world.keepers["b"], world.now_s
-    keeper.lose("this disk is an older copy")
-    assert keeper.member is not None and keeper.member.sealed and not keeper.disk_works(now_s)
-    assert keeper.own_pulse(now_s).disk_flags == 0
-    assert keeper.on_prepare(frames.Prepare(1024, "a/0"), now_s) == [] and keeper.promised == 256
-    assert keeper.on_accept(accept(1024), now_s) == []
-    assert keeper.on_confirm(frames.QuorumReadCheck(256, 7, "c")) == []
+    replica, now_s = world.replicas["b"], world.now_s
+    replica.rollback.mark_rolled_back("this disk is an older copy")
+    assert replica.state.chain is not None and replica.state.chain.sealed and not replica.disk_works(now_s)
+    assert replica.own_heartbeat(now_s).disk_flags == 0
+    assert replica.on_prepare(frames.Prepare(1024, "a/0"), now_s) == [] and replica.voter.promised == 256
+    assert replica.on_accept(accept(1024), now_s) == []
+    assert replica.voter.on_read_check(frames.QuorumReadCheck(256, 7, "c")) == []
 
 
 @pytest.mark.parametrize(
@@ -95,9 +98,9 @@
 def test_within_an_epoch_the_numbers_of_the_chain_show_a_loss(name: str, entry: int, held: int, lost: bool) -> None:
     """Here b has entry 1: one before it in the chain may have one more, one behind it none."""
     world = quiet_world()
-    keeper = world.keepers["b"]
-    keeper.on_pulse(pulse(name, stored_number=entry, stored_epoch=held), world.now_s)
-    assert bool(keeper.lacks) is lost
+    replica = world.replicas["b"]
+    replica.on_heartbeat(pulse(name, stored_number=entry, stored_epoch=held), world.now_s)
+    assert bool(replica.rollback.reason) is lost
 
 
 @pytest.mark.parametrize(("newer", "heard", "anew"), [("bc", "bc", True), ("b", "bc", False), ("bc", "b", False)])
@@ -105,31 +108,31 @@
     newer: str, heard: str, anew: bool
 ) -> None:
     world = quiet_world()
-    keeper, now_s = world.keepers["a"], world.now_s + 5.0
-    keeper.lose("this disk is an older copy")
+    replica, now_s = world.replicas["a"], world.now_s + 5.0
+    replica.rollback.mark_rolled_back("this disk is an older copy")
     others = [pulse(f"{ip}/0", stored_number=2 if ip in newer else 1, epoch=256) for ip in "bc"]
     for frame in others:
-        keeper.on_pulse(frame, now_s)
-    echo(keeper, now_s, *(frame for frame in others if frame.name[0] in heard))
-    assert (StartAnew(keeper.lacks) in keeper.tick(now_s)) is anew
+        replica.on_heartbeat(frame, now_s)
+    echo(replica, now_s, *(frame for frame in others if frame.name[0] in heard))
+    assert (ResetIdentity(replica.rollback.reason) in replica.tick(now_s)) is anew
 
 
 def test_as_a_view_ends_what_was_committed_in_it_is_known_of_its_chain() -> None:
     world = quiet_world()
-    keeper = world.keepers["a"]
-    keeper.marks = {"b/0": HighWaterMarks(3, 9, 256, 256, 0)}
-    keeper.hold(replace(VIEW, epoch=512))
-    assert keeper.marks == {"b/0": HighWaterMarks(3, 9, 256, 256, 1)}
+    replica = world.replicas["a"]
+    replica.rollback.reported = {"b/0": HighWaterMarks(3, 9, 256, 256, 0)}
+    replica.install_view(replace(VIEW, epoch=512))
+    assert replica.rollback.reported == {"b/0": HighWaterMarks(3, 9, 256, 256, 1)}
 
 
 def test_only_what_is_on_disk_is_told() -> None:
-    keeper = Keeper("a/0", 2, invariants.revision, invariants.digest, lambda: 0.5)
-    keeper.remember(HighWaterMarks(1, 5), HighWaterMarks(2, 6), {})
-    keeper.load(VIEW, 256, None, {}, 0.0)
-    assert keeper.on_prepare(frames.Prepare(1024, "b/0"), 0.0)
-    pulses = [keeper.own_pulse(0.0)]
-    keeper.promise_saved(1024, "b", 0.1)
-    pulses.append(keeper.own_pulse(0.1))
+    replica = Replica("a/0", 2, invariants.revision, invariants.digest, lambda: 0.5)
+    replica.remember(HighWaterMarks(1, 5), HighWaterMarks(2, 6), {})
+    replica.load(VIEW, 256, None, {}, 0.0)
+    assert replica.on_prepare(frames.Prepare(1024, "b/0"), 0.0)
+    pulses = [replica.own_heartbeat(0.0)]
+    replica.promise_persisted(1024, "b", 0.1)
+    pulses.append(replica.own_heartbeat(0.1))
     assert [(one.promised, one.durable_promise, one.incarnation, one.draw) for one in pulses] == [
         (1024, 256, 1, 5),
         (1024, 1024, 2, 6),
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -4,7 +4,10 @@
 
 from pathlib import Path
 
-from cypressbeam.consensus.dispatch import HANDLERS
+from cypressbeam.consensus.dispatch import Dispatcher
+from cypressbeam.consensus.membership import MembershipManager
+from cypressbeam.consensus.replacement import ReplacementManager
+from cypressbeam.consensus.replica import Replica
 from cypressbeam.node.gateway_node import GatewayNode
 from cypressbeam.protocol import frames
 from cypressbeam.protocol.settings import parse
@@ -13,7 +16,7 @@
 
 #: Chunks of bodies, which the connections take themselves (`Peers.take`).
 TRANSFER = {frames.Chunk, frames.ChunkRequest, frames.BlobNotFound}
-#: What machines of the core say to each other, and what is sent to them (`Core.on_core`).
+#: What machines of the core say to each other, and what is sent to them (`CoreMachine.on_message`).
 CORE = {
     frames.WriteRequest,
     frames.ReadRequest,
@@ -46,7 +49,11 @@
         assert sum(map(len, groups)) == len(frames.FRAME_TYPES) and set().union(*groups) == set(
             frames.FRAME_TYPES.values()
         )
-        assert set(HANDLERS) | {frames.StatusQuery} == CORE
+        replica = Replica("10.0.0.1/a", 1, len, bytes, lambda: 0.5)
+        membership = MembershipManager(replica, 0)
+        dispatcher = Dispatcher(replica)
+        dispatcher.add_membership(membership, ReplacementManager(membership, 0.0))
+        assert set(dispatcher.handlers) | {frames.StatusQuery} == CORE
         tables = (edge.relay.handlers(), edge.outliers.handlers(), edge.node_handlers())
         assert sum(map(len, tables)) == len(everywhere)
         machine = GatewayNode(parse(BOOT + f"stateDir={tmp_path}", "boot.conf"))
--- a/tests/test_fencing_rules.py
+++ b/tests/test_fencing_rules.py
@@ -61,7 +61,7 @@
     locator, subscription = relay.locator, relay.subscription
     return (
         relay.configuration.newest,
-        relay.listing.seq,
+        relay.servers.listing.seq,
         dict(relay.heartbeats.numbers),
         relay.registration.assignment,
         locator.root,
@@ -75,17 +75,19 @@
 def test_a_word_of_an_epoch_that_is_over_changes_nothing_and_its_sender_learns_why(word: str) -> None:
     async def scenario() -> None:
         part = Part().under(SECOND)
-        part.relay.see(THIRD)
+        part.relay.fence.see(THIRD)
         part.now_s += 0.5
         link, before = part.wire(ROOT), state(part)
         WORDS[word](part, link, SECOND)
         assert state(part) == before
-        assert [frame for frame in link.sent if isinstance(frame, frames.LeaderRedirect)] == [part.relay.refer()]
+        assert [frame for frame in link.sent if isinstance(frame, frames.LeaderRedirect)] == [
+            part.relay.fence.redirect()
+        ]
         link.sent.clear()
         WORDS[word](part, link, THIRD)
         assert state(part) != before and "LeaderRedirect" not in link.kinds()
         WORDS[word](part, link, FOURTH)
-        assert part.relay.epoch == FOURTH
+        assert part.relay.fence.epoch == FOURTH
 
     run(scenario())
 
@@ -103,9 +105,9 @@
         ):
             part = Part().under(SECOND)
             told(part)
-            assert part.relay.epoch == THIRD
-            part.relay.see(FIRST)
-            assert part.relay.epoch == THIRD
+            assert part.relay.fence.epoch == THIRD
+            part.relay.fence.see(FIRST)
+            assert part.relay.fence.epoch == THIRD
 
     run(scenario())
 
@@ -116,12 +118,12 @@
         relay = part.relay
         link = part.child(FIRST)
         assert link.kinds()[0] == "LeaderRedirect"  # it has seen less, and learns the epoch of now
-        relay.publish(3, BODY)
-        relay.listing.poll([])
-        relay.publish(4, b"another")
-        relay.see(THIRD)  # the same root, by a view with the same tail
-        relay.tell_beat()
-        relay.publish(5, b"a third")
+        relay.configuration.publish(3, BODY)
+        relay.servers.listing.poll([])
+        relay.configuration.publish(4, b"another")
+        relay.fence.see(THIRD)  # the same root, by a view with the same tail
+        relay.feed.send_beat()
+        relay.configuration.publish(5, b"a third")
         epochs = [cast(Any, frame).epoch for frame in link.sent]
         assert epochs == sorted(epochs) and set(epochs) == {SECOND, THIRD} and epochs[-1] == THIRD
         assert set(link.kinds()) == {
@@ -140,7 +142,7 @@
 def test_a_beat_of_an_epoch_that_is_over_or_whose_root_is_not_fresh_is_told_to_no_new_child() -> None:
     async def scenario() -> None:
         root = Part().lead(SECOND)
-        root.relay.see(THIRD)  # and no beat of it yet
+        root.relay.fence.see(THIRD)  # and no beat of it yet
         assert "RootHeartbeat" not in root.child(THIRD).kinds()
         part = Part().under(SECOND)
         assert "RootHeartbeat" in part.child(SECOND).kinds()
@@ -164,8 +166,8 @@
 def test_a_child_that_comes_while_the_news_here_is_of_an_epoch_that_is_over_is_told_none_of_it() -> None:
     async def scenario() -> None:
         part = Part().under(SECOND)
-        part.relay.publish(3, BODY)
-        part.relay.see(THIRD)
+        part.relay.configuration.publish(3, BODY)
+        part.relay.fence.see(THIRD)
         part.relay.on_placed(part.wire(ROOT), frames.ParentAssignment(THIRD, (ROOT,), (ROOT,), (), (), 3, 3, 0))
         link = part.child(THIRD)
         assert link in part.relay.children.links and not link.sent
@@ -181,9 +183,9 @@
     async def scenario() -> None:
         part = Part().under(SECOND)
         WORDS["EndpointUpdate"](part, part.wire(ROOT), SECOND)
-        assert part.relay.listing.seq == 1
+        assert part.relay.servers.listing.seq == 1
         assert "EndpointUpdate" in part.child(SECOND).kinds()
-        part.relay.see(THIRD)
+        part.relay.fence.see(THIRD)
         part.place(THIRD)
         part.relay.on_beat(part.wire(ROOT), frames.RootHeartbeat(8, 1, 0, 3, 1, THIRD))  # another life: another list
         assert "EndpointUpdate" not in part.child(THIRD, "10.0.0.22").kinds()
@@ -196,7 +198,7 @@
 def test_a_join_and_an_attach_tell_what_their_sender_has_seen_and_was_given() -> None:
     async def scenario() -> None:
         part = Part().under(SECOND)
-        part.relay.see(THIRD)
+        part.relay.fence.see(THIRD)
         part.relay.register(OTHER)
         part.relay.subscription.begin(OTHER)
         join, attach = part.wire(OTHER).sent
@@ -218,9 +220,11 @@
         elif loses == "the root's word":
             part.now_s += FRESH_S + 0.01
         elif loses == "the epoch":
-            part.relay.see(THIRD)
-        assert part.relay.named() == (ROOT if loses == "nothing" else "")
-        assert part.relay.refer() == frames.LeaderRedirect(part.relay.named(), part.relay.epoch, (ROOT, OTHER))
+            part.relay.fence.see(THIRD)
+        assert part.relay.position.named() == (ROOT if loses == "nothing" else "")
+        assert part.relay.fence.redirect() == frames.LeaderRedirect(
+            part.relay.position.named(), part.relay.fence.epoch, (ROOT, OTHER)
+        )
 
     run(scenario())
 
@@ -236,9 +240,9 @@
         elif why == "no beat":
             part.now_s += SEEK_S + 0.01
         elif why == "an epoch that is over":
-            part.relay.see(THIRD)
+            part.relay.fence.see(THIRD)
         assert part.relay.position.seeks(part.now_s) is not taken
-        link = part.child(part.relay.epoch)
+        link = part.child(part.relay.fence.epoch)
         assert (link in part.relay.children.links) is taken and ("Unsubscribed" in link.kinds()) is not taken
 
     run(scenario())
@@ -250,7 +254,7 @@
         link = part.child(SECOND)
         link.sent.clear()
         part.relay.fence.vouched = lambda: ""
-        part.relay.tell_beat()
+        part.relay.feed.send_beat()
         assert link.kinds() == ["KeepAlive"]
         assert part.child(SECOND, "10.0.0.21").kinds() == ["Unsubscribed"]
 
@@ -262,7 +266,7 @@
         part = Part().lead(SECOND)
         link = part.child(SECOND)
         part.relay.resign()
-        assert not part.relay.is_root and not part.relay.children.links and link.kinds()[-1] == "Unsubscribed"
+        assert not part.relay.position.is_root and not part.relay.children.links and link.kinds()[-1] == "Unsubscribed"
 
     run(scenario())
 
@@ -274,11 +278,11 @@
 def test_without_a_beat_a_place_of_the_same_epoch_moves_nobody_and_one_of_a_higher_does(epoch: int) -> None:
     async def scenario() -> None:
         part = Part().under(SECOND)
-        parent = part.relay.parent
+        parent = part.relay.subscription.parent
         part.now_s += SEEK_S + 0.1
         part.place(epoch, OTHER)
-        assert (part.relay.parent is parent) is (epoch == SECOND)
-        assert part.relay.parent is part.wire(ROOT if epoch == SECOND else OTHER)
+        assert (part.relay.subscription.parent is parent) is (epoch == SECOND)
+        assert part.relay.subscription.parent is part.wire(ROOT if epoch == SECOND else OTHER)
 
     run(scenario())
 
@@ -289,11 +293,11 @@
         part.now_s += HOLD_S - 0.1
         part.relay.on_alive(part.wire(ROOT), frames.KeepAlive())
         part.relay.tick()
-        assert part.relay.parent is not None
+        assert part.relay.subscription.parent is not None
         part.now_s += 0.2
         part.relay.on_alive(part.wire(ROOT), frames.KeepAlive())
         part.relay.tick()
-        assert part.relay.parent is None
+        assert part.relay.subscription.parent is None
 
     run(scenario())
 
@@ -320,7 +324,7 @@
 
     async def scenario() -> None:
         part = Part()
-        part.relay.see(THIRD)
+        part.relay.fence.see(THIRD)
         part.relay.on_refer(part.wire(OTHER), frames.LeaderRedirect("", SECOND))
         assert part.wire(OTHER).sent == []
 
@@ -331,9 +335,9 @@
     async def scenario() -> None:
         part = Part().under(SECOND)
         part.relay.on_refer(part.wire(OTHER), frames.LeaderRedirect("", FIRST, ("10.9.9.9",)))
-        assert list(part.relay.group) == [ROOT, OTHER]
+        assert list(part.relay.fence.group) == [ROOT, OTHER]
         part.relay.on_refer(part.wire(OTHER), frames.LeaderRedirect("", THIRD, (OTHER,)))
-        assert list(part.relay.group) == [OTHER]
+        assert list(part.relay.fence.group) == [OTHER]
 
     run(scenario())
 
@@ -369,6 +373,6 @@
 def test_the_root_itself_is_named_by_its_own_address() -> None:
     async def scenario() -> None:
         part = Part().lead(SECOND)
-        assert part.relay.named() == ME and part.relay.position.standing() == SECOND
+        assert part.relay.position.named() == ME and part.relay.position.standing() == SECOND
 
     run(scenario())
--- a/tests/test_fetches.py
+++ b/tests/test_fetches.py
@@ -193,9 +193,9 @@
 def test_news_with_a_change_that_can_not_be_used_has_the_body_fetched(wrong: str) -> None:
     cluster = fleet()
     try:
-        child = next(node for node in cluster.edges if node.relay.parent is not None)
+        child = next(node for node in cluster.edges if node.relay.subscription.parent is not None)
         root, body = cluster.root, cluster.configuration(2)
-        assert child.relay.parent is not None and root is not None
+        assert child.relay.subscription.parent is not None and root is not None
         base = child.relay.configuration.store.put(child.relay.configuration.body)
         data = delta.pack(cluster.configuration(3) if wrong.startswith("not") else body, child.relay.configuration.body)
         frame = frames.ConfigurationDelta(
@@ -203,14 +203,14 @@
             digest(body),
             digest(b"x") if wrong == "no such base" else base,
             b"spoilt" if wrong == "spoilt" else data,
-            child.relay.epoch,
+            child.relay.fence.epoch,
         )
         for node in cluster.nodes.values():
             node.relay.configuration.store.put(body)
         child.relay.configuration.store.held.pop(digest(body))
-        cluster.at(child, child.relay.configuration.on_update, child.relay.parent, frame)
+        cluster.at(child, child.relay.configuration.on_update, child.relay.subscription.parent, frame)
         cluster.run(asyncio.sleep(0.5))
-        assert (child.relay.revision, child.relay.configuration.body) == (2, body)
+        assert (child.relay.configuration.revision, child.relay.configuration.body) == (2, body)
         assert not cluster.net.faults
     finally:
         cluster.close()
@@ -219,18 +219,18 @@
 def test_an_update_that_can_not_be_is_refused_and_its_connection_closed(caplog: pytest.LogCaptureFixture) -> None:
     cluster = fleet()
     try:
-        child = next(node for node in cluster.edges if node.relay.parent is not None)
+        child = next(node for node in cluster.edges if node.relay.subscription.parent is not None)
         for frame in (
             frames.ConfigurationDelta(2, b"short", b"", b""),
             frames.ConfigurationDelta(2, bytes(32), b"", bytes(9000)),
         ):
-            link = child.relay.parent
+            link = child.relay.subscription.parent
             assert link is not None
             with caplog.at_level(logging.WARNING):
                 cluster.at(child, child.relay.configuration.on_update, link, frame)
             assert link.closed and "an update of" in caplog.text
             cluster.run(asyncio.sleep(2.0))
-        assert child.relay.revision == 1
+        assert child.relay.configuration.revision == 1
     finally:
         cluster.close()
 
@@ -238,13 +238,13 @@
 def test_an_older_version_that_does_not_move_holds_up_nothing() -> None:
     cluster = fleet()
     try:
-        child = next(node for node in cluster.edges if node.relay.parent is not None)
-        parent = child.relay.parent
+        child = next(node for node in cluster.edges if node.relay.subscription.parent is not None)
+        parent = child.relay.subscription.parent
         assert parent is not None
         source = next(node for node in cluster.nodes.values() if node.settings.ip == parent.ip)
         for node in cluster.nodes.values():
             node.peers.blobs.server.on_want = lambda link, frame: None  # type: ignore[method-assign]
-        replica, epoch = child.relay.configuration, child.relay.epoch
+        replica, epoch = child.relay.configuration, child.relay.fence.epoch
         cluster.at(
             child, replica.on_news, parent, frames.ConfigurationAnnouncement(2, digest(b"nobody sends it"), epoch)
         )
@@ -252,9 +252,9 @@
         del source.peers.blobs.server.on_want
         body = cluster.configuration(3)
         mark = source.relay.configuration.store.put(body)
-        cluster.at(child, replica.on_news, parent, frames.ConfigurationAnnouncement(3, mark, child.relay.epoch))
+        cluster.at(child, replica.on_news, parent, frames.ConfigurationAnnouncement(3, mark, child.relay.fence.epoch))
         cluster.run(asyncio.sleep(0.3))
-        assert child.relay.revision == 3
+        assert child.relay.configuration.revision == 3
     finally:
         cluster.close()
 
@@ -262,16 +262,16 @@
 def test_a_node_that_is_behind_says_so_once(caplog: pytest.LogCaptureFixture) -> None:
     cluster = fleet()
     try:
-        child = next(node for node in cluster.edges if node.relay.parent is not None)
+        child = next(node for node in cluster.edges if node.relay.subscription.parent is not None)
         for node in cluster.nodes.values():
             node.peers.blobs.server.on_want = lambda link, frame: None  # type: ignore[method-assign]
         cluster.routes += 2000  # no small change
         with caplog.at_level(logging.WARNING, logger="cypressbeam.distribution.configuration_replica"):
             for node in cluster.nodes.values():
                 if node.core is not None:
-                    cluster.at(node, node.relay.publish, 2, cluster.configuration(2))
+                    cluster.at(node, node.relay.configuration.publish, 2, cluster.configuration(2))
             cluster.run(asyncio.sleep(4.0))
-        assert child.relay.revision == 1
+        assert child.relay.configuration.revision == 1
         told = [record.message for record in caplog.records if "behind for" in record.message]
         assert len(told) == len(cluster.edges)
         assert all("version 1 is here, 2 is known of" in text and "asked" in text for text in told)
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -490,11 +490,13 @@
             now_s += 0.1
             relay.on_alive(parent, frames.KeepAlive())
             relay.tick()
-        assert relay.parent is parent and 2 <= told.count(frames.KeepAlive()) <= 4  # it tells its own children the same
+        assert (
+            relay.subscription.parent is parent and 2 <= told.count(frames.KeepAlive()) <= 4
+        )  # it tells its own children the same
         now_s += 0.4
         relay.on_alive(parent, frames.KeepAlive())
         relay.tick()
-        assert relay.parent is not parent
+        assert relay.subscription.parent is not parent
 
     run(scenario())
 
@@ -506,8 +508,16 @@
         root = Link(peers, "127.0.0.9")
         relay.on_placed(root, frames.ParentAssignment(1, ("127.0.0.9",), ("127.0.0.8", "127.0.0.9"), (), (), 3, 3, 0))
         relay.on_placed(root, frames.ParentAssignment(1, ("127.0.0.9",), ("127.0.0.7", "127.0.0.9"), (), (), 3, 3, 0))
-        assert relay.registration.lost == "" and relay.parent is not None and relay.parent.ip == "127.0.0.7"
-        relay.parent.close()  # this one is lost: the next is tried, and the root will be told
-        assert relay.registration.lost == "127.0.0.7" and relay.parent is not None and relay.parent.ip == "127.0.0.9"
+        assert (
+            relay.registration.lost == ""
+            and relay.subscription.parent is not None
+            and relay.subscription.parent.ip == "127.0.0.7"
+        )
+        relay.subscription.parent.close()  # this one is lost: the next is tried, and the root will be told
+        assert (
+            relay.registration.lost == "127.0.0.7"
+            and relay.subscription.parent is not None
+            and relay.subscription.parent.ip == "127.0.0.9"
+        )
 
     run(scenario())
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from cypressbeam.consensus import replica
+from cypressbeam.consensus import repair
 from cypressbeam.protocol import settings
 from cypressbeam.standalone import config
 from lab import golden_traces
@@ -42,7 +42,7 @@
 def test_a_trace_repeats_itself_and_shows_a_changed_timeout() -> None:
     before = trace_of(SEEDS)
     assert trace_of(SEEDS) == before
-    with mock.patch.object(replica, "WRONG_S", replica.WRONG_S + 0.01):
+    with mock.patch.object(repair, "REPAIR_DELAY_S", repair.REPAIR_DELAY_S + 0.01):
         assert trace_of(SEEDS) != before
 
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import time
+from collections.abc import Callable
 
 import pytest
 import uvloop
@@ -15,6 +16,17 @@
 PAIRS, PORT = 4, 7655
 
 
+#: A frame that has not come by then never does. On a busy machine it takes longer than on an idle one.
+ARRIVAL_S = 5.0
+
+
+async def until(holds: Callable[[], bool]) -> None:
+    """Wait until a condition holds, or for `ARRIVAL_S`."""
+    ends_s = time.monotonic() + ARRIVAL_S
+    while not holds() and time.monotonic() < ends_s:
+        await asyncio.sleep(0.01)
+
+
 async def frames_that_come(lane: int, held_s: float) -> int:
     """Two nodes write to each other at once, again and again, while the loop is held up; how many frames come."""
     network, came = LoopbackNetwork(), 0
@@ -34,11 +46,11 @@
         for _ in range(1 + pair % 4):
             await asyncio.sleep(0)
         time.sleep(held_s)  # a new table of routes, for one
-        await asyncio.sleep(0.1)
+        await until(lambda: came >= 4 * pair + 2)  # noqa: B023 (done within this turn)
         for link in links:
             if not link.closed:
                 link.send(frames.LeaderRedirect("second"))
-        await asyncio.sleep(0.05)
+        await until(lambda: came >= 4 * pair + 4)  # noqa: B023
         for node in nodes:
             node.close()
     network.close()
--- a/tests/test_member_rules.py
+++ b/tests/test_member_rules.py
@@ -6,9 +6,10 @@
 
 import pytest
 
-from cypressbeam.consensus.chain import Entry
 from cypressbeam.consensus.membership import MembershipManager
-from cypressbeam.consensus.replica import LEVEL, Keeper
+from cypressbeam.consensus.replica import Replica
+from cypressbeam.consensus.state import DiskState
+from cypressbeam.consensus.views import Entry
 from cypressbeam.protocol import frames
 from lab.histories import invariants
 from tests.core_parts import GROUP, ONE, VIEW, echo, pulse, quiet_world, told
@@ -20,25 +21,31 @@
     return replace(frames.CatchUp(NEW, "a", 256, GROUP, GROUP, 1, 256, 10, 0, ONE.body, b""), **changes)  # type: ignore
 
 
-def standing_by() -> Keeper:
+def standing_by() -> Replica:
     """A machine that stands by, with a view on its disk that does not count it."""
-    keeper = Keeper(NEW, 2, invariants.revision, invariants.digest, lambda: 0.5)
-    keeper.load(VIEW, 256, ONE, {}, 0.0)
-    assert keeper.standing == LEVEL
-    return keeper
+    replica = Replica(NEW, 2, invariants.revision, invariants.digest, lambda: 0.5)
+    replica.load(VIEW, 256, ONE, {}, 0.0)
+    assert replica.state.disk_state == DiskState.LEARNER
+    return replica
 
 
 def test_only_the_head_of_an_active_view_that_leads_steps() -> None:
     world = quiet_world()
-    assert [MembershipManager(world.keepers[ip], 1).is_active_head(world.now_s) for ip in "abc"] == [True, False, False]
-    assert not MembershipManager(world.keepers["a"], 1).is_active_head(world.now_s + 5.0)
+    assert [MembershipManager(world.replicas[ip], 1).is_active_head(world.now_s) for ip in "abc"] == [
+        True,
+        False,
+        False,
+    ]
+    assert not MembershipManager(world.replicas["a"], 1).is_active_head(world.now_s + 5.0)
 
 
 def test_the_chain_of_a_view_that_adds_a_machine_holds_that_machine() -> None:
-    keeper = quiet_world().keepers["a"]
+    replica = quiet_world().replicas["a"]
     grown = (*GROUP, NEW)
-    assert keeper.has_the_new_one(grown, [*GROUP, NEW]) and keeper.has_the_new_one(GROUP, ["a/0", "b/0"])
-    assert not keeper.has_the_new_one(grown, [*GROUP])
+    assert replica.proposer.includes_new_address(grown, [*GROUP, NEW]) and replica.proposer.includes_new_address(
+        GROUP, ["a/0", "b/0"]
+    )
+    assert not replica.proposer.includes_new_address(grown, [*GROUP])
 
 
 @pytest.mark.parametrize("wrong", [{"name": "d/8"}, {"group": (*GROUP, NEW)}, {"epoch": 255}])
@@ -51,11 +58,11 @@
 
 def test_one_is_level_by_the_body_s_digest_and_at_most_one_entry_behind() -> None:
     world = quiet_world()
-    keeper = world.keepers["a"]
-    members = MembershipManager(keeper, 1)
-    echo(keeper, world.now_s, pulse(NEW, epoch=0, stored_epoch=0, stored_number=0, disk_state=0))
-    assert members.spares(world.now_s) == {"d": NEW} and keeper.member is not None
-    keeper.member.last = Entry(3, 256, 30, 20, b"30:x")
+    replica = world.replicas["a"]
+    members = MembershipManager(replica, 1)
+    echo(replica, world.now_s, pulse(NEW, epoch=0, stored_epoch=0, stored_number=0, disk_state=0))
+    assert members.spares(world.now_s) == {"d": NEW} and replica.state.chain is not None
+    replica.state.chain.last = Entry(3, 256, 30, 20, b"30:x")
     mark = invariants.digest(b"30:x")
     for number, told_mark, holds in ((3, b"another", False), (1, b"", False), (2, b"", True), (3, mark, True)):
         members.spare_entry_numbers.clear()
@@ -66,10 +73,10 @@
 def test_no_step_is_made_while_a_proposal_is_under_way_or_a_lost_disk_waits() -> None:
     for wait in ("proposal", "lost disk", ""):
         world = quiet_world()
-        keeper = world.keepers["a"]
-        members = MembershipManager(keeper, 1)
+        replica = world.replicas["a"]
+        members = MembershipManager(replica, 1)
         if wait == "proposal":
-            keeper.propose(world.now_s)
+            replica.proposer.propose(world.now_s)
         elif wait == "lost disk":
-            echo(keeper, world.now_s, pulse("c/7", epoch=0, stored_epoch=0, stored_number=0, disk_state=0))
+            echo(replica, world.now_s, pulse("c/7", epoch=0, stored_epoch=0, stored_number=0, disk_state=0))
         assert bool(members.propose_group((*GROUP, NEW), world.now_s)) is (wait == "")
