--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -10,9 +10,10 @@
 import pytest
 
 from cypressbeam.admin import errors, membership, status
-from cypressbeam.consensus.chain import SendMessage, View, ip_of
+from cypressbeam.consensus.effects import SendMessage
+from cypressbeam.consensus.failure_detection import FAILURE_TIMEOUT_S
 from cypressbeam.consensus.membership import ADD, REMOVE, REPLACE, MembershipChange, MembershipState, next_step
-from cypressbeam.consensus.replica import DEAD_S
+from cypressbeam.consensus.views import View, ip_of
 from cypressbeam.protocol import frames
 from lab import membership_churn, repair
 from lab.histories import callers
@@ -131,13 +132,15 @@
     assert asks(world, REPLACE, "a", "d", "abc") == 200 and group_of(world) == "bcd"
     assert body is not None and named[0].body == body.body
     assert asks(world, REPLACE, "a", "d", "abc") == 200 and group_of(world) == "bcd"  # the same again: the same answer
-    keeper = world.keepers["a"]
-    assert keeper.member is None and not keeper.root
-    before = keeper.seen_epoch
+    replica = world.replicas["a"]
+    assert replica.state.chain is None and not replica.leadership.is_leader
+    before = replica.state.highest_epoch
     for ip in "bc":
         world.stop(ip)
     world.run(world.now_s + 4.0)
-    assert keeper.proposal is None and newest(world).epoch == before  # a and d are no majority, and a asks nobody
+    assert (
+        replica.proposer.proposal is None and newest(world).epoch == before
+    )  # a and d are no majority, and a asks nobody
     for ip in "bc":
         world.start(ip)
     world.run(world.now_s + 4.0)
@@ -147,9 +150,9 @@
 def wanted_by(world: Turnover, ip: str, group: tuple[str, ...]) -> tuple[str, ...]:
     """The group of the view that a head proposes when it is to step to a group."""
     world.carry_out(ip, world.members[ip].propose_group(group, world.now_s))
-    proposal = world.keepers[ip].proposal
+    proposal = world.replicas[ip].proposer.proposal
     assert proposal is not None
-    return proposal.wanted
+    return proposal.new_group
 
 
 def test_a_view_is_changed_to_one_other_group_only_and_not_by_a_head_that_has_forgotten() -> None:
@@ -160,36 +163,36 @@
     world.stop(head)
     world.start(head)
     world.run(world.now_s + 0.5)
-    here, keeper = world.members[head], world.keepers[head]
-    assert here.is_active_head(world.now_s) and keeper.view is not None and keeper.view.epoch == epoch
-    grown = (*keeper.view.group, "d/0")
-    assert wanted_by(world, head, grown) == keeper.view.group  # a new view of the same group first
+    here, replica = world.members[head], world.replicas[head]
+    assert here.is_active_head(world.now_s) and replica.state.view is not None and replica.state.view.epoch == epoch
+    grown = (*replica.state.view.group, "d/0")
+    assert wanted_by(world, head, grown) == replica.state.view.group  # a new view of the same group first
     world.run(world.now_s + 1.0)
-    assert keeper.view.epoch > epoch and here.is_active_head(world.now_s)
-    here.proposed_group = keeper.view.epoch, frozenset("abcd")
-    assert wanted_by(world, head, (*keeper.view.group, "e/0")) == keeper.view.group
+    assert replica.state.view.epoch > epoch and here.is_active_head(world.now_s)
+    here.proposed_group = replica.state.view.epoch, frozenset("abcd")
+    assert wanted_by(world, head, (*replica.state.view.group, "e/0")) == replica.state.view.group
     world.run(world.now_s + 1.0)
-    assert wanted_by(world, head, (*keeper.view.group, "e/0")) == (*keeper.view.group, "e/0")
+    assert wanted_by(world, head, (*replica.state.view.group, "e/0")) == (*replica.state.view.group, "e/0")
 
 
 def test_one_that_came_back_empty_after_promises_were_asked_for_waits_for_the_next_view() -> None:
     """Promises given before do not show what its old identity had a part in: a view of a higher epoch, with an entry
     that was acknowledged, could stay unknown to the two that decide next."""
     world = world_at_rest()
-    keeper = world.keepers["b"]
-    assert keeper.view is not None
-    keeper.propose(world.now_s)
-    assert keeper.proposal is not None
+    replica = world.replicas["b"]
+    assert replica.state.view is not None
+    replica.proposer.propose(world.now_s)
+    assert replica.proposer.proposal is not None
     for name in ("b/0", "a/0"):
-        own, entry = world.keepers[ip_of(name)].own_marks(), world.keepers[ip_of(name)].newest()
+        own, entry = world.replicas[ip_of(name)].rollback.own_marks(), world.replicas[ip_of(name)].state.newest_entry()
         assert entry is not None
-        keeper.on_promise(
+        replica.proposer.on_promise(
             frames.Promise(
-                keeper.proposal.epoch,
+                replica.proposer.proposal.epoch,
                 name,
-                keeper.view.epoch,
-                keeper.view.chain,
-                keeper.view.group,
+                replica.state.view.epoch,
+                replica.state.view.chain,
+                replica.state.view.group,
                 entry.number,
                 entry.epoch,
                 entry.revision,
@@ -202,27 +205,27 @@
             ),
             world.now_s,
         )
-    keeper.on_pulse(frames.ReplicaHeartbeat("c/9", 0, 0, 1, 0), world.now_s)  # c has lost its disk meanwhile
-    sent = keeper.conclude(world.now_s + 0.5)
+    replica.on_heartbeat(frames.ReplicaHeartbeat("c/9", 0, 0, 1, 0), world.now_s)  # c has lost its disk meanwhile
+    sent = replica.proposer.conclude(world.now_s + 0.5)
     accepts = [
         action.frame for action in sent if isinstance(action, SendMessage) and isinstance(action.frame, frames.Accept)
     ]
-    assert accepts and all(frame.group == keeper.view.group for frame in accepts)
+    assert accepts and all(frame.group == replica.state.view.group for frame in accepts)
 
 
 def test_a_proposal_ends_when_its_machine_hears_of_another_group() -> None:
     """It went on with the group of the view before, and put back a member that had been let go (seed 1224)."""
     world = world_at_rest()
-    keeper = world.keepers["b"]
-    assert keeper.view is not None
-    keeper.propose(world.now_s)
-    assert keeper.proposal is not None
-    epoch, group = keeper.proposal.epoch, keeper.view.group
-    keeper.on_view(frames.ViewAnnouncement(epoch - 1, ("a/0", "d/0"), ("a/0", "b/0", "d/0")), world.now_s)
+    replica = world.replicas["b"]
+    assert replica.state.view is not None
+    replica.proposer.propose(world.now_s)
+    assert replica.proposer.proposal is not None
+    epoch, group = replica.proposer.proposal.epoch, replica.state.view.group
+    replica.on_view_announcement(frames.ViewAnnouncement(epoch - 1, ("a/0", "d/0"), ("a/0", "b/0", "d/0")), world.now_s)
     for name in group:
         promise = frames.Promise(epoch, name, 256, group, group, 0, 0, 0, 0, b"", b"")
-        assert keeper.on_promise(promise, world.now_s) == []
-    assert keeper.conclude(world.now_s + 0.5) == []
+        assert replica.proposer.on_promise(promise, world.now_s) == []
+    assert replica.proposer.conclude(world.now_s + 0.5) == []
 
 
 def test_a_head_that_stood_still_counts_no_silence_from_before() -> None:
@@ -231,10 +234,10 @@
     victim = next(ip for ip in "abc" if ip != head)
     world.stop(victim)
     world.run(world.now_s + 3.0)
-    here, keeper = world.replacements[newest(world).head], world.keepers[newest(world).head]
+    here, replica = world.replacements[newest(world).head], world.replicas[newest(world).head]
     assert list(here.silence.since_s) == [victim]
-    for heard in keeper.heard.values():  # old pulses, read all at once when it goes on
-        heard.at_s += 30.0 if heard.name != f"{victim}/0" else 0.0
+    for heard in replica.failure_detector.peers.values():  # old pulses, read all at once when it goes on
+        heard.alive_s += 30.0 if heard.name != f"{victim}/0" else 0.0
     assert here.membership.is_active_head(world.now_s + 30.0)
     here.tick(world.now_s + 30.0)
     assert not here.silence.since_s and here.next_change(world.now_s + 30.0) is None
@@ -254,7 +257,7 @@
     world.run(world.now_s + 8.0)
     assert group_of(world) == "abc"  # nor has one that stood still a word on others' silence
     world.stop(victim)
-    world.run(world.now_s + PATIENT_S + DEAD_S + 5.0)
+    world.run(world.now_s + PATIENT_S + FAILURE_TIMEOUT_S + 5.0)
     assert victim not in group_of(world) and len(group_of(world)) == 3
     others = newest(world).members
     world.stop(others[0])  # a second loss
@@ -273,7 +276,7 @@
         ident = world.callers.open["x"]
         world.run(world.now_s + callers.PATIENCE_S)
         assert world.callers.calls[ident].status == 0
-    assert not any(keeper.root for keeper in world.keepers.values())
+    assert not any(replica.leadership.is_leader for replica in world.replicas.values())
 
 
 def test_histories_in_which_members_come_and_go_keep_every_invariant() -> None:
@@ -307,7 +310,7 @@
     cluster.disks[second[1].node] = Disk("f" * 12)  # nothing of it comes back
     await asyncio.sleep(2.5)
     taken = cluster.revision
-    assert all(node.relay.revision == taken for node in cluster.edges)
+    assert all(node.relay.configuration.revision == taken for node in cluster.edges)
     cluster.order()
     assert await cluster.known_by_all() < 3.0 and cluster.revision == taken + 1
     assert all(node.relay.configuration.body == cluster.configuration(taken + 1) for node in cluster.edges)
@@ -336,7 +339,7 @@
         cluster.stop(*machine)
         cluster.disks[machine[1].node] = Disk(f"{number:012x}")
     await asyncio.sleep(5.0)
-    assert all(node.relay.revision == held for node in cluster.edges)  # they serve on
+    assert all(node.relay.configuration.revision == held for node in cluster.edges)  # they serve on
     for machine in cores:
         cluster.start(*machine)
     assert await cluster.until(lambda: cluster.root is not None) < 10.0
@@ -345,10 +348,10 @@
     for ident in range(20):  # as whoever brings a saved copy back: again until it is taken
         node = cluster.newest()
         assert node.core is not None
-        cluster.at(node, node.core.on_core, frames.WriteRequest(ident, node.settings.ip, 0, body))
+        cluster.at(node, node.core.on_message, frames.WriteRequest(ident, node.settings.ip, 0, body))
         if await cluster.until(lambda: all(node.relay.configuration.body == body for node in cluster.edges), 0.5) < 0.5:
             return
-    raise AssertionError({node.settings.node: node.relay.revision for node in cluster.edges})
+    raise AssertionError({node.settings.node: node.relay.configuration.revision for node in cluster.edges})
 
 
 def test_nodes_that_outlived_the_core_take_up_what_a_new_core_brings() -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -97,7 +97,7 @@
 
 
 def test_a_system_whose_core_never_mends_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("cypressbeam.consensus.replica.Keeper.mend", lambda self, now_s: [])
+    monkeypatch.setattr("cypressbeam.consensus.repair.Proposer.tick", lambda self, now_s: [])
     found = chaos.search(range(12))
     assert found is not None and "the core is not whole" in found[1]
 
@@ -130,19 +130,25 @@
 
     async def scenario() -> None:
         cluster.start_all()
-        await cluster.until(lambda: cluster.root is not None and len(cluster.root.core.roster.nodes) == 11)  # type: ignore
+        await cluster.until(
+            lambda: (
+                cluster.root is not None
+                and cluster.root.core is not None
+                and len(cluster.root.core.leader_role.registry.nodes) == 11
+            )
+        )
         root = cluster.root
         assert root is not None and root.core is not None
         name = cluster.edges[0].settings.node
         for _ in range(80):
             root.on_frame(root.peers.local, frames.SuspectReport(name))
             await asyncio.sleep(0.1)
-            assert name in root.core.roster.nodes
+            assert name in root.core.leader_role.registry.nodes
         host = next(host for host, settings in cluster.machines if settings.node == name)
         cluster.net.stop(host)
         await asyncio.sleep(4.5)
         root.on_frame(root.peers.local, frames.SuspectReport(name))
-        assert name not in root.core.roster.nodes
+        assert name not in root.core.leader_role.registry.nodes
 
     run_nodes(cluster, scenario())
 
@@ -159,16 +165,16 @@
         await asyncio.sleep(RENEW_S + 0.5)  # places that were told while the roster was filling are told anew by then
         root = cluster.root
         assert root is not None and root.core is not None and root.core.view is not None
-        life, epoch = root.relay.listing.life, root.core.view.epoch
+        life, epoch = root.relay.servers.listing.life, root.core.view.epoch
         head = next(machine for machine in cluster.machines if machine[1].ip == root.core.view.head)
-        before = {node.settings.node: node.relay.parent for node in cluster.edges}
+        before = {node.settings.node: node.relay.subscription.parent for node in cluster.edges}
         cluster.stop(*head)
         await cluster.until(
             lambda: root.core is not None and root.core.view is not None and root.core.view.epoch > epoch
         )
         await asyncio.sleep(1.5)
-        assert cluster.root is root and root.relay.listing.life == life
-        kept = [node for node in cluster.edges if before[node.settings.node] is node.relay.parent]
+        assert cluster.root is root and root.relay.servers.listing.life == life
+        kept = [node for node in cluster.edges if before[node.settings.node] is node.relay.subscription.parent]
         fed_by_the_head = [parent for parent in before.values() if parent is not None and parent.ip == head[1].ip]
         assert len(kept) == 12 - len(fed_by_the_head) > 6
         cluster.order_at(root.members()[0])
@@ -187,12 +193,12 @@
         child = next(
             node
             for node in cluster.nodes.values()
-            if node.relay.parent is not None and node.relay.parent.ip == root.settings.ip
+            if node.relay.subscription.parent is not None and node.relay.subscription.parent.ip == root.settings.ip
         )
-        link = child.relay.parent
+        link = child.relay.subscription.parent
         cluster.at(root, root.relay.children.release)
         await asyncio.sleep(0.02)
-        assert child.relay.parent is None and link is not None and not link.closed
+        assert child.relay.subscription.parent is None and link is not None and not link.closed
         assert await cluster.until(lambda: len(cluster.depths()) == 4) < 1.0
 
     run_nodes(cluster, scenario())
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -241,19 +241,19 @@
         await cluster.start_tree()
         cluster.order()
         await cluster.known_by_all()
-        child = next(node for node in cluster.edges if node.relay.parent is not None)
-        assert child.relay.parent is not None
+        child = next(node for node in cluster.edges if node.relay.subscription.parent is not None)
+        assert child.relay.subscription.parent is not None
         # It begins with a version that its parent has let go; then comes the newest.
         cluster.at(
             child,
             child.relay.configuration.on_news,
-            child.relay.parent,
+            child.relay.subscription.parent,
             frames.ConfigurationAnnouncement(2, digest(b"gone")),
         )
         cluster.revision = 2
         root = cluster.root
         assert root is not None
-        cluster.at(root, root.relay.publish, 3, cluster.configuration(3))
+        cluster.at(root, root.relay.configuration.publish, 3, cluster.configuration(3))
         cluster.revision = 3
         assert await cluster.known_by_all() < 1.0
 
--- a/tests/test_order_rules.py
+++ b/tests/test_order_rules.py
@@ -9,8 +9,11 @@
 import pytest
 
 from cypressbeam.consensus import deduplication
-from cypressbeam.consensus.chain import MAX_QUEUED_WRITES, ChainReplica, Entry, SendMessage, View
-from cypressbeam.consensus.replica import Keeper, Proposal
+from cypressbeam.consensus.chain import MAX_QUEUED_WRITES, ChainReplica
+from cypressbeam.consensus.effects import SendMessage
+from cypressbeam.consensus.repair import Proposal
+from cypressbeam.consensus.replica import Replica
+from cypressbeam.consensus.views import Entry, View
 from cypressbeam.node.control_api import AGAIN_S, PATIENCE_S, Control
 from cypressbeam.protocol import frames
 from cypressbeam.protocol.configuration import MOST_REVISION, digest
@@ -60,11 +63,11 @@
 @pytest.mark.parametrize(("status", "asks"), [(400, True), (412, True), (503, False), (200, False)])
 def test_what_names_the_version_in_force_waits_for_a_majority_s_word(status: int, asks: bool) -> None:
     world = quiet_world()
-    keeper = world.keepers["a"]
+    replica = world.replicas["a"]
     outcome = frames.WriteResult(7, status, "")
     told = [
         one.frame
-        for one in keeper.note_syncs([SendMessage("client", outcome)], world.now_s)
+        for one in replica.chain_effects([SendMessage("client", outcome)], world.now_s)
         if isinstance(one, SendMessage)
     ]
     assert (outcome not in told) is asks and any(isinstance(frame, frames.QuorumReadCheck) for frame in told) is asks
@@ -76,26 +79,29 @@
 ) -> None:
     """The next head may be the one that takes it, when a late copy comes."""
     world = quiet_world()
-    keeper, now_s = world.keepers["a"], world.now_s
-    for keeper.checks, final_now in ((1, final), (0, True)):  # the others' is 0: first before, then after the roll-out
-        told = keeper.note_syncs([SendMessage("client", frames.WriteResult(7, status, "no valid one"))], now_s)
+    replica, now_s = world.replicas["a"], world.now_s
+    for replica.check_version, final_now in (
+        (1, final),
+        (0, True),
+    ):  # the others' is 0: first before, then after the roll-out
+        told = replica.chain_effects([SendMessage("client", frames.WriteResult(7, status, "no valid one"))], now_s)
         assert (statuses(told) == {}) is final_now and (final_now or statuses(told) == {7: 503})
-        keeper.reads.clear()
+        replica.reads.pending.clear()
 
 
 def test_a_pulse_tells_the_version_of_the_check_and_that_stays_known_of_a_disk_in_trouble() -> None:
     world = quiet_world()
-    here, there = world.keepers["a"], world.keepers["b"]
-    assert here.judge_alike() and there.own_pulse(world.now_s).disk_flags == 1
-    there.checks = 3
-    here.on_pulse(there.own_pulse(world.now_s), world.now_s)
-    assert not here.judge_alike() and here.heard["b"].disk
-    there.disk_failed_s = world.now_s
-    here.on_pulse(there.own_pulse(world.now_s), world.now_s)
-    assert not here.judge_alike() and not here.heard["b"].disk
-    here.checks_of["x"] = 9  # no member: it will not be the head
-    here.checks, here.checks_of["c"] = 3, 3
-    assert here.judge_alike()
+    here, there = world.replicas["a"], world.replicas["b"]
+    assert here.checks_agree() and there.own_heartbeat(world.now_s).disk_flags == 1
+    there.check_version = 3
+    here.on_heartbeat(there.own_heartbeat(world.now_s), world.now_s)
+    assert not here.checks_agree() and here.failure_detector.peers["b"].disk_works
+    there.disk.failed_s = world.now_s
+    here.on_heartbeat(there.own_heartbeat(world.now_s), world.now_s)
+    assert not here.checks_agree() and not here.failure_detector.peers["b"].disk_works
+    here.peer_check_versions["x"] = 9  # no member: it will not be the head
+    here.check_version, here.peer_check_versions["c"] = 3, 3
+    assert here.checks_agree()
 
 
 # -- digests ------------------------------------------------------------------------------------------------------
@@ -123,27 +129,27 @@
 def test_between_machines_go_the_digests_that_the_other_lacks() -> None:
     """The proposer names the base of its newest entry; a promise brings what is above; each is sent what it lacks."""
     world = quiet_world()
-    for keeper in world.keepers.values():
-        assert keeper.member is not None
-        keeper.member.last = Entry(3, 256, 30, 20, b"30:x")
-        keeper.member.applied_digests.update({number: bytes([number]) * 32 for number in (10, 20, 30)})
-    keeper = world.keepers["a"]
-    (prepare, *_) = (one.frame for one in keeper.propose(world.now_s) if isinstance(one, SendMessage))
+    for replica in world.replicas.values():
+        assert replica.state.chain is not None
+        replica.state.chain.last = Entry(3, 256, 30, 20, b"30:x")
+        replica.state.chain.applied_digests.update({number: bytes([number]) * 32 for number in (10, 20, 30)})
+    replica = world.replicas["a"]
+    (prepare, *_) = (one.frame for one in replica.proposer.propose(world.now_s) if isinstance(one, SendMessage))
     assert isinstance(prepare, frames.Prepare) and prepare.digests_since == 20
-    promise = promised(world.keepers["b"], prepare, world.now_s)
+    promise = promised(world.replicas["b"], prepare, world.now_s)
     assert list(deduplication.unpack(promise.applied_digests)) == [30]
     proposal = Proposal(prepare.epoch, (), (), world.now_s, promises={promise.name: promise})
-    known = world.keepers["b"].all_taken()
+    known = world.replicas["b"].state.applied_digests()
     for name, sent in ((promise.name, [30]), ("c/empty", [10, 20, 30])):
-        accept = keeper.accept_for(proposal, name, (), (), promise, known)
+        accept = replica.proposer.accept_for(proposal, name, (), (), promise, known)
         assert list(deduplication.unpack(accept.applied_digests)) == sent and accept.digests_since == (
             20 if len(sent) == 1 else 0
         )
 
 
-def promised(keeper: Keeper, prepare: frames.Prepare, now_s: float) -> frames.Promise:
-    assert keeper.on_prepare(prepare, now_s)
-    (told,) = keeper.promise_saved(prepare.epoch, "a", now_s)
+def promised(replica: Replica, prepare: frames.Prepare, now_s: float) -> frames.Promise:
+    assert replica.on_prepare(prepare, now_s)
+    (told,) = replica.promise_persisted(prepare.epoch, "a", now_s)
     assert isinstance(told, SendMessage) and isinstance(told.frame, frames.Promise)
     return told.frame
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -10,8 +10,10 @@
 import cbor2
 import pytest
 
-from cypressbeam.consensus import deduplication, replica
-from cypressbeam.consensus.chain import ChainReplica, Entry, PersistEntry, SendMessage, View
+from cypressbeam.consensus import deduplication
+from cypressbeam.consensus.chain import ChainReplica
+from cypressbeam.consensus.effects import PersistEntry, PersistView, SendMessage
+from cypressbeam.consensus.views import Entry, View
 from cypressbeam.protocol import frames
 from cypressbeam.protocol.configuration import digest
 from cypressbeam.storage.store import FILE, Store
@@ -113,15 +115,15 @@
     """Level members are sent one or two; one with an empty disk is sent all that are kept."""
     world = World(1, loss=0.0)
     world.run(1.0)
-    for ip, keeper in world.keepers.items():
-        assert keeper.member is not None
+    for ip, replica in world.replicas.items():
+        assert replica.state.chain is not None
         for number in range(1, deduplication.MAX_DIGESTS + 1000):
-            entry = Entry(number, keeper.member.view.epoch, number * 10, number * 10 - 10, body(number))
-            keeper.member.entry_persisted(entry, world.now_s)
-            keeper.member.committed = number
+            entry = Entry(number, replica.state.chain.view.epoch, number * 10, number * 10 - 10, body(number))
+            replica.state.chain.entry_persisted(entry, world.now_s)
+            replica.state.chain.committed = number
             world.disks[ip].write(PersistEntry(entry))
         assert (
-            len(keeper.member.applied_digests) == deduplication.MAX_DIGESTS
+            len(replica.state.chain.applied_digests) == deduplication.MAX_DIGESTS
             and len(world.disks[ip].taken) == deduplication.MAX_DIGESTS
         )
     sent: dict[str, list[int]] = {"a": [], "b": [], "c": []}
@@ -139,7 +141,7 @@
     world.start("c")
     world.run(world.now_s + 5.0)
     assert max(sent["a"] + sent["b"]) < 400 and sent["c"][-1] > deduplication.MAX_DIGESTS * 40
-    new = world.keepers["c"].member
+    new = world.replicas["c"].state.chain
     assert new is not None and new.active and len(new.applied_digests) == deduplication.MAX_DIGESTS
     assert new.applied_digests == world.disks["a"].taken
 
@@ -171,10 +173,10 @@
 def test_a_machine_takes_up_no_view_whose_digests_it_can_not_complete() -> None:
     world = World(1, loss=0.0)
     world.run(1.0)
-    keeper = world.keepers["c"]
+    replica = world.replicas["c"]
     group = tuple(disk.name for disk in world.disks.values())
     frame = frames.Accept(
-        keeper.promised + 256,
+        replica.voter.promised + 256,
         group,
         group,
         5,
@@ -184,10 +186,10 @@
         deduplication.pack({50: invariants.digest(body(5))}),
         40,
     )
-    assert keeper.on_accept(frame, world.now_s) == []
-    keeper.taken[40] = invariants.digest(body(4))
-    (saved,) = keeper.on_accept(frame, world.now_s)
-    assert isinstance(saved, replica.SaveView) and list(saved.taken) == [40, 50]
+    assert replica.on_accept(frame, world.now_s) == []
+    replica.state.stored_digests[40] = invariants.digest(body(4))
+    (saved,) = replica.on_accept(frame, world.now_s)
+    assert isinstance(saved, PersistView) and list(saved.applied_digests) == [40, 50]
 
 
 # -- on disk ------------------------------------------------------------------------------------------------------
--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from cypressbeam.consensus.chain import Entry
+from cypressbeam.consensus.views import Entry
 from cypressbeam.node import core_machine as cores
 from cypressbeam.storage import files
 from cypressbeam.storage.store import Loaded, Store, StoreError, TornError
@@ -160,8 +160,10 @@
         if back_s:
             await asyncio.sleep(back_s)
             cluster.start(*cluster.machines[1])
-            await asyncio.sleep(cores.LOAD_S + 0.3)
-            assert cluster.nodes[name].relay.parent is not None or cluster.nodes[name].relay.is_root
+            await asyncio.sleep(cores.LOAD_TIMEOUT_S + 0.3)
+            assert (
+                cluster.nodes[name].relay.subscription.parent is not None or cluster.nodes[name].relay.position.is_root
+            )
         await chaos.settle(cluster, "the trouble")
 
     run_nodes(cluster, play())
--- a/tests/test_quorum_loss.py
+++ b/tests/test_quorum_loss.py
@@ -111,8 +111,8 @@
         cluster.start(host, replace(settings, bootstrap=False))
     await asyncio.sleep(TOLD_S - 1.0)
     core = cluster.nodes[cores[2][1].node].core
-    assert core is not None and core.quorum.loss is not None
-    return [one.absence for one in core.quorum.loss.missing]
+    assert core is not None and core.quorum_monitor.loss is not None
+    return [one.absence for one in core.quorum_monitor.loss.missing]
 
 
 @pytest.mark.usefixtures("quiet")
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -95,7 +95,10 @@
     return await cluster.until(
         lambda: (
             len(cluster.edges) == 24
-            and all(node.relay.revision and node.relay.registration.assignment is not None for node in cluster.edges)
+            and all(
+                node.relay.configuration.revision and node.relay.registration.assignment is not None
+                for node in cluster.edges
+            )
         )
     )
 
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from cypressbeam.consensus.chain import ip_of
 from cypressbeam.consensus.membership import ADD, REMOVE, REPLACE, MembershipChange
 from cypressbeam.consensus.replacement import PENDING_CHANGE_KEPT_S, SilenceTracker
+from cypressbeam.consensus.views import ip_of
 from cypressbeam.protocol.settings import SettingsError, parse
 from lab import power_loss_recovery, repair, replacements
 from lab.membership_churn import Turnover
@@ -141,11 +141,11 @@
         world.stop(ip)
     world.run(world.now_s + 2.0)
     assert here.departure_change(world.now_s) is None  # nobody is there: nobody is waited for
-    spare = world.keepers["b"]
-    assert spare.view is not None
-    spare.leaving = True
+    spare = world.replicas["b"]
+    assert spare.state.view is not None
+    spare.is_draining = True
     assert spare.offers_disk(world.now_s)  # as long as it is a member
-    spare.view = type(spare.view)(spare.view.epoch, ("a/0", "c/0"), ("a/0", "c/0", "d/0"))
+    spare.state.view = type(spare.state.view)(spare.state.view.epoch, ("a/0", "c/0"), ("a/0", "c/0", "d/0"))
     assert not spare.offers_disk(world.now_s)
 
 
--- a/tests/test_replacement_rules.py
+++ b/tests/test_replacement_rules.py
@@ -4,8 +4,8 @@
 
 from dataclasses import replace
 
-from cypressbeam.consensus.chain import ip_of
 from cypressbeam.consensus.membership import REPLACE, MembershipChange
+from cypressbeam.consensus.views import ip_of
 from lab.membership_churn import Turnover
 from tests.test_members import newest, world_at_rest
 
@@ -55,16 +55,16 @@
 
 def test_who_has_left_waits_for_the_view_on_the_disks_of_those_that_are_heard() -> None:
     world = world_at_rest()
-    here, keeper = world.replacements["a"], world.keepers["a"]
-    view = keeper.view
+    here, replica = world.replacements["a"], world.replicas["a"]
+    view = replica.state.view
     assert view is not None and not here.successors_lack_view(world.now_s)
-    keeper.view = replace(view, epoch=view.epoch + 256)
+    replica.state.view = replace(view, epoch=view.epoch + 256)
     assert not here.successors_lack_view(world.now_s)  # it is a member yet
     others = tuple(name for name in view.chain if ip_of(name) != "a")
-    keeper.view = replace(view, epoch=view.epoch + 256, chain=others, group=others)
+    replica.state.view = replace(view, epoch=view.epoch + 256, chain=others, group=others)
     assert here.successors_lack_view(world.now_s)
-    first, second = (keeper.heard[ip_of(name)] for name in others)
-    first.epoch = keeper.view.epoch
+    first, second = (replica.failure_detector.peers[ip_of(name)] for name in others)
+    first.epoch = replica.state.view.epoch
     assert here.successors_lack_view(world.now_s)
-    second.at_s -= 10.0  # it is silent
+    second.alive_s -= 10.0  # it is silent
     assert not here.successors_lack_view(world.now_s)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -17,8 +17,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cypressbeam.consensus.chain import Entry, View
-from cypressbeam.consensus.rollback_detection import HighWaterMarks
+from cypressbeam.consensus.high_water_marks import HighWaterMarks
+from cypressbeam.consensus.views import Entry, View
 from cypressbeam.storage import store as stores
 from cypressbeam.storage.store import FILE, Loaded, Store, StoreError
 
--- a/tests/test_validity.py
+++ b/tests/test_validity.py
@@ -9,7 +9,9 @@
 import cbor2
 import pytest
 
-from cypressbeam.consensus.chain import MAX_RESULT_TEXT, ChainReplica, PersistEntry, SendMessage, View
+from cypressbeam.consensus.chain import MAX_RESULT_TEXT, ChainReplica
+from cypressbeam.consensus.effects import PersistEntry, SendMessage
+from cypressbeam.consensus.views import View
 from cypressbeam.node.control_api import Control
 from cypressbeam.node.core_machine import revision_of
 from cypressbeam.protocol import configuration, frames
--- a/tests/test_word_rules.py
+++ b/tests/test_word_rules.py
@@ -9,12 +9,14 @@
 
 import pytest
 
-from cypressbeam.consensus.chain import View
-from cypressbeam.consensus.replica import DEAD_S
+from cypressbeam.consensus.failure_detection import FAILURE_TIMEOUT_S
+from cypressbeam.consensus.state import ReplicaState
+from cypressbeam.consensus.views import View
 from cypressbeam.distribution.outlier_reports import OutlierReports
 from cypressbeam.node.control_api import Control
-from cypressbeam.node.core_machine import ABOVE_S, INTRODUCE_S, Core
+from cypressbeam.node.core_machine import HIGHER_EPOCH_S, CoreMachine
 from cypressbeam.node.gateway_node import ALONE_S, GatewayNode
+from cypressbeam.node.leader_role import INTRODUCTION_INTERVAL_S
 from cypressbeam.protocol import configuration, frames
 from cypressbeam.storage.store import Loaded
 from cypressbeam.transport.peers import Link
@@ -25,36 +27,37 @@
 
 
 class Machine(Part):
-    """A machine of the core, the last of its chain, whose keeper says what a test wants it to say."""
+    """A machine with a disk, the tail of its chain, whose replica says what a test wants it to say."""
 
     def __init__(self) -> None:
         super().__init__()
         self.contact_s, self.leads, self.proposed = self.now_s, True, 0
         self.told: list[tuple[str, frames.Frame]] = []
-        self.core = Core(SETTINGS, self.relay, lambda ip, frame: self.told.append((ip, frame)), Mock())
-        self.core.loop = self.relay.context.loop
+        self.core = CoreMachine(SETTINGS, self.relay, lambda ip, frame: self.told.append((ip, frame)), Mock())
+        self.core.loop = self.core.leader_role.loop = self.relay.context.loop
         self.heard = {OTHER: SimpleNamespace(epoch=SECOND), ROOT: SimpleNamespace(epoch=SECOND)}
-        self.keeper = SimpleNamespace(
-            view=VIEW,
+        self.state = ReplicaState(f"{ME}/a", 1, len, bytes)
+        self.state.view, self.state.highest_epoch = VIEW, SECOND
+        detector = SimpleNamespace(
+            peers=self.heard, has_quorum_contact=lambda now_s: now_s - self.contact_s <= FAILURE_TIMEOUT_S
+        )
+        self.replica: Any = SimpleNamespace(
             name=f"{ME}/a",
-            promised=SECOND,
-            root=True,
-            heard=self.heard,
-            proposal=None,
-            seen_epoch=SECOND,
-            contact_s=lambda now_s: self.contact_s,
-            leads=lambda now_s: self.leads,
-            propose=self.propose,
+            state=self.state,
+            voter=SimpleNamespace(promised=SECOND),
+            leadership=SimpleNamespace(is_leader=True, leads=lambda now_s: self.leads),
+            failure_detector=detector,
+            proposer=SimpleNamespace(proposal=None, propose=self.propose),
         )
-        self.core.keeper = cast(Any, self.keeper)
+        self.core.replica = cast(Any, self.replica)
 
     def propose(self, now_s: float) -> list[Any]:
-        self.proposed = self.keeper.seen_epoch
+        self.proposed = self.state.highest_epoch
         return []
 
     def as_root(self) -> Machine:
-        self.core.lead(True)
-        assert self.relay.is_root
+        self.core.set_leadership(True)
+        assert self.relay.position.is_root
         self.told.clear()
         return self
 
@@ -68,14 +71,14 @@
         machine = Machine()
         machine.leads = False
         if why == "no majority":
-            machine.now_s += DEAD_S + 0.01
+            machine.now_s += FAILURE_TIMEOUT_S + 0.01
         elif why == "a later view":
             machine.heard[ROOT].epoch = THIRD
         elif why == "a later promise":
-            machine.keeper.promised = THIRD
+            machine.replica.voter.promised = THIRD
         elif why == "a higher epoch":
-            machine.relay.see(THIRD)
-        assert machine.core.vouched() == named
+            machine.relay.fence.see(THIRD)
+        assert machine.core.vouched_leader() == named
 
     run(scenario())
 
@@ -83,10 +86,10 @@
 def test_a_machine_that_is_no_member_names_the_root_as_any_other_node() -> None:
     async def scenario() -> None:
         machine = Machine()
-        machine.keeper.view = replace(VIEW, group=VIEW.group[1:])
-        assert machine.core.vouched() == ""
+        machine.state.view = replace(VIEW, group=VIEW.group[1:])
+        assert machine.core.vouched_leader() == ""
         machine.under(SECOND)
-        assert machine.core.vouched() == ROOT
+        assert machine.core.vouched_leader() == ROOT
 
     run(scenario())
 
@@ -95,11 +98,11 @@
     async def scenario() -> None:
         machine = Machine()
         machine.leads = False
-        machine.core.note_epoch()
-        assert machine.relay.epoch == 0 and machine.relay.group == (ME, OTHER, ROOT)
+        machine.core.observe_epoch()
+        assert machine.relay.fence.epoch == 0 and machine.relay.fence.group == (ME, OTHER, ROOT)
         machine.leads = True
-        machine.core.note_epoch()
-        assert machine.relay.epoch == SECOND
+        machine.core.observe_epoch()
+        assert machine.relay.fence.epoch == SECOND
 
     run(scenario())
 
@@ -108,10 +111,10 @@
     async def scenario() -> None:
         machine = Machine().as_root()
         link = machine.child(SECOND)
-        machine.relay.see(THIRD)
-        assert not machine.relay.is_root and link.kinds()[-1] == "Unsubscribed"
-        machine.core.lead(True)
-        assert not machine.relay.is_root
+        machine.relay.fence.see(THIRD)
+        assert not machine.relay.position.is_root and link.kinds()[-1] == "Unsubscribed"
+        machine.core.set_leadership(True)
+        assert not machine.relay.position.is_root
 
     run(scenario())
 
@@ -120,9 +123,9 @@
     async def scenario() -> None:
         machine = Machine().as_root()
         link = machine.child(SECOND)
-        machine.keeper.view = replace(VIEW, epoch=THIRD)
-        machine.relay.see(THIRD)
-        assert machine.relay.is_root and link in machine.relay.children.links
+        machine.state.view = replace(VIEW, epoch=THIRD)
+        machine.relay.fence.see(THIRD)
+        assert machine.relay.position.is_root and link in machine.relay.children.links
         assert isinstance(link.sent[-1], frames.RootHeartbeat) and link.sent[-1].epoch == THIRD
 
     run(scenario())
@@ -131,25 +134,25 @@
 def test_a_tail_below_what_nodes_have_seen_is_no_root_and_proposes_a_view_above_that() -> None:
     async def scenario() -> None:
         machine = Machine()
-        machine.relay.see(THIRD)
-        machine.core.follow(machine.now_s)
-        assert not machine.relay.is_root
-        machine.now_s += ABOVE_S - 0.1
-        machine.core.follow(machine.now_s)
+        machine.relay.fence.see(THIRD)
+        machine.core.follow_leadership(machine.replica, machine.now_s)
+        assert not machine.relay.position.is_root
+        machine.now_s += HIGHER_EPOCH_S - 0.1
+        machine.core.follow_leadership(machine.replica, machine.now_s)
         assert not machine.proposed
         machine.now_s += 0.1
-        machine.core.follow(machine.now_s)
-        assert machine.proposed >= THIRD and not machine.relay.is_root
+        machine.core.follow_leadership(machine.replica, machine.now_s)
+        assert machine.proposed >= THIRD and not machine.relay.position.is_root
 
     run(scenario())
 
 
-def test_a_keeper_that_is_the_root_no_more_ends_it_here() -> None:
+def test_a_replica_that_leads_no_more_ends_it_here() -> None:
     async def scenario() -> None:
         machine = Machine().as_root()
-        machine.keeper.root = False
-        machine.core.follow(machine.now_s)
-        assert not machine.relay.is_root
+        machine.replica.leadership.is_leader = False
+        machine.core.follow_leadership(machine.replica, machine.now_s)
+        assert not machine.relay.position.is_root
 
     run(scenario())
 
@@ -161,11 +164,11 @@
         child, link = machine.child(SECOND), machine.wire("10.0.0.30")
         child.sent.clear()
         if not contact:
-            machine.now_s += DEAD_S + 0.01
-        machine.core.went_on_s = machine.now_s
+            machine.now_s += FAILURE_TIMEOUT_S + 0.01
+        machine.core.last_turn_s = machine.now_s
         machine.core.on_join(link, frames.JoinRequest("x", link.ip, "a", frames.SERVES_CLIENTS, 0, "", epoch=SECOND))
         machine.core.take_list([])
-        machine.core.introduce(machine.now_s + INTRODUCE_S)
+        machine.core.leader_role.introduce(machine.now_s + INTRODUCTION_INTERVAL_S)
         assert link.kinds() == (["ParentAssignment"] if contact else ["LeaderRedirect"])
         assert child.kinds() == (["EndpointUpdate"] if contact else [])
         assert [type(frame) for _, frame in machine.told] == ([frames.LeaderRedirect] if contact else [])
@@ -227,8 +230,8 @@
 def test_a_machine_judges_by_the_version_of_its_program() -> None:
     async def scenario() -> None:
         machine = Machine()
-        machine.core.take_up(Loaded("abc", 0, None, None, {}))
-        assert machine.core.keeper is not None and machine.core.keeper.checks == configuration.CHECKS > 0
+        machine.core.adopt(Loaded("abc", 0, None, None, {}))
+        assert machine.core.replica is not None and machine.core.replica.check_version == configuration.CHECKS > 0
 
     run(scenario())
 
