--- a/cypressbeam/admin/backup.py
+++ b/cypressbeam/admin/backup.py
@@ -7,12 +7,12 @@
 import cbor2
 
 from cypressbeam.admin.config_calls import push, read, revision
-from cypressbeam.admin.errors import Refused, Unusable
+from cypressbeam.admin.errors import RequestRefusedError, UnusableFileError
 from cypressbeam.admin.status import read_state
 from cypressbeam.protocol import configuration
-from cypressbeam.protocol.configuration import Invalid
+from cypressbeam.protocol.configuration import InvalidConfigurationError
 from cypressbeam.standalone.discovery import Address
-from cypressbeam.storage.files import write_whole
+from cypressbeam.storage.files import write_atomically
 
 #: The first field of a saved state, and its version.
 BACKUP_FORMAT = "cypressbeam state 1"
@@ -32,7 +32,7 @@
             "body": body,
         }
     )
-    write_whole(file, data)
+    write_atomically(file, data)
     return f"revision {number} saved to {file}"
 
 
@@ -41,13 +41,13 @@
     try:
         saved = cbor2.loads(file.read_bytes())
         if saved["format"] != BACKUP_FORMAT:
-            raise Unusable(f"{file}: format {saved['format']!r}; {BACKUP_FORMAT!r} is wanted")
+            raise UnusableFileError(f"{file}: format {saved['format']!r}; {BACKUP_FORMAT!r} is wanted")
         body: bytes = saved["body"]
         if configuration.digest(body) != saved["digest"]:
-            raise Unusable(f"{file}: the body does not match its digest")
+            raise UnusableFileError(f"{file}: the body does not match its digest")
         return configuration.read(body).revision, body
-    except (cbor2.CBORError, Invalid, KeyError, TypeError, ValueError) as err:
-        raise Unusable(f"{file}: no saved state: {err}") from None
+    except (cbor2.CBORError, InvalidConfigurationError, KeyError, TypeError, ValueError) as err:
+        raise UnusableFileError(f"{file}: no saved state: {err}") from None
 
 
 async def restore(where: Address, file: Path, over: bool) -> str:
@@ -59,6 +59,8 @@
         if await read(where) == body:
             return f"revision {saved} is in force already"
         if not over:
-            raise Refused(f"revision {held} is in force, {saved} was saved; --over brings it back as {held + 1}")
+            raise RequestRefusedError(
+                f"revision {held} is in force, {saved} was saved; --over brings it back as {held + 1}"
+            )
         body = cbor2.dumps(cbor2.loads(body) | {"revision": held + 1})
     return await push(where, body, held)
--- a/cypressbeam/admin/calls.py
+++ b/cypressbeam/admin/calls.py
@@ -5,14 +5,14 @@
 import msgspec
 
 from cypressbeam.proxy.http_responses import Answer
-from cypressbeam.standalone.discovery import Address, ListConnection
+from cypressbeam.standalone.discovery import Address, HttpClient
 
 CALL_S = 5.0
 
 
 async def call(where: Address, method: str, path: bytes, head: str = "", body: bytes = b"") -> Answer:
     """One call to a control listener. Raises OSError, EOFError or TimeoutError where nothing answers."""
-    connection = ListConnection(where)
+    connection = HttpClient(where)
     await connection.open()
     try:
         text = f"{method} {path.decode()} HTTP/1.1\r\nHost: control\r\n{head}Content-Length: {len(body)}\r\n\r\n"
--- a/cypressbeam/admin/config_calls.py
+++ b/cypressbeam/admin/config_calls.py
@@ -8,7 +8,7 @@
 
 from cypressbeam.admin.calls import call
 from cypressbeam.admin.config_file import flatten, load
-from cypressbeam.admin.errors import Refused
+from cypressbeam.admin.errors import RequestRefusedError
 from cypressbeam.node.control_api import READ, REPLACE
 from cypressbeam.protocol import configuration
 from cypressbeam.proxy.http_responses import Answer
@@ -24,7 +24,7 @@
     try:
         return read_address(location.removeprefix("http://").partition("/")[0])
     except ValueError:
-        raise Refused(f"307: Location is {location!r}; http://host:port is wanted") from None
+        raise RequestRefusedError(f"307: Location is {location!r}; http://host:port is wanted") from None
 
 
 async def read(where: Address) -> bytes:
@@ -35,7 +35,9 @@
             break
         answer = await call(read_location(answer), "GET", READ)
     if answer.status != 200:
-        raise Refused(f"{answer.status}: {answer.body.decode(errors='replace').strip() or 'no configuration'}")
+        raise RequestRefusedError(
+            f"{answer.status}: {answer.body.decode(errors='replace').strip() or 'no configuration'}"
+        )
     return answer.body
 
 
@@ -43,7 +45,7 @@
     """The revision in force, 0 before the first."""
     try:
         return configuration.read(await read(where)).revision
-    except Refused as err:
+    except RequestRefusedError as err:
         if str(err).startswith("404"):
             return 0
         raise
@@ -56,7 +58,7 @@
     answer = await call(where, "POST", REPLACE, f"Base-Revision: {base}\r\nContent-Type: application/cbor\r\n", body)
     text = answer.body.decode(errors="replace").strip()
     if answer.status != 200:
-        raise Refused(f"{answer.status}: {text}")
+        raise RequestRefusedError(f"{answer.status}: {text}")
     return f"revision {configuration.read(body).revision} is in force ({text})"
 
 
--- a/cypressbeam/admin/config_file.py
+++ b/cypressbeam/admin/config_file.py
@@ -9,9 +9,9 @@
 
 import cbor2
 
-from cypressbeam.admin.errors import Unusable
+from cypressbeam.admin.errors import UnusableFileError
 from cypressbeam.protocol import configuration
-from cypressbeam.protocol.configuration import Channel, Configuration, Invalid
+from cypressbeam.protocol.configuration import Configuration, InvalidConfigurationError, RouteConfiguration
 
 #: A setpoint over this share of the cut-off leaves no time for a second try.
 LATE_SETPOINT = 0.5
@@ -26,7 +26,7 @@
         if file.suffix == ".toml":
             return cbor2.dumps(tomllib.loads(data.decode()))
     except ValueError as err:
-        raise Unusable(f"{file}: {err}") from None
+        raise UnusableFileError(f"{file}: {err}") from None
     return data
 
 
@@ -34,45 +34,50 @@
     """Why a configuration is invalid, or what is odd about it and where its routes lead."""
     try:
         read = configuration.read(load(file))
-    except Invalid as err:
+    except InvalidConfigurationError as err:
         return {"invalid": str(err), "odd": [], "routes": []}
     return {
         "invalid": None,
         "revision": read.revision,
         "odd": oddities(read),
-        "routes": [describe_route(channel) for channel in read.channels],
+        "routes": [describe_route(channel) for channel in read.routes],
     }
 
 
-def describe_route(channel: Channel) -> str:
+def describe_route(channel: RouteConfiguration) -> str:
     """Where a route leads, and how its requests are treated."""
-    shares = channel.shares()
-    total = sum(share.gain for share in shares)
-    leads = ", ".join(f"{share.plant} {share.gain / total:.0%}" if len(shares) > 1 else share.plant for share in shares)
+    shares = channel.weighted_services()
+    total = sum(share.weight for share in shares)
+    leads = ", ".join(
+        f"{share.service} {share.weight / total:.0%}" if len(shares) > 1 else share.service for share in shares
+    )
     return (
         f"{channel.host}{channel.prefix} -> {leads} ({channel.mode}, {channel.tries} tries, wanted in"
-        f" {channel.setpoint_ms:g} ms, given up after {channel.cutoff_ms:g} ms, rank {channel.rank})"
+        f" {channel.latency_target_ms:g} ms, given up after {channel.timeout_ms:g} ms, rank {channel.rank})"
     )
 
 
 def oddities(read: Configuration) -> list[str]:
     """What is valid and probably not meant."""
     found = []
-    led_to = {share.plant for channel in read.channels for share in channel.shares()}
-    found += [f"plants[{plant.label}]: no route leads here" for plant in read.plants if plant.label not in led_to]
-    for channel in read.channels:
+    led_to = {share.service for channel in read.routes for share in channel.weighted_services()}
+    found += [f"plants[{plant.label}]: no route leads here" for plant in read.services if plant.label not in led_to]
+    for channel in read.routes:
         where = f"channels[{channel.label}]"
-        if channel.setpoint_ms > channel.cutoff_ms:
+        if channel.latency_target_ms > channel.timeout_ms:
             found.append(
-                f"{where}: the aim of {channel.setpoint_ms:g} ms lies behind the end at {channel.cutoff_ms:g} ms"
+                f"{where}: the aim of {channel.latency_target_ms:g} ms lies behind the end at {channel.timeout_ms:g} ms"
             )
-        elif channel.tries > 1 and channel.setpoint_ms > LATE_SETPOINT * channel.cutoff_ms:
+        elif channel.tries > 1 and channel.latency_target_ms > LATE_SETPOINT * channel.timeout_ms:
             found.append(
-                f"{where}: an aim of {channel.setpoint_ms:g} of {channel.cutoff_ms:g} ms leaves little for a second try"
+                f"{where}: an aim of {channel.latency_target_ms:g} of {channel.timeout_ms:g} ms leaves little for a"
+                " second try"
             )
         if channel.mode != "idempotent" and channel.tries > 1:
             found.append(f"{where}: {channel.mode} requests are tried again only where they surely did not run")
-        found += [f"{where}.allocation: {share.plant} has weight 0" for share in channel.allocation if share.gain == 0]
+        found += [
+            f"{where}.allocation: {share.service} has weight 0" for share in channel.allocation if share.weight == 0
+        ]
     return found
 
 
--- a/cypressbeam/admin/errors.py
+++ b/cypressbeam/admin/errors.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 
-class Unusable(Exception):
+class UnusableFileError(Exception):
     """A file that can't be used, or an answer that makes no sense: one line."""
 
 
-class Refused(Exception):
+class RequestRefusedError(Exception):
     """The system has answered, and not with what was asked for: one line."""
--- a/cypressbeam/admin/membership.py
+++ b/cypressbeam/admin/membership.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from cypressbeam.admin.calls import call, reason_of
-from cypressbeam.admin.errors import Refused
+from cypressbeam.admin.errors import RequestRefusedError
 from cypressbeam.admin.status import describe_quorum_loss, read_state
 from cypressbeam.consensus.views import ip_of
 from cypressbeam.node.control_api import MEMBERS
@@ -55,7 +55,7 @@
         while True:
             answer = await call(where, "POST", MEMBERS, "Content-Type: application/json\r\n", body)
             if answer.status not in (200, 202, 503):
-                raise Refused(f"{answer.status}: {reason_of(answer)}")
+                raise RequestRefusedError(f"{answer.status}: {reason_of(answer)}")
             if answer.status == 200:
                 done: dict[str, Any] = msgspec.json.decode(answer.body)
                 return done
--- a/cypressbeam/admin/status.py
+++ b/cypressbeam/admin/status.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from cypressbeam.admin.calls import call
-from cypressbeam.admin.errors import Refused
+from cypressbeam.admin.errors import RequestRefusedError
 from cypressbeam.node.state_query import STATE
 from cypressbeam.standalone.discovery import Address
 
@@ -16,7 +16,7 @@
     """The state as a node tells it. Raises Refused."""
     answer = await call(where, "GET", STATE)
     if answer.status != 200:
-        raise Refused(f"{answer.status}: {answer.body.decode(errors='replace').strip()}")
+        raise RequestRefusedError(f"{answer.status}: {answer.body.decode(errors='replace').strip()}")
     told: dict[str, Any] = msgspec.json.decode(answer.body)
     return told
 
--- a/cypressbeam/balancing/balancer.py
+++ b/cypressbeam/balancing/balancer.py
@@ -13,7 +13,7 @@
 from statistics import median_low
 
 from cypressbeam.balancing import interface as it
-from cypressbeam.balancing.interface import Ending, Repeat
+from cypressbeam.balancing.interface import AttemptOutcome, Repeat
 
 # Time-outs: the share of answers that may be cut off falsely, the padding over the median, and how many
 # answers must have been seen before a percentile means anything. With fewer, from the least number on, the tail
@@ -43,7 +43,7 @@
 # But only while half of the servers have at most this share of faults, by plain count: where most fail now and then,
 # one fault does not tell one from another, and to leave each of them for it would leave nearly all.
 RARE_FAULTS = 0.1
-FAULTS = frozenset({Ending.ERROR, Ending.RESET, Ending.CONNECT_FAILED})
+FAULTS = frozenset({AttemptOutcome.ERROR, AttemptOutcome.RESET, AttemptOutcome.CONNECT_FAILED})
 # A refused client is asked to stay away for at least so long (microseconds).
 LEAST_ADVICE_US = 50_000
 # Smoothing of observed latency and of reported service time (weight of the newest value).
@@ -124,7 +124,7 @@
 RESUBSCRIBE_CAP_US = 4_000_000
 
 
-class Percentile:
+class LatencyPercentile:
     """Latency percentiles from a histogram with geometric buckets, whose counts decay."""
 
     STEP = math.log(2) / 8
@@ -146,7 +146,7 @@
             self.counts = [c / 2 for c in self.counts]
             self.total, self.logs, self.squares = self.total / 2, self.logs / 2, self.squares / 2
 
-    def above(self, share: float) -> float:
+    def exceeding(self, share: float) -> float:
         """The latency that a share of the answers exceeds (the upper edge of its bucket)."""
         left = share * self.total
         for bucket in range(255, -1, -1):
@@ -163,7 +163,7 @@
         a server that had fallen mute was held until its client gave up, 20 s.
         """
         if self.total >= MIN_SAMPLES:
-            return self.above(FALSE_TIMEOUTS)
+            return self.exceeding(FALSE_TIMEOUTS)
         if not few or self.total < LEAST_SAMPLES:
             return 0.0
         usual = self.logs / self.total
@@ -172,7 +172,7 @@
         return math.exp(usual + deviation * (TAIL_DEVIATIONS + TAIL_DEVIATIONS / math.sqrt(self.total)))
 
 
-class TokenBucket:
+class RetryBudget:
     """The retry budget, or a tenant's share: free while it holds tokens, then at the rate that refills it."""
 
     def __init__(self, most: float, per_s: float = 0.0) -> None:
@@ -192,7 +192,7 @@
         return True
 
 
-class Throttle:
+class AdaptiveThrottle:
     """Adaptive throttling: refuses at the door as far as answers come late, whatever makes them late."""
 
     # Trouble: of hundreds of proxies each holds about one attempt, so none sees a queue grow.
@@ -209,12 +209,12 @@
         self.passing += step * min(THROTTLE_STEP, 1.0 / self.judged)
         self.passing = min(max(self.passing, THROTTLE_LEAST), THROTTLE_SAVED)
 
-    def shed(self) -> float:
+    def should_shed(self) -> float:
         """The share of the work asked for that is to be refused now."""
         return max(0.0, 1.0 - self.passing)
 
 
-class Demand:
+class TenantDemand:
     """The work that arrives for each class, lately, and the part of each that fits into a share of it all."""
 
     # Trouble: the throttle refused all classes alike, so what it left of the fleet went to the cheapest as
@@ -245,7 +245,7 @@
         return min(1.0, max(room, 0.0) * earns[name] / claims) if claims > 0 else 1.0
 
 
-class Crossing:
+class ZoneSpillover:
     """How freely requests leave their zone: as far as answers near by are later than away, past the price."""
 
     # Trouble: one zone had three times the traffic for its servers that another had. Every proxy there saw
@@ -257,7 +257,7 @@
         self.ease = 0.0
 
     def count(self, near: bool, late: bool) -> None:
-        self.late[near] = smooth(self.late[near], float(late), CROSSING_NEWEST)
+        self.late[near] = ewma(self.late[near], float(late), CROSSING_NEWEST)
         self.late[not near] *= 1.0 - CROSSING_FADES  # or a side that is left would stay as it last was
         gain = self.late[True] - self.late[False] - self.least_gain
         self.ease = min(max(self.ease + CROSSING_STEP * gain, 0.0), 1.0)
@@ -292,12 +292,12 @@
         return next((a for a in self.attempts if not a.never_ran), None)
 
 
-class Server:
+class ServerView:
     """What this proxy knows of one server, from its list entry and its own traffic."""
 
     def __init__(self, entry: it.ServerEntry) -> None:
         self.place = digest(entry.server)
-        self.list_as(entry)
+        self.update_entry(entry)
         self.out: dict[tuple[str, int], int] = {}
         self.latency_us: float | None = None
         self.service_us: float | None = None
@@ -307,27 +307,27 @@
         self.success = 1.0
         self.plain_success = 1.0  # with all endings of one weight
         self.fault_share = 0.0  # the same
-        self.trial_us = 0
-        self.faults = 0  # in a row
-        self.rest_us = TRIAL_US  # before it is tried again when unwell
+        self.trial_at_us = 0
+        self.consecutive_faults = 0  # in a row
+        self.ejected_until_us = TRIAL_US  # before it is tried again when unwell
         self.rank = self.base_us = self.load = self.work_us = 0.0  # C3's, and what it is made of
         self.pace_us: float | None = None  # time between answers while any is awaited
         self.usual_pace_us: float | None = None
         self.waited_us = 0
         self.since_us = 0
         self.answered_us = 0  # when the latest attempt that was answered had been sent
-        self.unwell = False
+        self.is_unhealthy = False
 
-    def list_as(self, entry: it.ServerEntry) -> None:
+    def update_entry(self, entry: it.ServerEntry) -> None:
         self.entry = entry
         self.told_gone = entry.state is not it.ServerState.ACTIVE
         self.listed = entry.state is not it.ServerState.GONE
 
-    def rank_with(self, crossing: float) -> float:
+    def update_rank(self, crossing: float) -> float:
         """C3's rank, were so many requests more in hand here."""
         return self.base_us + (1.0 + self.load + crossing) ** 3 * self.work_us
 
-    def awaited(self, now_us: int, lost_us: float) -> tuple[int, int]:
+    def outstanding(self, now_us: int, lost_us: float) -> tuple[int, int]:
         """How many attempts an answer is still expected for, and when the first of them was sent.
 
         Trouble: requests that never get an answer, on connections that fell silent, passed for a long queue
@@ -341,7 +341,7 @@
 
     def tick(self, now_us: int, lost_us: float) -> None:
         """Count the time in which an answer was awaited; call before `out` changes."""
-        if self.out and self.awaited(now_us, lost_us)[0]:
+        if self.out and self.outstanding(now_us, lost_us)[0]:
             self.waited_us += now_us - self.since_us
         self.since_us = now_us
 
@@ -351,17 +351,17 @@
         if report.queue is not None:
             self.queue = report.queue
         if report.service_us:  # 0: it has served none yet, and would rank first whatever it had in hand
-            self.service_us = smooth(self.service_us, report.service_us, SERVICE_NEWEST)
-            self.usual_us = smooth(self.usual_us, report.service_us, SLOW_NEWEST)
+            self.service_us = ewma(self.service_us, report.service_us, SERVICE_NEWEST)
+            self.usual_us = ewma(self.usual_us, report.service_us, SLOW_NEWEST)
 
 
-def smooth(old: float | None, new: float, newest: float) -> float:
+def ewma(old: float | None, new: float, newest: float) -> float:
     return new if old is None else old + newest * (new - old)
 
 
 def lowest(old: float | None, new: float) -> float:
     """Follows the low side: quickly down, slowly up. Crowding at the start must not pass for the usual."""
-    return smooth(old, new, SLOW_NEWEST if old is not None and new > old else LATENCY_NEWEST)
+    return ewma(old, new, SLOW_NEWEST if old is not None and new > old else LATENCY_NEWEST)
 
 
 def mean(values: list[float]) -> float | None:
@@ -375,23 +375,23 @@
         self.settings = settings
         self.chance = random.Random(seed)
         self.kinds = {kind.name: kind for kind in settings.classes}
-        self.servers: dict[str, Server] = {}
-        self.pool: list[Server] = []
+        self.servers: dict[str, ServerView] = {}
+        self.pool: list[ServerView] = []
         self.reach: list[float] = []  # running sums of the weights by which the pool is drawn from
         self.capacity = 0.0  # of the pool, in servers of the usual speed
         self.drawn = ""  # the cold server that this request may go to
         self.sharers = 1.0  # proxies that use a server, on average
         self.requests: dict[str, Request] = {}
-        self.percentiles = {kind.name: Percentile() for kind in settings.classes}
+        self.percentiles = {kind.name: LatencyPercentile() for kind in settings.classes}
         self.hints: dict[str, float] = {}
-        self.budget = TokenBucket(settings.retry_burst)
+        self.budget = RetryBudget(settings.retry_burst)
         if settings.retry_from_empty:
             self.budget.tokens = 0.0
-        self.throttle = Throttle()
-        self.crossing = Crossing(settings.prices.cross_zone)
+        self.throttle = AdaptiveThrottle()
+        self.spillover = ZoneSpillover(settings.prices.cross_zone)
         # This proxy's part of each tenant's share; one without a share has no bound.
         parts = {name: rate / settings.proxies for name, rate in settings.tenants.items() if rate}
-        self.shares = {name: TokenBucket(SHARE_SAVED_S * part + SHARE_SLACK, part) for name, part in parts.items()}
+        self.shares = {name: RetryBudget(SHARE_SAVED_S * part + SHARE_SLACK, part) for name, part in parts.items()}
         self.timers: dict[int, tuple[str, str]] = {}
         self.last_token = 0
         self.actions: list[it.Action] = []
@@ -403,20 +403,20 @@
         self.crowd_us = math.inf
         self.faults_are_rare = True
         self.spread = 1.0
-        self.demand = Demand([kind.name for kind in settings.classes])
-        self.earns = {kind.name: 1.0 for kind in settings.classes}
+        self.demand = TenantDemand([kind.name for kind in settings.classes])
+        self.value_weights = {kind.name: 1.0 for kind in settings.classes}
         self.standing = {kind.name: 1.0 for kind in settings.classes}
         # What was learned of keys, now and in the span before: most keys never come again.
         self.met: dict[str, dict[str, int]] = {}  # when a server last answered for a key
         self.met_before: dict[str, dict[str, int]] = {}
-        self.homes: dict[str, str] = {}
-        self.homes_before: dict[str, str] = {}
+        self.affinity: dict[str, str] = {}
+        self.previous_affinity: dict[str, str] = {}
         self.keys_since_us = 0
-        self.lost_us = math.inf
+        self.presumed_lost_us = math.inf
         self.wait_us = 0.0  # how long the choice that failed last would have to wait for room
-        self.patience_us: dict[str, float] = {}
+        self.attempt_timeouts_us: dict[str, float] = {}
         # Consistent jitter: the same fraction on this proxy every time, spread over the proxies.
-        self.phase = (settings.me * 0.6180339887498949) % 1.0
+        self.phase = (settings.own_name * 0.6180339887498949) % 1.0
         self.logged: dict[str, int] = {}
 
     # -- events --------------------------------------------------------------------------------------
@@ -446,8 +446,8 @@
             self.on_stream(event)
         elif isinstance(event, it.SettingsChanged):
             self.on_settings(event.settings)
-        elif isinstance(event, it.ServerAils):
-            self.on_ails(self.servers.get(event.server))
+        elif isinstance(event, it.ServerUnhealthy):
+            self.on_unhealthy(self.servers.get(event.server))
         elif isinstance(event, it.ProbeEnded) and event.server in self.servers:
             self.servers[event.server].learn(event.report)
         return self.actions
@@ -462,7 +462,7 @@
         what, about = self.timers.pop(token, ("", ""))
         if what == "housekeeping":
             for held in self.requests.values():
-                self.judge(held, served=False)
+                self.record_outcome(held, served=False)
             self.forget()
             self.refresh_all()
             self.timer(HOUSEKEEPING_US, "housekeeping")
@@ -479,7 +479,7 @@
         if self.now_us - self.keys_since_us >= KEY_MEMORY_US:
             self.keys_since_us = self.now_us
             self.met_before, self.met = self.met, {}
-            self.homes_before, self.homes = self.homes, {}
+            self.previous_affinity, self.affinity = self.affinity, {}
         for name in [name for name, server in self.servers.items() if not server.listed and not server.out]:
             del self.servers[name]
 
@@ -494,13 +494,13 @@
         kinds = {request.kind.name: request.kind for request in self.requests.values()}
         kinds |= {kind.name: kind for kind in settings.classes}
         self.settings, self.kinds = settings, kinds
-        self.percentiles = {name: self.percentiles.get(name) or Percentile() for name in kinds}
+        self.percentiles = {name: self.percentiles.get(name) or LatencyPercentile() for name in kinds}
         self.demand.asked = {name: self.demand.asked.get(name, 0.0) for name in kinds}
         self.budget.most = settings.retry_burst
         self.budget.earn(0.0)
-        self.crossing.least_gain = CROSSING_GAIN * settings.prices.cross_zone
-        self.phase = (settings.me * 0.6180339887498949) % 1.0
-        self.lay_out()
+        self.spillover.least_gain = CROSSING_GAIN * settings.prices.cross_zone
+        self.phase = (settings.own_name * 0.6180339887498949) % 1.0
+        self.rebuild_working_set()
 
     # -- membership ------------------------------------------------------------------------------------
 
@@ -526,29 +526,29 @@
             known = self.servers.get(entry.server)
             if known is not None and entry.started_us <= known.entry.started_us:
                 was_gone = known.told_gone
-                known.list_as(entry)
+                known.update_entry(entry)
                 moved = moved or known.told_gone is not was_gone
                 continue
             # A new process: what the old one reported or did says nothing of it.
             moved = True
-            self.servers[entry.server] = Server(entry)
+            self.servers[entry.server] = ServerView(entry)
             if known is not None:
                 self.servers[entry.server].out = known.out
         # Trouble: where weights are live, lists come every second and seldom change who serves; to lay out a
         # large fleet anew for each cost more than all requests.
         if moved:
-            self.lay_out()
+            self.rebuild_working_set()
 
-    def lay_out(self) -> None:
+    def rebuild_working_set(self) -> None:
         """Which servers this proxy uses, anew."""
-        self.homes.clear()
-        self.homes_before.clear()
+        self.affinity.clear()
+        self.previous_affinity.clear()
         live = [s for s in self.servers.values() if not s.told_gone]
         self.pool = self.working_set(live)
         self.sharers = self.settings.proxies * len(self.pool) / max(len(live), 1)
         self.refresh_all()
 
-    def working_set(self, live: list[Server]) -> list[Server]:
+    def working_set(self, live: list[ServerView]) -> list[ServerView]:
         """The servers that this proxy sends first tries to: all, unless the proxies are many.
 
         Trouble: hundreds of proxies with a connection to each server fill its table, and each hears of a
@@ -564,7 +564,7 @@
         more = 0 if near and self.settings.warm_keys else count - len(near)
         return self.arc(near, count) + self.arc(away, max(int(count * POOL_AWAY), more))
 
-    def arc(self, servers: list[Server], count: int) -> list[Server]:
+    def arc(self, servers: list[ServerView], count: int) -> list[ServerView]:
         ring = sorted(servers, key=lambda s: s.place)
         first = int(self.phase * len(ring))
         return [ring[(first + i) % len(ring)] for i in range(min(count, len(ring)))]
@@ -581,47 +581,47 @@
         if not event.is_repeat:
             self.budget.earn(self.settings.retry_share)
         if event.hint_us:
-            self.hints[kind.name] = smooth(self.hints.get(kind.name), event.hint_us, 0.02)
-        work_us = self.hints.get(kind.name) or self.percentiles[kind.name].above(QUICK_SHARE) or 1.0
+            self.hints[kind.name] = ewma(self.hints.get(kind.name), event.hint_us, 0.02)
+        work_us = self.hints.get(kind.name) or self.percentiles[kind.name].exceeding(QUICK_SHARE) or 1.0
         self.demand.count(kind.name, work_us, self.now_us)
-        if self.sharers >= MANY_SHARE and self.shed(event.tenant or "", kind.name):
+        if self.sharers >= MANY_SHARE and self.should_shed(event.tenant or "", kind.name):
             request.judged = True  # what it meets elsewhere says nothing of the jam here
-            server = self.elsewhere(request)
+            server = self.server_in_other_zone(request)
             return self.end(request) if server is None else self.send(request, server)
         self.try_send(request)
 
-    def elsewhere(self, request: Request) -> Server | None:
+    def server_in_other_zone(self, request: Request) -> ServerView | None:
         """A server of another zone for a request that would be refused at the door, while answers come in time there.
 
         Trouble: of two servers of a zone one was emptied; its proxies refused up to three quarters of what came, to
         spare crossings, while the other zones had half of their servers idle.
         """
-        if self.crossing.late[False] > LATE_AWAY:
+        if self.spillover.late[False] > LATE_AWAY:
             return None
         away = [
             s
             for s in self.pool
-            if s.entry.zone != self.settings.zone and self.warmth(s) >= 1.0 and not self.left_out(request, s)
+            if s.entry.zone != self.settings.zone and self.slow_start_factor(s) >= 1.0 and not self.left_out(request, s)
         ]
         server = self.best(request, self.chance.sample(away, min(LOOKS_AWAY, len(away)))) if away else None
         return server if server is not None and self.delay_us(server) <= self.crowd_us else None
 
-    def shed(self, tenant: str, kind: str) -> bool:
+    def should_shed(self, tenant: str, kind: str) -> bool:
         """Whether to refuse at the door: over its tenant's share while strained, else by the throttle."""
         share = self.shares.get(tenant)
         # Trouble: one tenant's burst must not cost the others; what is over its share goes first.
         if share is not None and not share.spend(self.now_us) and self.throttle.passing < STRAINED:
             self.log("refusing what is over a tenant's share, answers come late", "share")
             return True
-        passing = self.demand.passing(kind, 1.0 - self.throttle.shed(), self.earns)
+        passing = self.demand.passing(kind, 1.0 - self.throttle.should_shed(), self.value_weights)
         if self.chance.random() < passing:
             return False
-        self.log(f"throttling: {self.throttle.shed():.0%} refused, answers come late", "throttle")
+        self.log(f"throttling: {self.throttle.should_shed():.0%} refused, answers come late", "throttle")
         return True
 
-    def judge(self, request: Request, served: bool) -> None:
+    def record_outcome(self, request: Request, served: bool) -> None:
         """Count a request once: served in its aim, or past it. A client that left sooner shows neither."""
-        late = self.now_us - request.taken_us > request.kind.aim_us
+        late = self.now_us - request.taken_us > request.kind.latency_target_us
         if (served or late) and not request.judged:
             request.judged = True
             self.throttle.count(not late, self.now_us)
@@ -635,7 +635,7 @@
         request = self.requests.get(event.request)
         server = self.servers.get(event.server)
         if server is not None:
-            server.tick(self.now_us, self.lost_us)
+            server.tick(self.now_us, self.presumed_lost_us)
             server.out.pop((event.request, event.attempt), None)
         if request is None or event.attempt >= len(request.attempts):
             return
@@ -646,65 +646,65 @@
         attempt.never_ran = event.ending in it.NEVER_RAN
         request.out -= 1
         if server is not None:
-            if event.ending in (Ending.OK, Ending.ERROR):
+            if event.ending in (AttemptOutcome.OK, AttemptOutcome.ERROR):
                 server.answered_us = max(server.answered_us, attempt.sent_us)
             self.observe(request, server, event)
             self.refresh(server)
-        if event.final or event.ending is Ending.OK:
-            self.judge(request, event.ending is Ending.OK)
+        if event.final or event.ending is AttemptOutcome.OK:
+            self.record_outcome(request, event.ending is AttemptOutcome.OK)
             self.close(request)
         elif not request.closed and request.out == 0 and not request.retry_token:
             self.after_failure(request)
         if request.closed and request.out == 0:
             self.requests.pop(event.request, None)
 
-    def observe(self, request: Request, server: Server, event: it.AttemptEnded) -> None:
+    def observe(self, request: Request, server: ServerView, event: it.AttemptEnded) -> None:
         server.learn(event.report)
-        late = event.latency_us > request.kind.aim_us
-        if self.sharers >= MANY_SHARE and (late or event.ending is Ending.OK):
-            self.crossing.count(server.entry.zone == self.settings.zone, late)
-        if event.ending in (Ending.CANCELLED, Ending.MOOT):
+        late = event.latency_us > request.kind.latency_target_us
+        if self.sharers >= MANY_SHARE and (late or event.ending is AttemptOutcome.OK):
+            self.spillover.count(server.entry.zone == self.settings.zone, late)
+        if event.ending in (AttemptOutcome.CANCELLED, AttemptOutcome.MOOT):
             return
-        ok = event.ending is Ending.OK
-        server.plain_success = smooth(server.plain_success, float(ok), SERVER_NEWEST)
-        server.fault_share = smooth(server.fault_share, float(event.ending in FAULTS), SERVER_NEWEST)
+        ok = event.ending is AttemptOutcome.OK
+        server.plain_success = ewma(server.plain_success, float(ok), SERVER_NEWEST)
+        server.fault_share = ewma(server.fault_share, float(event.ending in FAULTS), SERVER_NEWEST)
         if self.sharers >= MANY_SHARE and event.ending in FAULTS:
             self.fault(server)
         else:
-            server.faults, server.rest_us = 0, TRIAL_US
-            server.success = smooth(server.success, float(ok), SERVER_NEWEST)
-        if ok or event.ending is Ending.TIMEOUT:
+            server.consecutive_faults, server.ejected_until_us = 0, TRIAL_US
+            server.success = ewma(server.success, float(ok), SERVER_NEWEST)
+        if ok or event.ending is AttemptOutcome.TIMEOUT:
             if server.latency_us is None:
                 server.latency_us = float(event.latency_us)
                 self.refresh_all()  # unheard servers take a mean that is known from the first answer on
-            server.latency_us = smooth(server.latency_us, event.latency_us, LATENCY_NEWEST)
+            server.latency_us = ewma(server.latency_us, event.latency_us, LATENCY_NEWEST)
             server.usual_latency_us = lowest(server.usual_latency_us, server.latency_us)
             self.percentiles[request.kind.name].add(event.latency_us)
         if ok and self.settings.warm_keys and request.arrived.key is not None:
             if len(self.met) >= MOST_KEYS:
                 self.met.clear()
             self.met.setdefault(request.arrived.key, {})[server.entry.server] = self.now_us
-        if event.ending in (Ending.OK, Ending.ERROR):
-            server.pace_us = smooth(server.pace_us, server.waited_us, PACE_NEWEST)
-            server.usual_pace_us = smooth(server.usual_pace_us, server.waited_us, SLOW_NEWEST)
+        if event.ending in (AttemptOutcome.OK, AttemptOutcome.ERROR):
+            server.pace_us = ewma(server.pace_us, server.waited_us, PACE_NEWEST)
+            server.usual_pace_us = ewma(server.usual_pace_us, server.waited_us, SLOW_NEWEST)
             server.waited_us = 0
 
-    def fault(self, server: Server) -> None:
+    def fault(self, server: ServerView) -> None:
         """A server failed by itself: one fault is enough to leave it, and each more to leave it for longer.
 
         Trouble: each of 40 proxies sent four requests to a server of fast errors before it kept away, and one
         every two seconds after that, payments among them, which can't be sent again.
         """
-        server.success = smooth(server.success, 0.0, FAULT_NEWEST)
-        rest_us = TRIAL_US << min(server.faults, TRIAL_DOUBLINGS)
-        server.rest_us = int(rest_us * (0.75 + 0.5 * self.chance.random()))
-        server.faults += 1
+        server.success = ewma(server.success, 0.0, FAULT_NEWEST)
+        rest_us = TRIAL_US << min(server.consecutive_faults, TRIAL_DOUBLINGS)
+        server.ejected_until_us = int(rest_us * (0.75 + 0.5 * self.chance.random()))
+        server.consecutive_faults += 1
 
-    def on_ails(self, server: Server | None) -> None:
+    def on_unhealthy(self, server: ServerView | None) -> None:
         """Others say that it fails: as one fault of its own, unless it rests already."""
-        if server is not None and not server.unwell:
+        if server is not None and not server.is_unhealthy:
             self.fault(server)
-            server.trial_us = self.now_us
+            server.trial_at_us = self.now_us
             self.refresh(server)
 
     def after_failure(self, request: Request) -> None:
@@ -723,7 +723,7 @@
         if wait_us >= request.arrived.give_up_at_us - self.now_us:
             return self.end(request)
         # Health of the servers it could go to: a dead part of the fleet must not stop retries on the rest.
-        health = mean([self.success_of(s) for s in self.pool if not s.unwell]) or 0.0
+        health = mean([self.success_of(s) for s in self.pool if not s.is_unhealthy]) or 0.0
         if health < WELL_FLEET:
             self.log(f"retries off: {health:.0%} of recent attempts on usable servers succeed", "retries")
             return self.end(request)
@@ -770,14 +770,14 @@
 
     # -- choice ------------------------------------------------------------------------------------------
 
-    def choose(self, request: Request) -> Server | None:
+    def choose(self, request: Request) -> ServerView | None:
         """The best of all servers, or, where many proxies share them, of some drawn by capacity."""
         self.drawn = ""
         if self.sharers < MANY_SHARE or request.arrived.is_heavy:
             return self.best(request, self.pool)
-        return self.best(request, self.draw(request)) or self.best(request, self.pool)
+        return self.best(request, self.sample_candidates(request)) or self.best(request, self.pool)
 
-    def draw(self, request: Request) -> list[Server]:
+    def sample_candidates(self, request: Request) -> list[ServerView]:
         """Some servers, each by its capacity; a cold one only as the first draw and alone.
 
         Trouble: with few answers from each server the ranks of 40 proxies hold little but old chance, and all
@@ -789,50 +789,50 @@
         looks = max(LEAST_LOOKS, math.ceil(LOOKS * len(self.pool) / self.sharers))
         drawn = self.chance.choices(self.pool, cum_weights=self.reach, k=looks)
         first = drawn[0]
-        if self.warmth(first) < 1.0:
+        if self.slow_start_factor(first) < 1.0:
             # Rule 4: no proxy sends to it more often than its part of all capacity allows.
-            often = self.capacity * self.nearness(first) / self.reach[-1]
+            often = self.capacity * self.zone_weight(first) / self.reach[-1]
             if not first.out and not self.left_out(request, first) and self.chance.random() * often < COLD_OVER:
                 self.drawn = first.entry.server
                 return [first]
-        return [s for s in dict.fromkeys(drawn) if self.warmth(s) >= 1.0 and not self.left_out(request, s)]
+        return [s for s in dict.fromkeys(drawn) if self.slow_start_factor(s) >= 1.0 and not self.left_out(request, s)]
 
-    def left_out(self, request: Request, server: Server) -> bool:
+    def left_out(self, request: Request, server: ServerView) -> bool:
         """Tried before, or unwell and not due for a trial; trials are made with what may be sent again."""
         trial = request.kind.repeat is Repeat.SAFE and self.due(server)
-        return (server.unwell and not trial) or any(
+        return (server.is_unhealthy and not trial) or any(
             attempt.server == server.entry.server for attempt in request.attempts
         )
 
-    def nearness(self, server: Server) -> float:
+    def zone_weight(self, server: ServerView) -> float:
         """The weight of a server's zone in the draw, by the price of a crossing."""
         return 1.0 / (1.0 + self.crossing_load(server))
 
-    def crossing_load(self, server: Server) -> float:
+    def crossing_load(self, server: ServerView) -> float:
         """What a crossing counts for, in requests in hand."""
         if server.entry.zone == self.settings.zone:
             return 0.0
-        return CROSSING * self.settings.prices.cross_zone * (1.0 - self.crossing.ease)
+        return CROSSING * self.settings.prices.cross_zone * (1.0 - self.spillover.ease)
 
-    def capacity_of(self, server: Server) -> float:
+    def capacity_of(self, server: ServerView) -> float:
         """What a server can do now against one of the usual speed, as far as is known; less if it fails."""
-        warmth = self.warmth(server)
+        warmth = self.slow_start_factor(server)
         speed = 1.0
         if warmth >= 1.0 and server.service_us:
             speed = self.fleet_service_us / server.service_us
         return warmth * min(max(speed, 1.0 / SPEED_BOUND), SPEED_BOUND) * self.success_of(server)
 
-    def weigh(self) -> None:
+    def update_weights(self) -> None:
         """The weights by which servers are drawn, once a housekeeping."""
         self.capacity = total = 0.0
         self.reach = []
         for server in self.pool:
             capacity = self.capacity_of(server)
             self.capacity += capacity
-            total += capacity * self.nearness(server)
+            total += capacity * self.zone_weight(server)
             self.reach.append(total)
 
-    def best(self, request: Request, pool: list[Server]) -> Server | None:
+    def best(self, request: Request, pool: list[ServerView]) -> ServerView | None:
         """The lowest C3 rank that the guard lets through; a retry goes to another server."""
         kind = request.kind
         if request.attempts and kind.repeat is Repeat.KEYED and kind.group is not it.Group.ALL:
@@ -844,7 +844,7 @@
         ranked = []
         key = request.arrived.key if self.settings.warm_keys else None
         met = self.met_before.get(key, {}) | self.met.get(key, {}) if key is not None else {}
-        home = self.home(key) if key is not None else ""
+        home = self.affinity_server(key) if key is not None else ""
         for server in pool:
             name = server.entry.server
             score = self.rank(request, server) * (1.0 + 0.01 * self.chance.random())
@@ -856,19 +856,19 @@
                 score *= HOME
                 away = False
             far = request.arrived.is_heavy and server.entry.zone != self.settings.zone
-            ranked.append((name in tried, server.unwell and not self.due(server), far, score, name, away))
+            ranked.append((name in tried, server.is_unhealthy and not self.due(server), far, score, name, away))
         ranked.sort()
         allowed = 0
         well_servers = 0
-        limit_us = kind.aim_us / self.spread * self.standing[kind.name]
-        crowded: Server | None = None
-        stuck: Server | None = None
+        limit_us = kind.latency_target_us / self.spread * self.standing[kind.name]
+        crowded: ServerView | None = None
+        stuck: ServerView | None = None
         room_us = math.inf
         for _, unwell, _, _, name, away in ranked:
             server = self.servers[name]
             if unwell and well_servers:
                 break  # well but busy servers are no reason to send work to one that does not answer
-            if self.guard(request, server):
+            if self.may_send(request, server):
                 well_servers += not unwell
                 # Trouble: past capacity every queue grows until all answers are late. Better to refuse.
                 delay_us = self.delay_us(server)
@@ -880,7 +880,7 @@
                 stay = max(1.0, min(0.5 + 0.5 * request.arrived.crossing, 6.0)) if near else 1.0
                 if delay_us <= min(limit_us, crowd_us) * stay:
                     return server
-                bound_us = limit_us / 2 if self.choked(server) else limit_us
+                bound_us = limit_us / 2 if self.is_saturated(server) else limit_us
                 # Trouble: in a jam keys went wherever there was room, so all servers did more work for each.
                 bound_us *= AWAY if away else 1.0
                 if delay_us <= bound_us and crowded is None:
@@ -888,7 +888,7 @@
                 room_us = min(room_us, delay_us - bound_us)
                 # Trouble: one request without an answer kept all others away, at a server that would have
                 # answered them. Nothing was sent to it for long, so another try shows whether it is stuck.
-                if stuck is None and not unwell and self.now_us - server.trial_us >= self.lost_us:
+                if stuck is None and not unwell and self.now_us - server.trial_at_us >= self.presumed_lost_us:
                     stuck = server
                 allowed += 1
         if crowded is not None or stuck is not None:
@@ -901,20 +901,20 @@
             self.log(f"no server of {len(ranked)} may be sent this request", "nowhere")
         return None
 
-    def rank(self, request: Request, server: Server) -> float:
+    def rank(self, request: Request, server: ServerView) -> float:
         """A server's rank for a request: one that is dearer to carry away counts a crossing for more."""
         if request.arrived.crossing == 1.0 or server.entry.zone == self.settings.zone:
             return server.rank
-        return server.rank_with(self.crossing_load(server) * request.arrived.crossing)
+        return server.update_rank(self.crossing_load(server) * request.arrived.crossing)
 
-    def home(self, key: str) -> str:
+    def affinity_server(self, key: str) -> str:
         """The server on which all proxies agree for a key, without a word between them (rendezvous hash)."""
-        found = self.homes.get(key)
+        found = self.affinity.get(key)
         if found is None:
-            found = self.homes_before.get(key)
+            found = self.previous_affinity.get(key)
         if found is None:
-            if len(self.homes) >= MOST_KEYS:
-                self.homes.clear()
+            if len(self.affinity) >= MOST_KEYS:
+                self.affinity.clear()
             best = -1.0
             found = ""
             for server in self.pool:
@@ -924,10 +924,10 @@
                 score = -(weight or 1.0) / math.log(draw) if draw < 1.0 else math.inf
                 if score > best:
                     best, found = score, name
-        self.homes[key] = found
+        self.affinity[key] = found
         return found
 
-    def choked(self, server: Server) -> bool:
+    def is_saturated(self, server: ServerView) -> bool:
         """Slower in its answers than it usually is: more in hand would not be answered any sooner.
 
         Trouble: crowded once, some servers answer at a fraction of their rate until they are nearly empty.
@@ -937,31 +937,31 @@
         late = (server.latency_us or 0.0) > CHOKED * (server.usual_latency_us or math.inf)
         return slow or (late and (server.pace_us or 0.0) > CHOKED * (server.usual_pace_us or math.inf))
 
-    def delay_us(self, server: Server) -> float:
+    def delay_us(self, server: ServerView) -> float:
         """Expected time to an answer: what is in hand, at this server's own pace.
 
         An idle server counts as free, or one that was slow once would never be tried again.
         """
         # Trouble: new servers, cold and unheard, were filled until they choked before the first answer came.
-        pace_us = server.pace_us or self.fleet_pace_us / self.warmth(server)
-        awaited, first_us = server.awaited(self.now_us, self.lost_us)
+        pace_us = server.pace_us or self.fleet_pace_us / self.slow_start_factor(server)
+        awaited, first_us = server.outstanding(self.now_us, self.presumed_lost_us)
         if not awaited:
             return 0.0
         # Trouble: a silent server sends no bad news; what is long unanswered there counts as a long delay.
         busy_us = min(server.waited_us + self.now_us - server.since_us, self.now_us - first_us)
         return awaited * max(pace_us, busy_us / SLACK_PACE)
 
-    def refresh(self, server: Server) -> None:
+    def refresh(self, server: ServerView) -> None:
         """Work out a server's rank anew; kept until something is learned, for large fleets' sake."""
         r_us = self.fleet_latency_us if server.latency_us is None else server.latency_us
         mu_us = self.fleet_service_us if server.service_us is None else server.service_us
-        load = server.awaited(self.now_us, self.lost_us)[0] * self.settings.proxies + server.queue
-        mu_us /= self.warmth(server)
+        load = server.outstanding(self.now_us, self.presumed_lost_us)[0] * self.settings.proxies + server.queue
+        mu_us /= self.slow_start_factor(server)
         server.base_us, server.load, server.work_us = r_us - mu_us, load, mu_us
-        server.rank = server.rank_with(self.crossing_load(server))
-        server.unwell = self.success_of(server) < WELL_SERVER
+        server.rank = server.update_rank(self.crossing_load(server))
+        server.is_unhealthy = self.success_of(server) < WELL_SERVER
 
-    def success_of(self, server: Server) -> float:
+    def success_of(self, server: ServerView) -> float:
         """The share of its attempts that succeed, lately; a fault counts for more while faults are rare.
 
         Trouble: all servers failed a quarter of their requests; 13 of 15 were always left out for their last fault,
@@ -977,28 +977,28 @@
         self.fleet_pace_us = mean([s.pace_us for s in self.pool if s.pace_us is not None]) or 0.0
         for name, seen in self.percentiles.items():
             if tail_us := seen.tail(few=self.sharers >= MANY_SHARE):
-                self.patience_us[name] = max(tail_us, PADDING * seen.above(0.5))
+                self.attempt_timeouts_us[name] = max(tail_us, PADDING * seen.exceeding(0.5))
         self.faults_are_rare = not self.pool or median_low(s.fault_share for s in self.pool) <= RARE_FAULTS
         for server in self.pool:
             self.refresh(server)
-        self.weigh()
-        usual_us = max(p.above(0.5) for p in self.percentiles.values())
+        self.update_weights()
+        usual_us = max(p.exceeding(0.5) for p in self.percentiles.values())
         self.crowd_us = CROWD * usual_us if usual_us else math.inf
-        lost_us = LOST_TIMES * max(p.above(LOST_SHARE) for p in self.percentiles.values())
-        self.lost_us = lost_us or math.inf
-        spreads = [p.above(SPREAD_SHARE) / p.above(0.5) for p in self.percentiles.values() if p.total]
+        lost_us = LOST_TIMES * max(p.exceeding(LOST_SHARE) for p in self.percentiles.values())
+        self.presumed_lost_us = lost_us or math.inf
+        spreads = [p.exceeding(SPREAD_SHARE) / p.exceeding(0.5) for p in self.percentiles.values() if p.total]
         self.spread = mean(spreads) or 1.0
         # What a class earns for the work it takes, against the dearest: the cheap give way first in a jam.
         earns = {}
         for name, kind in self.kinds.items():
-            quick_us = self.percentiles[name].above(QUICK_SHARE)
+            quick_us = self.percentiles[name].exceeding(QUICK_SHARE)
             if quick_us:  # a class not yet answered gives way to none, and none to it
-                earns[name] = kind.worth / (1.0 if self.settings.worth_by_work else quick_us)
+                earns[name] = kind.value / (1.0 if self.settings.worth_by_work else quick_us)
         most = max(earns.values(), default=0.0) or 1.0
-        self.earns = {name: max(earns.get(name, most) / most, 0.01) for name in self.kinds}
-        self.standing = {name: earned**GIVE_WAY for name, earned in self.earns.items()}
+        self.value_weights = {name: max(earns.get(name, most) / most, 0.01) for name in self.kinds}
+        self.standing = {name: earned**GIVE_WAY for name, earned in self.value_weights.items()}
 
-    def warmth(self, server: Server) -> float:
+    def slow_start_factor(self, server: ServerView) -> float:
         """Share of its full capacity that a started server can be counted on to have."""
         started = server.entry.started_us
         cold_us = self.settings.cold_us
@@ -1007,13 +1007,13 @@
         share = self.settings.cold_share
         return share + (1.0 - share) * max(self.now_us - started, 0) / cold_us
 
-    def due(self, server: Server) -> bool:
+    def due(self, server: ServerView) -> bool:
         """An unwell server is tried again now and then."""
-        return not server.out and self.now_us - server.trial_us >= server.rest_us
+        return not server.out and self.now_us - server.trial_at_us >= server.ejected_until_us
 
     # -- guard -------------------------------------------------------------------------------------------
 
-    def guard(self, request: Request, server: Server) -> bool:
+    def may_send(self, request: Request, server: ServerView) -> bool:
         """Every send passes here: rules 2 to 4, and whether the server may be sent anything at all."""
         if request.closed or self.now_us >= request.arrived.give_up_at_us or server.told_gone:
             return False
@@ -1032,11 +1032,11 @@
                 return False
             if request.kind.group is it.Group.CELL and first.cell != server.entry.cell:
                 return False
-        return self.cold_room(server)
+        return self.slow_start_capacity(server)
 
-    def cold_room(self, server: Server) -> bool:
+    def slow_start_capacity(self, server: ServerView) -> bool:
         """Rule 4: this proxy's part of what a cold server can take in any span of the stated length."""
-        share = self.warmth(server)
+        share = self.slow_start_factor(server)
         if share >= 1.0:
             return True
         # Trouble: one send for each of hundreds of proxies is more than the whole budget, and a proxy just
@@ -1047,19 +1047,19 @@
         part = COLD_MARGIN * self.settings.fall_multiple * share
         return server in self.pool and self.chance.random() < part / len(self.pool)
 
-    def send(self, request: Request, server: Server) -> None:
+    def send(self, request: Request, server: ServerView) -> None:
         name = server.entry.server
-        server.tick(self.now_us, self.lost_us)
+        server.tick(self.now_us, self.presumed_lost_us)
         server.out[(request.arrived.request, len(request.attempts))] = self.now_us
         request.attempts.append(Attempt(server.entry, self.now_us))
         request.out += 1
-        server.trial_us = self.now_us
+        server.trial_at_us = self.now_us
         self.refresh(server)
-        self.actions.append(it.Send(request.arrived.request, name, self.patience(request)))
+        self.actions.append(it.Send(request.arrived.request, name, self.attempt_timeout_us(request)))
 
-    def patience(self, request: Request) -> int:
+    def attempt_timeout_us(self, request: Request) -> int:
         """This proxy's latency percentile, padded where it lies near the median; 0 to wait to the end."""
-        patience = self.patience_us.get(request.kind.name, 0.0)
+        patience = self.attempt_timeouts_us.get(request.kind.name, 0.0)
         if request.kind.repeat is Repeat.UNSAFE or not patience or request.arrived.is_repeat:
             return 0  # a time-out buys nothing where no retry may follow
         usual = self.hints.get(request.kind.name)
--- a/cypressbeam/balancing/interface.py
+++ b/cypressbeam/balancing/interface.py
@@ -47,7 +47,7 @@
     LIVE = "live"
 
 
-class Ending(Enum):
+class AttemptOutcome(Enum):
     OK = "ok"
     ERROR = "error"
     FULL = "full"
@@ -59,7 +59,7 @@
 
 
 #: Endings which prove that the attempt never ran on its server.
-NEVER_RAN = frozenset({Ending.FULL, Ending.CONNECT_FAILED, Ending.MOOT})
+NEVER_RAN = frozenset({AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.MOOT})
 
 
 def _whole(owner: str, name: str, value: object, least: int = 0) -> None:
@@ -85,14 +85,14 @@
 
     name: str
     repeat: Repeat
-    aim_us: int
+    latency_target_us: int
     deadline_us: int
     group: Group = Group.ALL
     window_us: int = 0
-    worth: float = 1.0
-    late_worth: float = 0.0
+    value: float = 1.0
+    late_value: float = 0.0
     streamed: bool = False
-    aim_stretch: float = 0.0
+    latency_target_stretch: float = 0.0
     tries: int = 0
     """The most servers that a request may go to; 0: as the settings say for all."""
 
@@ -100,13 +100,13 @@
         owner = f"classes[{self.name}]"
         _kind(owner, "repeat", self.repeat, Repeat)
         _kind(owner, "group", self.group, Group)
-        _whole(owner, "aim_us", self.aim_us, 1)
+        _whole(owner, "aim_us", self.latency_target_us, 1)
         _whole(owner, "deadline_us", self.deadline_us, 1)
         _whole(owner, "window_us", self.window_us)
         _whole(owner, "tries", self.tries)
-        _figure(owner, "worth", self.worth)
-        _figure(owner, "late_worth", self.late_worth)
-        _figure(owner, "aim_stretch", self.aim_stretch)
+        _figure(owner, "worth", self.value)
+        _figure(owner, "late_worth", self.late_value)
+        _figure(owner, "aim_stretch", self.latency_target_stretch)
 
 
 @dataclass(frozen=True, slots=True)
@@ -131,7 +131,7 @@
 
     classes: tuple[RequestClass, ...]
     proxies: int = 1
-    me: int = 0
+    own_name: int = 0
     zone: str = ""
     must_subscribe: bool = False
     may_cancel: bool = True
@@ -169,9 +169,9 @@
         if len(set(names)) != len(names):
             raise ValueError("settings.classes: two classes have the same name")
         _whole("settings", "proxies", self.proxies, 1)
-        _whole("settings", "me", self.me)
-        if self.me >= self.proxies:
-            raise ValueError(f"settings.me: must be below proxies ({self.proxies}), not {self.me}")
+        _whole("settings", "me", self.own_name)
+        if self.own_name >= self.proxies:
+            raise ValueError(f"settings.me: must be below proxies ({self.proxies}), not {self.own_name}")
         _whole("settings", "max_attempts", self.max_attempts, 1)
         for name in ("max_advice_us", "drain_grace_us", "ask_within_us", "cold_us", "fall_us", "answer_slack_us"):
             _whole("settings", name, getattr(self, name))
@@ -242,7 +242,7 @@
     request: str
     attempt: int
     server: str
-    ending: Ending
+    ending: AttemptOutcome
     latency_us: int
     final: bool
     report: Report | None = None
@@ -256,7 +256,7 @@
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
     server: str
-    ending: Ending
+    ending: AttemptOutcome
     latency_us: int
     report: Report | None = None
 
@@ -280,7 +280,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerAils:
+class ServerUnhealthy:
     """Other proxies have found that a server fails: it rests as if it had failed here."""
 
     server: str
@@ -294,7 +294,7 @@
     | AttemptEnded
     | ClientGone
     | ProbeEnded
-    | ServerAils
+    | ServerUnhealthy
     | TimerFired
     | MessageCame
 )
--- a/cypressbeam/cli/output.py
+++ b/cypressbeam/cli/output.py
@@ -19,10 +19,10 @@
     """Run a call to a system. Exit code 1 with one line where it can't be done, 3 where the system refuses."""
     try:
         return uvloop.run(what)
-    except errors.Refused as err:
+    except errors.RequestRefusedError as err:
         click.echo(f"cypressbeam: {err}", err=True)
         sys.exit(3)
-    except (OSError, EOFError, TimeoutError, errors.Unusable) as err:
+    except (OSError, EOFError, TimeoutError, errors.UnusableFileError) as err:
         click.echo(f"cypressbeam: {err or type(err).__name__}", err=True)
         sys.exit(1)
 
--- a/cypressbeam/consensus/deduplication.py
+++ b/cypressbeam/consensus/deduplication.py
@@ -10,7 +10,7 @@
 from itertools import pairwise, takewhile
 
 from cypressbeam.protocol import frames
-from cypressbeam.protocol.configuration import MOST_REVISION
+from cypressbeam.protocol.configuration import MAX_REVISION
 
 #: Digests that are kept: 0.54 MB of memory, 0.2 MB on disk. At eight changes a second, the most that was measured with
 #: news for a whole fleet, they go back over eight minutes; callers give up far sooner, and days hold hundreds.
@@ -34,7 +34,7 @@
     """The revision up to which the digests of the first `number` versions are not kept any more, 0 if all are."""
     if len(taken) >= number:
         return 0
-    return next(iter(taken)) - 1 if taken else MOST_REVISION
+    return next(iter(taken)) - 1 if taken else MAX_REVISION
 
 
 def pack(taken: AppliedDigests, above: int = 0) -> bytes:
--- a/cypressbeam/distribution/children.py
+++ b/cypressbeam/distribution/children.py
@@ -26,17 +26,17 @@
         """A connection is lost; it may have been a child's."""
         self.links.pop(link, None)
 
-    def waiting(self) -> Iterator[tuple[Link, frames.Subscribe]]:
+    def unserved(self) -> Iterator[tuple[Link, frames.Subscribe]]:
         """Children that were given nothing yet."""
         for link, had in [*self.links.items()]:
             if had is not None:
                 yield link, had
 
-    def served(self, link: Link) -> None:
+    def mark_served(self, link: Link) -> None:
         """A child is given what it lacks."""
         self.links[link] = None
 
-    def tell(self, frame: frames.Frame) -> None:
+    def broadcast(self, frame: frames.Frame) -> None:
         """Send a message to all children."""
         if self.links:
             data = frame.pack()
--- a/cypressbeam/distribution/configuration_replica.py
+++ b/cypressbeam/distribution/configuration_replica.py
@@ -15,49 +15,49 @@
 from cypressbeam.distribution.fencing import EpochFence
 from cypressbeam.protocol import frames
 from cypressbeam.transport.blobs.fetcher import Fetcher
-from cypressbeam.transport.blobs.store import BRIEF_BYTES, BlobStore
+from cypressbeam.transport.blobs.store import MAX_INLINE_DELTA_BYTES, BlobStore
 from cypressbeam.transport.peers import Link
 
 log = logging.getLogger(__name__)
 
 #: A node that has been behind the newest version for so long says so in its log, once.
-BEHIND_S = 1.0
+LAG_REPORT_S = 1.0
 #: Under which key the replica's fetches stand in `Fetcher`.
 FETCH_KEY = "news"
 
 
-class Transfer:
+class ConfigurationTransfer:
     """The fetch of the newest body, and of one before it that did not move. On a full link nothing would ever come in a
     storm of versions, if each put an end to the one before."""
 
     def __init__(self, fetcher: Fetcher) -> None:
         self.fetcher = fetcher
-        self.mark = b""
+        self.digest = b""
         """The digest of the body that is on its way here, or nothing."""
-        self.elder = b""
+        self.earlier_digest = b""
         """That of one before it, which does not move: it is waited for beside the newest."""
 
-    def may_begin(self, mark: bytes) -> bool:
+    def may_start(self, mark: bytes) -> bool:
         """Whether a body may be fetched now, for none before it is on its way and moves."""
-        if not self.mark or self.mark == mark:
+        if not self.digest or self.digest == mark:
             return True
-        if self.fetcher.comes(self.mark):
+        if self.fetcher.is_arriving(self.digest):
             return False
-        if self.fetcher.sought(self.elder):
-            self.fetcher.drop(self.mark, FETCH_KEY)
+        if self.fetcher.is_pending(self.earlier_digest):
+            self.fetcher.cancel(self.digest, FETCH_KEY)
         else:
-            self.elder = self.mark
+            self.earlier_digest = self.digest
         return True
 
     def end(self) -> None:
         """The body is here, or wanted no more."""
-        self.fetcher.drop(self.mark, FETCH_KEY)
-        self.mark = b""
+        self.fetcher.cancel(self.digest, FETCH_KEY)
+        self.digest = b""
 
-    def end_elder(self) -> None:
+    def end_earlier(self) -> None:
         """The newest body is here: the one before it is wanted no more."""
-        self.fetcher.drop(self.elder, FETCH_KEY)
-        self.elder = b""
+        self.fetcher.cancel(self.earlier_digest, FETCH_KEY)
+        self.earlier_digest = b""
 
 
 @dataclass(slots=True)
@@ -75,16 +75,16 @@
         """The newest version is here."""
         self.since_s, self.reported = 0.0, False
 
-    def is_to_report(self, now_s: float) -> bool:
+    def should_report(self, now_s: float) -> bool:
         """Whether it lasts for long and was not reported; then it counts as reported."""
-        if now_s - self.since_s <= BEHIND_S or self.reported:
+        if now_s - self.since_s <= LAG_REPORT_S or self.reported:
             return False
         self.reported = True
         return True
 
 
 @dataclass(slots=True)
-class Announced:
+class Announcement:
     """What children are told of the version that is here."""
 
     message: frames.ConfigurationAnnouncement | frames.ConfigurationDelta | None = None
@@ -106,15 +106,15 @@
         """`tell` sends to all children, `standing` is the epoch under which this node's own statements stand."""
         self.context = context
         self.fence = fence
-        self.tell = tell
-        self.standing = standing
+        self.broadcast = tell
+        self.epoch_of_statements = standing
         self.parent_ip = parent_ip
         self.revision = 0
         self.body = b""
         self.newest = (0, b"")
         """The newest version that was told of: its revision, and its body's digest."""
-        self.announced = Announced()
-        self.transfer = Transfer(context.peers.blobs.fetcher)
+        self.announced = Announcement()
+        self.transfer = ConfigurationTransfer(context.peers.blobs.fetcher)
         self.lag = Lag()
         self.on_committed: Callable[[int, bytes], None] = lambda revision, body: None
 
@@ -132,13 +132,13 @@
 
     def for_child(self, revision: int) -> frames.Frame | None:
         """What a child that has a revision is told, if anything."""
-        newest, mark = self.newest if self.transfer.mark else (self.revision, b"")
+        newest, mark = self.newest if self.transfer.digest else (self.revision, b"")
         if newest <= revision:
             return None
         mark = mark or self.store.put(self.body)
-        if not self.transfer.mark and revision == self.announced.base and self.announced.message is not None:
-            return replace(self.announced.message, epoch=self.standing())
-        return frames.ConfigurationAnnouncement(newest, mark, self.standing())
+        if not self.transfer.digest and revision == self.announced.base and self.announced.message is not None:
+            return replace(self.announced.message, epoch=self.epoch_of_statements())
+        return frames.ConfigurationAnnouncement(newest, mark, self.epoch_of_statements())
 
     def publish(self, revision: int, body: bytes) -> None:
         """A committed configuration. One that is not newer is no news: a node never goes back."""
@@ -152,44 +152,44 @@
         if revision == self.newest[0]:
             self.lag.end()
         self.announce(mark, before, former)
-        if self.transfer.mark != self.newest[1] or revision == self.newest[0]:
+        if self.transfer.digest != self.newest[1] or revision == self.newest[0]:
             self.transfer.end()
         if revision == self.newest[0]:
-            self.transfer.end_elder()
+            self.transfer.end_earlier()
         self.on_committed(revision, body)
 
     def announce(self, mark: bytes, before: int, former: bytes) -> None:
         """Tell children of the version that is here, in what it changes where that is little."""
-        brief = self.store.brief(mark, former)
+        brief = self.store.inline_delta(mark, former)
         message = (
-            frames.ConfigurationDelta(self.revision, mark, former, brief, self.standing())
+            frames.ConfigurationDelta(self.revision, mark, former, brief, self.epoch_of_statements())
             if brief
-            else frames.ConfigurationAnnouncement(self.revision, mark, self.standing())
+            else frames.ConfigurationAnnouncement(self.revision, mark, self.epoch_of_statements())
         )
-        self.announced = Announced(message, before)
-        if brief or mark != self.transfer.mark:  # otherwise children were told when it began to come
-            self.tell(message)
+        self.announced = Announcement(message, before)
+        if brief or mark != self.transfer.digest:  # otherwise children were told when it began to come
+            self.broadcast(message)
 
     # -- from the parent -----------------------------------------------------------------------------------
 
-    def on_news(self, link: Link, frame: frames.ConfigurationAnnouncement) -> None:
+    def on_announcement(self, link: Link, frame: frames.ConfigurationAnnouncement) -> None:
         """A version is to be had from a node that has it, or a part of it."""
-        if not self.fence.rejects(link, frame.epoch) and self.wants(frame.revision, frame.digest):
+        if not self.fence.rejects(link, frame.epoch) and self.should_fetch(frame.revision, frame.digest):
             self.fetch(link.ip)
 
-    def on_update(self, link: Link, frame: frames.ConfigurationDelta) -> None:
+    def on_delta(self, link: Link, frame: frames.ConfigurationDelta) -> None:
         """A version, in what has changed since the one before. Who lacks that one fetches it all."""
-        if len(frame.digest) != frames.DIGEST_BYTES or len(frame.data) > BRIEF_BYTES:
+        if len(frame.digest) != frames.DIGEST_BYTES or len(frame.data) > MAX_INLINE_DELTA_BYTES:
             log.warning("node %s: an update of %d bytes for %d", link.ip, len(frame.data), len(frame.digest))
             link.close()
-        elif not self.fence.rejects(link, frame.epoch) and self.wants(frame.revision, frame.digest):
+        elif not self.fence.rejects(link, frame.epoch) and self.should_fetch(frame.revision, frame.digest):
             body = self.fetcher.open_brief(frame.digest, frame.base_digest, frame.data)
             if body is None:
                 self.fetch(link.ip)
             else:
                 self.publish(frame.revision, body)
 
-    def wants(self, revision: int, mark: bytes) -> bool:
+    def should_fetch(self, revision: int, mark: bytes) -> bool:
         """Whether a version that a node tells of is to be got; then it is the newest one."""
         if revision <= self.revision or revision < self.newest[0]:
             return False
@@ -201,36 +201,36 @@
         """Get the newest body, one at a time. Children are told as it begins to come, and take it as it comes. An
         older one that does not move holds up nothing: the newest is asked for beside it."""
         revision, mark = self.newest
-        if not self.transfer.may_begin(mark):
+        if not self.transfer.may_start(mark):
             return
-        if self.transfer.mark != mark:
-            self.transfer.mark = mark
-            self.tell(frames.ConfigurationAnnouncement(revision, mark, self.standing()))
-        self.fetcher.need(mark, source, lambda body: self.take(revision, body, source), key=FETCH_KEY)
+        if self.transfer.digest != mark:
+            self.transfer.digest = mark
+            self.broadcast(frames.ConfigurationAnnouncement(revision, mark, self.epoch_of_statements()))
+        self.fetcher.fetch(mark, source, lambda body: self.complete_fetch(revision, body, source), key=FETCH_KEY)
 
-    def take(self, revision: int, body: bytes, source: str) -> None:
+    def complete_fetch(self, revision: int, body: bytes, source: str) -> None:
         """A body is here; the next one may be wanted already."""
         self.publish(revision, body)
         if self.newest[0] > self.revision:
             self.fetch(self.parent_ip() or source)
 
-    def lacks(self, revision: int) -> bool:
+    def is_missing(self, revision: int) -> bool:
         """Whether a revision is neither here nor coming."""
-        coming = self.newest[0] if self.fetcher.comes(self.transfer.mark) else self.revision
+        coming = self.newest[0] if self.fetcher.is_arriving(self.transfer.digest) else self.revision
         return revision > coming
 
-    def note_behind(self, revision: int) -> None:
+    def report_lag(self, revision: int) -> None:
         """A revision is in force. Say once that this node has been behind for long, and how its fetch stands."""
         if revision <= self.revision:
             return
         now_s = self.context.now_s()
         self.lag.begin(now_s)
-        if self.lag.is_to_report(now_s):
+        if self.lag.should_report(now_s):
             log.warning(
                 "behind for %.1f s: version %d is here, %d is known of, %d in force; %s",
                 now_s - self.lag.since_s,
                 self.revision,
                 self.newest[0],
                 revision,
-                self.fetcher.how(self.transfer.mark),
+                self.fetcher.describe(self.transfer.digest),
             )
--- a/cypressbeam/distribution/endpoint_list.py
+++ b/cypressbeam/distribution/endpoint_list.py
@@ -9,22 +9,22 @@
 import msgspec
 
 from cypressbeam.protocol import frames
-from cypressbeam.protocol.configuration import Invalid, decode
+from cypressbeam.protocol.configuration import InvalidConfigurationError, decode
 from cypressbeam.standalone.discovery import Address, read_address
 
 IN_SERVICE, DRAINING, GONE = 0, 1, 2
 STATES = {"in_service": IN_SERVICE, "draining": DRAINING}
 ROW = struct.Struct("!HIB4sH")
 #: Bytes of all rows of a frame: a list of 100,000 servers fits.
-MOST_ROWS = 8 * 1024 * 1024
+MAX_ROW_BYTES = 8 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
-class Server:
+class Endpoint:
     """One life of a server. `warmup_ms` is how much longer it was slow when the root first saw it."""
 
-    ident: str
-    plant: str
+    instance_id: str
+    service: str
     address: Address
     zone: str
     capacity: int
@@ -32,7 +32,7 @@
     warmup_ms: int
 
 
-class Listed(msgspec.Struct, frozen=True, rename="camel"):
+class PlatformRow(msgspec.Struct, frozen=True, rename="camel"):
     id: str
     plant: str
     address: str
@@ -42,22 +42,22 @@
     warmup_left_ms: float = 0
 
 
-class Page(msgspec.Struct, frozen=True, rename="camel"):
-    servers: tuple[Listed, ...]
+class PlatformPage(msgspec.Struct, frozen=True, rename="camel"):
+    servers: tuple[PlatformRow, ...]
     next_token: str | None = None
 
 
-def read_page(body: bytes) -> tuple[list[Server], str | None]:
+def read_page(body: bytes) -> tuple[list[Endpoint], str | None]:
     """The servers of a page, and the token of the next. Raises ValueError for what is no page."""
     try:
-        page = msgspec.convert(decode(body), Page)
-    except (msgspec.ValidationError, Invalid) as err:
+        page = msgspec.convert(decode(body), PlatformPage)
+    except (msgspec.ValidationError, InvalidConfigurationError) as err:
         raise ValueError(f"no page of servers: {err}") from None
-    return [read_server(listed) for listed in page.servers], page.next_token
+    return [read_endpoint(listed) for listed in page.servers], page.next_token
 
 
-def read_server(listed: Listed) -> Server:
-    return Server(
+def read_endpoint(listed: PlatformRow) -> Endpoint:
+    return Endpoint(
         listed.id,
         listed.plant,
         read_address(listed.address),
@@ -68,13 +68,13 @@
     )
 
 
-def pack_rows(servers: list[Server]) -> bytes:
+def pack_rows(servers: list[Endpoint]) -> bytes:
     """Rows as they go between nodes: an address by its four bytes, all of it compressed."""
     parts = []
     for server in servers:
         host = bytes(int(part) for part in server.address[0].split("."))
         parts.append(ROW.pack(server.capacity, server.warmup_ms, server.state, host, server.address[1]))
-        for text in (server.ident, server.plant, server.zone):
+        for text in (server.instance_id, server.service, server.zone):
             data = text.encode()
             parts.append(frames.U8.pack(len(data)) + data)
     return zlib.compress(b"".join(parts), 1)
@@ -84,7 +84,7 @@
     """Raises FrameError for what is broken, cut off or too large when unpacked."""
     reader = zlib.decompressobj()
     try:
-        data = reader.decompress(packed, MOST_ROWS)
+        data = reader.decompress(packed, MAX_ROW_BYTES)
     except zlib.error as err:
         raise frames.FrameError(f"rows: {err}") from None
     if not reader.eof or reader.unused_data:
@@ -92,7 +92,7 @@
     return data
 
 
-def unpack_rows(packed: bytes) -> list[Server]:
+def unpack_rows(packed: bytes) -> list[Endpoint]:
     """Raises FrameError."""
     servers, at = [], 0
     data = unpack_bytes(packed)
@@ -108,24 +108,24 @@
             if at > len(data):
                 raise frames.FrameError("a row ends behind the frame")
             ident, plant, zone = texts
-            servers.append(Server(ident, plant, (".".join(map(str, host)), port), zone, capacity, state, warmup_ms))
+            servers.append(Endpoint(ident, plant, (".".join(map(str, host)), port), zone, capacity, state, warmup_ms))
     except (struct.error, IndexError, UnicodeDecodeError) as err:
         raise frames.FrameError(f"rows: {err}") from None
     return servers
 
 
-class Listing:
+class EndpointList:
     """A node's copy of the list. A life is one root's; changes follow on one another within it."""
 
     def __init__(self, life: int = 0) -> None:
-        self.life = life
-        self.seq = 0
-        self.servers: dict[str, Server] = {}
+        self.term = life
+        self.sequence = 0
+        self.servers: dict[str, Endpoint] = {}
 
-    def poll(self, polled: list[Server]) -> frames.EndpointUpdate | None:
+    def update_from_platform(self, polled: list[Endpoint]) -> frames.EndpointUpdate | None:
         """At the root: take up a whole list from the platform; returns what changed, for the children."""
         changed = []
-        now = {server.ident: server for server in polled}
+        now = {server.instance_id: server for server in polled}
         for ident, server in now.items():
             known = self.servers.get(ident)
             # The warm-up runs on by itself: only its first figure is told.
@@ -134,32 +134,32 @@
             if same != known:
                 changed.append(same)
         changed += [replace(known, state=GONE) for ident, known in self.servers.items() if ident not in now]
-        if not changed and self.seq:
+        if not changed and self.sequence:
             return None
         self.servers = now
-        self.seq += 1
-        return frames.EndpointUpdate(self.life, self.seq - 1, self.seq, 0, pack_rows(changed))
+        self.sequence += 1
+        return frames.EndpointUpdate(self.term, self.sequence - 1, self.sequence, 0, pack_rows(changed))
 
-    def whole(self) -> frames.EndpointUpdate:
+    def snapshot(self) -> frames.EndpointUpdate:
         """All that is known, for a child that has none of it."""
-        return frames.EndpointUpdate(self.life, 0, self.seq, 1, pack_rows(list(self.servers.values())))
+        return frames.EndpointUpdate(self.term, 0, self.sequence, 1, pack_rows(list(self.servers.values())))
 
     def apply(self, frame: frames.EndpointUpdate) -> bool | None:
         """Take up what a parent sent. True: the list changed; False: it says nothing new; None: it does not follow
         on what is here, so the whole is needed."""
         if frame.whole:
-            if (frame.term, frame.sequence) == (self.life, self.seq):
+            if (frame.term, frame.sequence) == (self.term, self.sequence):
                 return False
-            self.servers = {server.ident: server for server in unpack_rows(frame.rows)}
-        elif frame.term != self.life or frame.base_sequence > self.seq:
+            self.servers = {server.instance_id: server for server in unpack_rows(frame.rows)}
+        elif frame.term != self.term or frame.base_sequence > self.sequence:
             return None
-        elif frame.sequence <= self.seq:
+        elif frame.sequence <= self.sequence:
             return False
         else:
             for server in unpack_rows(frame.rows):
                 if server.state == GONE:
-                    self.servers.pop(server.ident, None)
+                    self.servers.pop(server.instance_id, None)
                 else:
-                    self.servers[server.ident] = server
-        self.life, self.seq = frame.term, frame.sequence
+                    self.servers[server.instance_id] = server
+        self.term, self.sequence = frame.term, frame.sequence
         return True
--- a/cypressbeam/distribution/failure_detector.py
+++ b/cypressbeam/distribution/failure_detector.py
@@ -7,14 +7,14 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-PERIOD_S = 0.7
+PROBE_INTERVAL_S = 0.7
 #: Datagrams get lost; so many in a row do not.
-MISSES = 3
+MAX_MISSED_PROBES = 3
 PACKET = struct.Struct("!BI")
 PING, PONG = 1, 2
 
 
-class Watch(asyncio.DatagramProtocol):
+class UdpFailureDetector(asyncio.DatagramProtocol):
     """`on_silent` gets the name of a node that has not answered for a while, again and again while it is watched."""
 
     def __init__(self, port: int, on_silent: Callable[[str], None]) -> None:
@@ -23,7 +23,7 @@
         self.on_silent = on_silent
         self.names: dict[str, str] = {}
         """Names of the watched, by address."""
-        self.missed: dict[str, int] = {}
+        self.missed_probes: dict[str, int] = {}
         self.transport: asyncio.DatagramTransport | None = None
         self.number = 0
 
@@ -34,17 +34,17 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
 
-    def take(self, ips: tuple[str, ...], names: tuple[str, ...]) -> None:
+    def watch(self, ips: tuple[str, ...], names: tuple[str, ...]) -> None:
         self.names = dict(zip(ips, names, strict=True))
-        self.missed = {ip: self.missed.get(ip, 0) for ip in ips}
+        self.missed_probes = {ip: self.missed_probes.get(ip, 0) for ip in ips}
 
     def tick(self) -> None:
-        self.loop.call_later(PERIOD_S, self.tick)
+        self.loop.call_later(PROBE_INTERVAL_S, self.tick)
         self.number += 1
         for ip, name in self.names.items():
-            if self.missed[ip] >= MISSES:
+            if self.missed_probes[ip] >= MAX_MISSED_PROBES:
                 self.on_silent(name)
-            self.missed[ip] += 1
+            self.missed_probes[ip] += 1
             self.send(PING, self.number, (ip, self.port))
 
     def send(self, kind: int, number: int, to: tuple[str, int]) -> None:
@@ -57,8 +57,8 @@
         kind, number = PACKET.unpack(data)
         if kind == PING:
             self.send(PONG, number, (addr[0], addr[1]))
-        elif addr[0] in self.missed:
-            self.missed[addr[0]] = 0
+        elif addr[0] in self.missed_probes:
+            self.missed_probes[addr[0]] = 0
 
     def close(self) -> None:
         if self.transport is not None:
--- a/cypressbeam/distribution/fencing.py
+++ b/cypressbeam/distribution/fencing.py
@@ -25,10 +25,10 @@
         """Since which epoch."""
         self.on_epoch: Callable[[], None] = lambda: None
         """Told when a higher epoch was seen."""
-        self.vouched: Callable[[], str] = str
+        self.vouched_leader: Callable[[], str] = str
         """The root's address as this node may name it to others, or nothing."""
 
-    def see(self, epoch: int) -> None:
+    def observe(self, epoch: int) -> None:
         """Somebody leads in this epoch, or has: what was said under lower ones is over."""
         if epoch > self.epoch:
             self.epoch = epoch
@@ -39,12 +39,12 @@
         if epoch < self.epoch:
             link.send(self.redirect())
             return True
-        self.see(epoch)
+        self.observe(epoch)
         return False
 
     def redirect(self) -> frames.LeaderRedirect:
         """Where the root is, as this node knows it."""
-        return frames.LeaderRedirect(self.vouched(), self.epoch, self.group)
+        return frames.LeaderRedirect(self.vouched_leader(), self.epoch, self.group)
 
     def learn_group(self, group: tuple[str, ...], epoch: int) -> None:
         """Addresses of the core's group, as somebody knows it who has seen that epoch."""
--- a/cypressbeam/distribution/heartbeats.py
+++ b/cypressbeam/distribution/heartbeats.py
@@ -5,11 +5,11 @@
 from cypressbeam.protocol import frames
 
 #: The root's heartbeat.
-BEAT_S = 0.4
+HEARTBEAT_INTERVAL_S = 0.4
 #: A node that has heard none for so long sends its children keep-alives.
-MISSED_S = 1.5 * BEAT_S
+KEEP_ALIVE_AFTER_S = 1.5 * HEARTBEAT_INTERVAL_S
 #: A node vouches for the root that it knows for so long after that one's word.
-FRESH_S = 1.0
+FRESHNESS_S = 1.0
 
 
 class Heartbeats:
@@ -29,7 +29,7 @@
         neither goes on nor counts as heard, so those in a circle soon look for the root."""
         return beat.number > self.numbers.get(beat.term, 0)
 
-    def take(self, beat: frames.RootHeartbeat, now_s: float) -> None:
+    def record(self, beat: frames.RootHeartbeat, now_s: float) -> None:
         """A new one has come."""
         self.numbers[beat.term] = beat.number
         self.root_heard_s = now_s
@@ -38,9 +38,9 @@
         """For the root: the number of the heartbeat after the last."""
         return self.numbers.get(life, 0) + 1
 
-    def fresh(self, now_s: float) -> bool:
+    def is_fresh(self, now_s: float) -> bool:
         """Whether the root's word came lately."""
-        return self.root_heard_s is not None and now_s - self.root_heard_s <= FRESH_S
+        return self.root_heard_s is not None and now_s - self.root_heard_s <= FRESHNESS_S
 
     def age_s(self, now_s: float) -> float | None:
         """Seconds since the root's word came last; None: it never did."""
@@ -48,7 +48,7 @@
 
     def keep_alive_due(self, now_s: float, beat_s: float) -> bool:
         """Whether children are to be sent a keep-alive now, the last heartbeat having come at `beat_s`."""
-        if now_s - beat_s <= MISSED_S or now_s < self.keep_alive_due_s:
+        if now_s - beat_s <= KEEP_ALIVE_AFTER_S or now_s < self.keep_alive_due_s:
             return False
-        self.keep_alive_due_s = now_s + BEAT_S
+        self.keep_alive_due_s = now_s + HEARTBEAT_INTERVAL_S
         return True
--- a/cypressbeam/distribution/node_registry.py
+++ b/cypressbeam/distribution/node_registry.py
@@ -14,15 +14,15 @@
 from cypressbeam.protocol import frames
 
 #: Children of the relays with the thinnest links, and of any one at most; in between by what a link carries.
-FAN_OUT, MOST_FAN_OUT = 4, 24
+FAN_OUT, MAX_FAN_OUT = 4, 24
 #: How many others a node watches.
-WATCHED = 2
+PROBED_PEERS = 2
 #: A node joins again after so long, and is dropped after missing it for longer.
-RENEW_S = 3.0
-EXPIRES_S = 10.0
+RENEWAL_INTERVAL_S = 3.0
+EXPIRY_S = 10.0
 #: One that has asked for its place again and again for so long, no longer apart than this, and has not heard the
 #: answer, feeds nobody: what it sends comes through, and what is sent to it does not.
-DEAF_S, AGAIN_S = 0.5, 1.5
+DEAF_S, RETRY_WINDOW_S = 0.5, 1.5
 
 
 def weight(key: str, name: str) -> int:
@@ -31,60 +31,60 @@
 
 
 @dataclass(slots=True)
-class Known:
+class NodeRecord:
     name: str
     ip: str
     zone: str
     flags: int
     seen_s: float
     kbps: int = 1_000_000
-    shunned: bool = False
+    is_suspected: bool = False
     """Somebody has lost it; until it joins again it gets no children."""
-    since: int = 0
+    registered_epoch: int = 0
     """The root's epoch when it joined first: whoever has heard the root since was given something of that or later."""
-    unheard_s: float | None = None
+    unacknowledged_since_s: float | None = None
     """When it joined without having heard the root, first of several times."""
-    deaf: bool = False
+    is_deaf: bool = False
 
-    def doubtful(self) -> bool:
-        return self.shunned or self.deaf
+    def is_doubtful(self) -> bool:
+        return self.is_suspected or self.is_deaf
 
-    def listen(self, given: int, now_s: float) -> None:
+    def note_acknowledgement(self, given: int, now_s: float) -> None:
         """A join has come: was the answer to those before heard?"""
-        if given >= max(self.since, 1):
-            self.unheard_s, self.deaf = None, False
-        elif self.unheard_s is None or now_s - self.seen_s > AGAIN_S:
-            self.unheard_s = now_s
+        if given >= max(self.registered_epoch, 1):
+            self.unacknowledged_since_s, self.is_deaf = None, False
+        elif self.unacknowledged_since_s is None or now_s - self.seen_s > RETRY_WINDOW_S:
+            self.unacknowledged_since_s = now_s
         else:
-            self.deaf = self.deaf or now_s - self.unheard_s >= DEAF_S
+            self.is_deaf = self.is_deaf or now_s - self.unacknowledged_since_s >= DEAF_S
 
 
-def feeders(order: list[Known]) -> list[Known | None]:
+def assign_parents(order: list[NodeRecord]) -> list[NodeRecord | None]:
     """Who feeds each: those that stand first, as many as their links carry beside the thinnest one."""
     thinnest = min((known.kbps for known in order), default=1)
-    found: list[Known | None] = [None]
+    found: list[NodeRecord | None] = [None]
     for known in order:
-        found += [known] * min(FAN_OUT * max(known.kbps // thinnest, 1), MOST_FAN_OUT)
+        found += [known] * min(FAN_OUT * max(known.kbps // thinnest, 1), MAX_FAN_OUT)
         if len(found) >= len(order):
             break
     return found[: len(order)]
 
 
-class Roster:
+class NodeRegistry:
     """All nodes, at the root."""
 
     def __init__(self, me: str) -> None:
-        self.me = me
-        self.nodes: dict[str, Known] = {}
-        self.orders: dict[str, list[Known]] = {}
-        self.feeders: dict[str, list[Known | None]] = {}
+        self.own_name = me
+        self.nodes: dict[str, NodeRecord] = {}
+        self.orders_by_zone: dict[str, list[NodeRecord]] = {}
+        self.parents_by_zone: dict[str, list[NodeRecord | None]] = {}
         """Who feeds each of a zone's order; nobody there feeds the first."""
         # Worked out anew for each join they cost the root of 1,000 nodes a third of its processor.
-        self.watching: dict[str, list[Known]] = {}
+        self.probed_by: dict[str, list[NodeRecord]] = {}
         self.names: list[str] = []
         self.stale = True
 
-    def join(self, frame: frames.JoinRequest, now_s: float, epoch: int = 0) -> None:
+    def register(self, frame: frames.JoinRequest, now_s: float, epoch: int = 0) -> None:
         """A node joins, or joins again, at a root that leads in this epoch."""
         known = self.nodes.get(frame.name)
         if known is not None and (known.ip, known.zone, known.flags, known.kbps) == (
@@ -93,97 +93,104 @@
             frame.flags,
             frame.kbps,
         ):
-            before = known.doubtful()
-            known.listen(frame.acknowledged_epoch, now_s)
+            before = known.is_doubtful()
+            known.note_acknowledgement(frame.acknowledged_epoch, now_s)
             known.seen_s = now_s
-            known.shunned = False
-            self.stale = self.stale or known.doubtful() is not before
+            known.is_suspected = False
+            self.stale = self.stale or known.is_doubtful() is not before
         else:
-            self.drop(frame.name)
-            self.enter(Known(frame.name, frame.ip, frame.zone, frame.flags, now_s, frame.kbps, since=epoch))
+            self.remove(frame.name)
+            self.add(
+                NodeRecord(frame.name, frame.ip, frame.zone, frame.flags, now_s, frame.kbps, registered_epoch=epoch)
+            )
         for other in self.nodes.values():
-            if frame.lost_parent and other.ip == frame.lost_parent and not other.shunned and other.name != frame.name:
-                other.shunned = self.stale = True
-
-    def enter(self, known: Known) -> None:
+            if (
+                frame.lost_parent
+                and other.ip == frame.lost_parent
+                and not other.is_suspected
+                and other.name != frame.name
+            ):
+                other.is_suspected = self.stale = True
+
+    def add(self, known: NodeRecord) -> None:
         self.nodes[known.name] = known
         self.stale = True
         if known.flags & frames.SERVES_CLIENTS:
             insort(self.names, known.name)
-        for name, watched in self.watching.items():
-            self.watching[name] = self.nearest(name, [*watched, known])
+        for name, watched in self.probed_by.items():
+            self.probed_by[name] = self.nearest(name, [*watched, known])
 
-    def drop(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         known = self.nodes.pop(name, None)
         if known is None:
             return
         self.stale = True
         if known.flags & frames.SERVES_CLIENTS:
             self.names.remove(name)
-        self.watching = {
-            other: watched for other, watched in self.watching.items() if other != name and known not in watched
+        self.probed_by = {
+            other: watched for other, watched in self.probed_by.items() if other != name and known not in watched
         }
 
     def expire(self, now_s: float) -> list[str]:
         """Drop those that have not joined for long; returns their names."""
-        gone = [name for name, known in self.nodes.items() if now_s - known.seen_s > EXPIRES_S]
+        gone = [name for name, known in self.nodes.items() if now_s - known.seen_s > EXPIRY_S]
         for name in gone:
-            self.drop(name)
+            self.remove(name)
         return gone
 
-    def fronts(self, zone: str | None = None) -> int:
+    def edge_count(self, zone: str | None = None) -> int:
         """How many nodes carry traffic, in all or in a zone."""
         return sum(
             1 for known in self.nodes.values() if known.flags & frames.SERVES_CLIENTS and zone in (None, known.zone)
         )
 
-    def order(self, zone: str) -> list[Known]:
+    def order(self, zone: str) -> list[NodeRecord]:
         """The nodes of a zone as they stand in its tree: the root first, fast links before thin ones, then by weight;
         doubtful ones, and those that can't keep up, last."""
         if self.stale:
-            self.orders, self.feeders = {}, {}
+            self.orders_by_zone, self.parents_by_zone = {}, {}
             self.stale = False
-        if zone not in self.orders:
+        if zone not in self.orders_by_zone:
             here = [known for known in self.nodes.values() if known.zone == zone]
-            self.orders[zone] = sorted(
+            self.orders_by_zone[zone] = sorted(
                 here,
                 key=lambda k: (
-                    k.name != self.me,
-                    k.doubtful() or bool(k.flags & frames.IS_OVERLOADED),
+                    k.name != self.own_name,
+                    k.is_doubtful() or bool(k.flags & frames.IS_OVERLOADED),
                     -k.kbps,
                     weight("tree", k.name),
                 ),
             )
-            self.feeders[zone] = feeders(self.orders[zone])
-        return self.orders[zone]
+            self.parents_by_zone[zone] = assign_parents(self.orders_by_zone[zone])
+        return self.orders_by_zone[zone]
 
-    def parents(self, known: Known, root: str) -> tuple[str, ...]:
+    def parents(self, known: NodeRecord, root: str) -> tuple[str, ...]:
         """Addresses to attach to, best first; the root itself is the last resort. It never leads in a circle: a
         parent stands before its children in the zone's order, and the first is fed by the root."""
         at = self.order(known.zone).index(known)
-        feeder = self.feeders[known.zone][at]
-        if feeder is None or feeder.doubtful() or feeder.ip == root:
+        feeder = self.parents_by_zone[known.zone][at]
+        if feeder is None or feeder.is_doubtful() or feeder.ip == root:
             return (root,)
         return (feeder.ip, root)
 
-    def watches(self, known: Known) -> list[Known]:
+    def probed_peers(self, known: NodeRecord) -> list[NodeRecord]:
         """The few that this node watches."""
-        if known.name not in self.watching:
-            self.watching[known.name] = self.nearest(known.name, list(self.nodes.values()))
-        return self.watching[known.name]
+        if known.name not in self.probed_by:
+            self.probed_by[known.name] = self.nearest(known.name, list(self.nodes.values()))
+        return self.probed_by[known.name]
 
-    def nearest(self, name: str, others: list[Known]) -> list[Known]:
+    def nearest(self, name: str, others: list[NodeRecord]) -> list[NodeRecord]:
         """Of the others those that weigh most for a name."""
         return heapq.nlargest(
-            WATCHED, (other for other in others if other.name != name), key=lambda other: weight(name, other.name)
+            PROBED_PEERS, (other for other in others if other.name != name), key=lambda other: weight(name, other.name)
         )
 
-    def place(
+    def assignment(
         self, name: str, epoch: int, members: tuple[str, ...], root: str, fronts: int, group: tuple[str, ...] = ()
     ) -> frames.ParentAssignment:
         """What a node is told. `fronts` is how many carry traffic, 0 while that is not known."""
         known = self.nodes[name]
-        watched = self.watches(known)
+        watched = self.probed_peers(known)
         return frames.ParentAssignment(
             epoch,
             members,
@@ -191,7 +198,7 @@
             tuple(other.ip for other in watched),
             tuple(other.name for other in watched),
             fronts,
-            self.fronts(known.zone),
+            self.edge_count(known.zone),
             bisect_left(self.names, name) if known.flags & frames.SERVES_CLIENTS else 0,
             group,
         )
--- a/cypressbeam/distribution/outlier_detection.py
+++ b/cypressbeam/distribution/outlier_detection.py
@@ -11,21 +11,21 @@
 
 #: Reports count for so long; a server that was told of is not told of again within its rest.
 WINDOW_S = 2.0
-REST_S = 1.5
+EJECTION_S = 1.5
 #: So many nodes make a verdict: one may be ill itself.
-REPORTERS = 2
+MIN_REPORTERS = 2
 #: A node that reports more than this share of all servers is ill; no more than this share is told of in a window.
-MOST_SHARE = 0.25
-LEAST_SERVERS = 2
+MAX_EJECTED_SHARE = 0.25
+MIN_EJECTABLE = 2
 
 
-class Verdicts:
+class OutlierDetector:
     """At the root. Times in seconds of its steady clock."""
 
     def __init__(self) -> None:
         self.reports: dict[tuple[str, str], dict[str, float]] = {}
         """By zone and server: who has reported it, and when last."""
-        self.told: dict[tuple[str, str], float] = {}
+        self.ejected: dict[tuple[str, str], float] = {}
 
     def forget(self, now_s: float) -> None:
         """Drop what counts no more."""
@@ -34,7 +34,7 @@
             for about, by in self.reports.items()
         }
         self.reports = {about: by for about, by in fresh.items() if by}
-        self.told = {about: at_s for about, at_s in self.told.items() if now_s - at_s <= WINDOW_S}
+        self.ejected = {about: at_s for about, at_s in self.ejected.items() if now_s - at_s <= WINDOW_S}
 
     def report(self, node: str, zone: str, servers: Iterable[str], listed: int, now_s: float) -> list[str]:
         """A node's report, where so many servers are listed; returns those that its zone is to be told of now."""
@@ -42,16 +42,16 @@
         named = [*dict.fromkeys(servers)]
         for server in named:
             self.reports.setdefault((zone, server), {})[node] = now_s
-        most = max(int(MOST_SHARE * listed), LEAST_SERVERS)
+        most = max(int(MAX_EJECTED_SHARE * listed), MIN_EJECTABLE)
         found = []
         for server in named:
-            lately = sum(told_zone == zone for told_zone, _ in self.told)
+            lately = sum(told_zone == zone for told_zone, _ in self.ejected)
             if (
-                now_s - self.told.get((zone, server), now_s - REST_S) >= REST_S
+                now_s - self.ejected.get((zone, server), now_s - EJECTION_S) >= EJECTION_S
                 and lately < most
-                and self.reporters(zone, server, most) >= REPORTERS
+                and self.reporters(zone, server, most) >= MIN_REPORTERS
             ):
-                self.told[zone, server] = now_s
+                self.ejected[zone, server] = now_s
                 found.append(server)
         return found
 
--- a/cypressbeam/distribution/registration.py
+++ b/cypressbeam/distribution/registration.py
@@ -8,14 +8,14 @@
 from collections.abc import Callable
 
 from cypressbeam.distribution.context import NodeContext
-from cypressbeam.distribution.node_registry import RENEW_S
+from cypressbeam.distribution.node_registry import RENEWAL_INTERVAL_S
 from cypressbeam.protocol import frames
 
 #: A node whose event loop was so late lately asks to be given no children; how the lateness fades, each tick.
-SLOW_S, LAG_FADES = 0.3, 0.97
+OVERLOAD_LAG_S, LAG_DECAY = 0.3, 0.97
 #: How long the answer of a known root is waited for before the next request to it.
-JOIN_S = 0.4
-JOIN_JITTER_S = 0.1
+RESPONSE_TIMEOUT_S = 0.4
+RESPONSE_JITTER_S = 0.1
 
 
 class LoopLag:
@@ -29,12 +29,12 @@
     def on_tick(self, now_s: float, period_s: float) -> None:
         """The timer has come, and comes again after a period."""
         late_s = now_s - self.due_s if self.due_s else 0.0
-        self.lag_s = max(late_s, self.lag_s * LAG_FADES)
+        self.lag_s = max(late_s, self.lag_s * LAG_DECAY)
         self.due_s = now_s + period_s
 
-    def slow(self) -> bool:
+    def is_overloaded(self) -> bool:
         """Whether the node can't keep up with its own work."""
-        return self.lag_s > SLOW_S
+        return self.lag_s > OVERLOAD_LAG_S
 
 
 class Registration:
@@ -46,15 +46,15 @@
         self.identity = ""
         """Of a machine with a disk: its name as a member."""
         self.assignment: frames.ParentAssignment | None = None
-        self.fronts = 0
+        self.edge_count = 0
         """How many nodes serve clients, as far as is known; 0: not at all."""
-        self.lost = ""
+        self.lost_parent = ""
         """The address of a parent that was lost and that the root is to be told of."""
         self.registered_s = 0.0
         """When the root answered last."""
         self.due_s = 0.0
         """Not before this time a known root is asked again."""
-        self.leaving = False
+        self.is_draining = False
         self.lag = LoopLag()
         self.on_assigned: Callable[[], None] = lambda: None
 
@@ -62,36 +62,36 @@
         """The registration as it goes to the root, with the highest epoch seen and the newest one of an assignment or
         heartbeat."""
         settings = self.context.settings
-        flags = self.flags | (frames.IS_OVERLOADED if self.lag.slow() else 0)
+        flags = self.flags | (frames.IS_OVERLOADED if self.lag.is_overloaded() else 0)
         return frames.JoinRequest(
             settings.node,
             settings.ip,
             settings.zone,
             flags,
             int(self.assignment is not None),
-            self.lost,
+            self.lost_parent,
             self.identity,
             max(int(settings.link_mbps * 1000), 1),
             epoch,
             given,
         )
 
-    def expires(self, now_s: float) -> bool:
+    def is_due(self, now_s: float) -> bool:
         """Whether the registration is to be renewed."""
-        return not self.leaving and now_s - self.registered_s >= RENEW_S
+        return not self.is_draining and now_s - self.registered_s >= RENEWAL_INTERVAL_S
 
-    def may_ask(self, now_s: float) -> bool:
+    def take_request_slot(self, now_s: float) -> bool:
         """Whether a known root may be asked now; then not again for a while."""
         if now_s < self.due_s:
             return False
-        self.due_s = now_s + JOIN_S + self.context.chance.uniform(0.0, JOIN_JITTER_S)
+        self.due_s = now_s + RESPONSE_TIMEOUT_S + self.context.chance.uniform(0.0, RESPONSE_JITTER_S)
         return True
 
     def assign(self, assignment: frames.ParentAssignment, now_s: float) -> None:
         """The root has answered."""
-        self.registered_s, self.lost = now_s, ""
+        self.registered_s, self.lost_parent = now_s, ""
         self.assignment = assignment
-        self.fronts = assignment.edge_count or self.fronts
+        self.edge_count = assignment.edge_count or self.edge_count
 
     def chain(self) -> tuple[str, ...]:
         """Addresses of the core's chain, as the root told them with the assignment."""
--- a/cypressbeam/distribution/relay.py
+++ b/cypressbeam/distribution/relay.py
@@ -13,8 +13,8 @@
 from cypressbeam.distribution.children import Children
 from cypressbeam.distribution.configuration_replica import ConfigurationReplica
 from cypressbeam.distribution.context import NodeContext
-from cypressbeam.distribution.endpoint_list_replica import ServerListReplica
-from cypressbeam.distribution.feed import Feed
+from cypressbeam.distribution.endpoint_list_replica import EndpointListReplica
+from cypressbeam.distribution.feed import ChildFeed
 from cypressbeam.distribution.fencing import EpochFence
 from cypressbeam.distribution.heartbeats import Heartbeats
 from cypressbeam.distribution.position import TreePosition
@@ -33,41 +33,47 @@
 Handlers = dict[type[frames.Frame], Callable[[Link, Any], None]]
 
 
-class Relay:
+class TreeNode:
     """The node's end of the tree."""
 
     def __init__(self, settings: Settings, peers: Peers, flags: int) -> None:
         self.context = NodeContext(settings, peers)
         self.fence = EpochFence()
         self.registration = Registration(self.context, flags)
-        self.locator = RootLocator(self.context, self.fence, self.registration, self.register, self.resume_search)
+        self.locator = RootLocator(
+            self.context, self.fence, self.registration, self.send_registration, self.resume_search
+        )
         self.subscription = Subscription(self.context, self.subscribe_request)
         self.heartbeats = Heartbeats()
         self.position = TreePosition(
             self.context, self.fence, self.registration, self.locator, self.subscription, self.heartbeats
         )
-        self.fence.vouched = self.position.named
+        self.fence.vouched_leader = self.position.known_leader
         self.children = Children()
         self.configuration = ConfigurationReplica(
-            self.context, self.fence, self.children.tell, self.position.standing, self.subscription.parent_ip
+            self.context,
+            self.fence,
+            self.children.broadcast,
+            self.position.epoch_of_statements,
+            self.subscription.parent_ip,
         )
-        self.servers = ServerListReplica()
-        self.feed = Feed(self.position, self.children, self.configuration, self.servers)
+        self.endpoints = EndpointListReplica()
+        self.feed = ChildFeed(self.position, self.children, self.configuration, self.endpoints)
         peers.blobs.fetcher.on_progress = self.subscription.on_heard
-        peers.blobs.fetcher.others = self.body_sources
+        peers.blobs.fetcher.other_sources = self.blob_sources
 
     def handlers(self) -> Handlers:
         """The messages of the tree, but for `Join`, which is the core's at the root."""
         return {
-            frames.RootHeartbeat: self.on_beat,
-            frames.ConfigurationAnnouncement: self.configuration.on_news,
-            frames.ConfigurationDelta: self.configuration.on_update,
-            frames.EndpointUpdate: self.on_servers_message,
-            frames.KeepAlive: self.on_alive,
-            frames.Unsubscribed: self.on_released,
-            frames.Subscribe: self.feed.on_attach,
-            frames.LeaderRedirect: self.on_refer,
-            frames.ParentAssignment: self.on_placed,
+            frames.RootHeartbeat: self.on_heartbeat,
+            frames.ConfigurationAnnouncement: self.configuration.on_announcement,
+            frames.ConfigurationDelta: self.configuration.on_delta,
+            frames.EndpointUpdate: self.on_endpoint_update,
+            frames.KeepAlive: self.on_keep_alive,
+            frames.Unsubscribed: self.on_unsubscribed,
+            frames.Subscribe: self.feed.on_subscribe,
+            frames.LeaderRedirect: self.on_leader_redirect,
+            frames.ParentAssignment: self.on_assignment,
         }
 
     def start(self) -> None:
@@ -83,46 +89,46 @@
             return
         failure = self.subscription.failure(now_s)
         if failure is not None:
-            self.subscription.silences += 1
+            self.subscription.silent_parents += 1
             log.warning("parent %s %s", self.subscription.parent_ip(), failure)
             self.leave_parent()
-        if self.heartbeats.keep_alive_due(now_s, self.subscription.beat_s):
-            self.children.tell(frames.KeepAlive())
-        self.locator.searching = self.locator.searching and self.position.seeks(now_s)
-        if self.position.seeks(now_s) or self.registration.expires(now_s):
-            self.join(now_s)
+        if self.heartbeats.keep_alive_due(now_s, self.subscription.heartbeat_s):
+            self.children.broadcast(frames.KeepAlive())
+        self.locator.is_searching = self.locator.is_searching and self.position.needs_root(now_s)
+        if self.position.needs_root(now_s) or self.registration.is_due(now_s):
+            self.register_or_search(now_s)
 
     # -- joining -------------------------------------------------------------------------------------------
 
-    def join(self, now_s: float) -> None:
+    def register_or_search(self, now_s: float) -> None:
         """Register anew, or again at the root that feeds this node still; the node registry there is soft state."""
-        if self.position.seeks(now_s):
-            self.locator.seek(now_s)
-        elif self.registration.may_ask(now_s):
+        if self.position.needs_root(now_s):
+            self.locator.search_step(now_s)
+        elif self.registration.take_request_slot(now_s):
             self.locator.renew(now_s)
 
     def resume_search(self) -> None:
         """Go on with the search, if the root is still looked for."""
         now_s = self.context.now_s()
-        if not self.position.is_root and self.position.seeks(now_s):
-            self.locator.seek(now_s)
+        if not self.position.is_root and self.position.needs_root(now_s):
+            self.locator.search_step(now_s)
 
-    def register(self, target: str) -> None:
+    def send_registration(self, target: str) -> None:
         """Send the registration to a node that may be the root, or know it."""
-        self.context.peers.send(target, self.registration.request(self.fence.epoch, self.position.given()))
+        self.context.peers.send(target, self.registration.request(self.fence.epoch, self.position.assigned_epoch()))
 
-    def on_refer(self, link: Link, frame: frames.LeaderRedirect) -> None:
+    def on_leader_redirect(self, link: Link, frame: frames.LeaderRedirect) -> None:
         """Another node names the root, or nobody. One that names a root of an epoch that is over learns that."""
         self.fence.learn_group(frame.group, frame.epoch)
         # Who names nobody is not answered: two that know no root would go on telling each other.
         if frame.leader and self.fence.rejects(link, frame.epoch):
             return
-        self.fence.see(frame.epoch)
+        self.fence.observe(frame.epoch)
         if not self.position.is_root:
             now_s = self.context.now_s()
-            self.locator.on_redirect(link.ip, frame.leader, now_s, self.position.seeks(now_s))
+            self.locator.on_redirect(link.ip, frame.leader, now_s, self.position.needs_root(now_s))
 
-    def on_placed(self, link: Link, frame: frames.ParentAssignment) -> None:
+    def on_assignment(self, link: Link, frame: frames.ParentAssignment) -> None:
         """The root assigns parents to this node."""
         if self.fence.rejects(link, frame.epoch) or self.position.is_root:
             return
@@ -134,27 +140,27 @@
             and subscription.epoch == frame.epoch
         )
         self.heartbeats.root_heard_s = now_s
-        self.locator.found(link.ip)
+        self.locator.confirm_root(link.ip)
         self.registration.assign(frame, now_s)
         self.fence.learn_group(frame.group or frame.chain, frame.epoch)
         self.registration.on_assigned()
         if waits:
-            subscription.tried = -1
+            subscription.attempted_parents = -1
             return
-        self.locator.search.over()
+        self.locator.search.reset()
         if subscription.parent is None or subscription.parent.ip not in frame.parents:
-            subscription.tried = 0
-            subscription.begin(frame.parents[0])
+            subscription.attempted_parents = 0
+            subscription.subscribe(frame.parents[0])
         elif subscription.epoch < frame.epoch:
-            subscription.ask()  # the parent may not have heard yet
+            subscription.send_request()  # the parent may not have heard yet
 
     # -- the parent ----------------------------------------------------------------------------------------
 
     def subscribe_request(self) -> frames.Subscribe:
         """What this node tells its parent that it has."""
-        listing = self.servers.listing
+        listing = self.endpoints.endpoints
         return frames.Subscribe(
-            self.context.settings.node, self.configuration.revision, listing.life, listing.seq, self.fence.epoch
+            self.context.settings.node, self.configuration.revision, listing.term, listing.sequence, self.fence.epoch
         )
 
     def leave_parent(self) -> None:
@@ -162,16 +168,20 @@
         subscription, registration = self.subscription, self.registration
         if subscription.parent is None:
             return
-        registration.lost = subscription.parent.ip
-        subscription.end()
+        registration.lost_parent = subscription.parent.ip
+        subscription.unsubscribe()
         registration.due_s = 0.0
-        subscription.tried += 1
+        subscription.attempted_parents += 1
         assignment = registration.assignment
-        if assignment is not None and subscription.tried < len(assignment.parents) and not self.position.behind():
-            subscription.begin(assignment.parents[subscription.tried])
+        if (
+            assignment is not None
+            and subscription.attempted_parents < len(assignment.parents)
+            and not self.position.is_stale()
+        ):
+            subscription.subscribe(assignment.parents[subscription.attempted_parents])
             registration.registered_s = 0.0  # and tell the root who was lost
         else:
-            self.locator.forget_if(registration.lost)
+            self.locator.forget_if(registration.lost_parent)
 
     def link_lost(self, link: Link) -> None:
         """A connection is lost: of a child, of the parent, or of one that was asked for the root."""
@@ -179,36 +189,36 @@
         if link is self.subscription.parent:
             log.info("the connection to parent %s is lost", link.ip)
             self.leave_parent()
-        self.locator.on_no_help(link.ip)
+        self.locator.on_unhelpful(link.ip)
 
-    def on_released(self, link: Link, frame: frames.Unsubscribed) -> None:
+    def on_unsubscribed(self, link: Link, frame: frames.Unsubscribed) -> None:
         """The parent feeds this node no more."""
         subscription = self.subscription
         if link is not subscription.parent:
             return
         subscription.parent = None
         if subscription.source is not link:
-            self.registration.lost = link.ip  # it had no beat to give: the root thinks better of it than it is
+            self.registration.lost_parent = link.ip  # it had no beat to give: the root thinks better of it than it is
         self.locator.forget_if(link.ip)
         self.registration.due_s = 0.0
 
-    def on_alive(self, link: Link, frame: frames.KeepAlive) -> None:
+    def on_keep_alive(self, link: Link, frame: frames.KeepAlive) -> None:
         """The parent lives, though it has no heartbeat to pass on."""
         if link is self.subscription.parent:
             self.subscription.heard_s = self.context.now_s()
 
-    def on_servers_message(self, link: Link, frame: frames.EndpointUpdate) -> None:
+    def on_endpoint_update(self, link: Link, frame: frames.EndpointUpdate) -> None:
         """The parent sends the list of servers, or changes of it."""
         if link is not self.subscription.parent or self.fence.rejects(link, frame.epoch):
             return
-        changed = self.servers.apply(frame)
+        changed = self.endpoints.apply(frame)
         if changed is None:
-            self.subscription.ask()
+            self.subscription.send_request()
         elif changed:
-            self.children.tell(frame)
-            self.servers.on_change()
+            self.children.broadcast(frame)
+            self.endpoints.on_change()
 
-    def on_beat(self, link: Link, frame: frames.RootHeartbeat) -> None:
+    def on_heartbeat(self, link: Link, frame: frames.RootHeartbeat) -> None:
         """The parent passes on a heartbeat of the root."""
         subscription = self.subscription
         if (
@@ -218,26 +228,26 @@
         ):
             return
         now_s = self.context.now_s()
-        self.heartbeats.take(frame, now_s)
+        self.heartbeats.record(frame, now_s)
         subscription.on_heartbeat(link, frame.epoch, now_s)
-        self.servers.confirm(frame)
-        self.feed.pass_beat(frame)
-        if frame.edge_count and frame.edge_count != self.registration.fronts:
-            self.registration.fronts = frame.edge_count
+        self.endpoints.confirm(frame)
+        self.feed.forward_heartbeat(frame)
+        if frame.edge_count and frame.edge_count != self.registration.edge_count:
+            self.registration.edge_count = frame.edge_count
             self.registration.on_assigned()
-        self.configuration.note_behind(frame.revision)
-        lacks = self.configuration.lacks(frame.revision) or self.servers.lacks(frame)
-        if lacks and subscription.may_ask_again(now_s):
-            subscription.ask()
+        self.configuration.report_lag(frame.revision)
+        lacks = self.configuration.is_missing(frame.revision) or self.endpoints.is_missing(frame)
+        if lacks and subscription.may_repeat_request(now_s):
+            subscription.send_request()
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """This node is going to end: others feed its children from now on; updates still come until then."""
-        self.registration.leaving = True
+        self.registration.is_draining = True
         if self.locator.root:
             self.context.peers.send(self.locator.root, frames.LeaveNotice(self.context.settings.node))
         self.children.release()
 
-    def body_sources(self) -> list[str]:
+    def blob_sources(self) -> list[str]:
         """Who has the newest version for sure, or soon, whatever the tree is like: the parent, and the core in any
         order, so that those who turn there together don't all ask one machine."""
         members = [*(self.registration.chain() or self.fence.group)]
@@ -249,12 +259,12 @@
 
     def become_root(self, life: int, epoch: int) -> None:
         """The list of this root's term goes down from here. What an earlier root told is kept until then."""
-        self.fence.see(epoch)
+        self.fence.observe(epoch)
         self.position.is_root = True
-        self.servers.begin_term(life)
+        self.endpoints.begin_term(life)
         self.locator.root = self.context.settings.ip
-        self.subscription.end()
-        self.feed.beat(life)
+        self.subscription.unsubscribe()
+        self.feed.start_heartbeats(life)
 
     def resign(self) -> None:
         """Another one is the root by now, or none: children look for it, and so does this node."""
--- a/cypressbeam/node/control_api.py
+++ b/cypressbeam/node/control_api.py
@@ -1,7 +1,8 @@
 """Control calls: the operator's configuration, taken by any node and passed on; read back from the tail.
 
-`elsewhere` gives the address of a node that answers a read sooner, where this one's link is too thin for it. `alone`
-tells that no machine of the core is in reach: calls are refused at once then, and callers go on to another node.
+`better_reader` gives the address of a node that answers a read sooner, where this one's link is too thin for it.
+`is_isolated` tells that no machine of the core is in reach: calls are refused at once then, and callers go on to
+another node.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 import msgspec
 
 from cypressbeam.consensus.membership import KINDS
-from cypressbeam.node.state_query import JSON, STATE, Survey
+from cypressbeam.node.state_query import JSON, STATE, StateQuery
 from cypressbeam.protocol import frames
-from cypressbeam.protocol.configuration import MOST_REVISION
+from cypressbeam.protocol.configuration import MAX_REVISION
 from cypressbeam.proxy.frontend import ClientConnection
-from cypressbeam.proxy.http_requests import BadRequest, Message
+from cypressbeam.proxy.http_requests import BadRequestError, RequestMessage
 from cypressbeam.proxy.http_responses import Answer, Limits
 from cypressbeam.proxy.proxy_core import Clock
 from cypressbeam.standalone.discovery import Address
@@ -29,13 +30,13 @@
 REPLACE, READ = b"/-/Configuration.Replace", b"/-/Configuration.Read"
 MEMBERS = b"/-/System.Members"
 #: A configuration of many thousand routes fits; more is refused with 413.
-MOST_BODY = 8 * 1024 * 1024
-LIMITS = Limits(head_bytes=16 * 1024, body_bytes=MOST_BODY, ask_s=5.0, body_s=5.0, idle_s=30.0, body_renews=True)
-MOST_CONNECTIONS = 64
+MAX_BODY_BYTES = 8 * 1024 * 1024
+LIMITS = Limits(head_bytes=16 * 1024, body_bytes=MAX_BODY_BYTES, ask_s=5.0, body_s=5.0, idle_s=30.0, body_renews=True)
+MAX_CONNECTIONS = 64
 #: Callers move on after a second of silence, so by then they hear that they should.
-PATIENCE_S = 0.9
+CALL_TIMEOUT_S = 0.9
 #: An order or read without an answer is sent again: the link may have broken. The head knows one that it has.
-AGAIN_S = 0.3
+RESEND_INTERVAL_S = 0.3
 CBOR = (b"Content-Type", b"application/cbor")
 #: How answers name the body of System.Members; callers may compare them.
 REQUEST_LABEL = "Change"
@@ -51,15 +52,15 @@
 
 
 @dataclass(slots=True)
-class Call:
+class PendingCall:
     """A call that waits for the chain's answer."""
 
     connection: ClientConnection
     frame: frames.WriteRequest | frames.ReadRequest | frames.MembershipChangeRequest
-    due_s: float
+    deadline_s: float
 
 
-class Control:
+class ControlApi:
     """The application behind a control listener. `view` gives the chain's members, head first, as last known."""
 
     def __init__(
@@ -67,24 +68,24 @@
         ip: str,
         view: Callable[[], tuple[str, ...]],
         send: Callable[[str, frames.Frame], None],
-        survey: Survey,
-        elsewhere: Callable[[], Address | None] = lambda: None,
-        alone: Callable[[], bool] = lambda: False,
+        survey: StateQuery,
+        better_reader: Callable[[], Address | None] = lambda: None,
+        is_isolated: Callable[[], bool] = lambda: False,
     ) -> None:
         self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
         self.now_us = Clock()
         self.ip = ip
-        self.view = view
+        self.chain = view
         self.send = send
-        self.survey = survey
-        self.elsewhere, self.alone = elsewhere, alone
+        self.state_query = survey
+        self.better_reader, self.is_isolated = better_reader, is_isolated
         self.chance = random.SystemRandom()
-        self.calls: dict[str, Call] = {}
+        self.calls: dict[str, PendingCall] = {}
 
     def can_serve(self) -> bool:
-        return bool(self.view())
+        return bool(self.chain())
 
-    def serve(self, message: Message, connection: ClientConnection) -> Answer | None:
+    def serve(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
         path = message.target.partition(b"?")[0]
         if path == REPLACE:
             return self.replace(message, connection)
@@ -94,94 +95,96 @@
             return self.change_members(message, connection)
         if path == STATE:
             if message.method not in (b"GET", b"HEAD"):
-                raise BadRequest(405, "System.State is a GET", b"GET, HEAD")
-            return self.survey.begin(connection)
-        raise BadRequest(404, "no such call")
+                raise BadRequestError(405, "System.State is a GET", b"GET, HEAD")
+            return self.state_query.begin(connection)
+        raise BadRequestError(404, "no such call")
 
-    def replace(self, message: Message, connection: ClientConnection) -> Answer | None:
+    def replace(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
         if message.method != b"POST":
-            raise BadRequest(405, "Configuration.Replace is a POST", b"POST")
+            raise BadRequestError(405, "Configuration.Replace is a POST", b"POST")
         given = [value for lower, _, value in message.headers if lower == b"base-revision"]
-        if len(given) != 1 or not given[0].isdigit() or len(given[0]) > 19 or int(given[0]) > MOST_REVISION:
-            raise BadRequest(400, "Base-Revision: the number of a version is needed")
+        if len(given) != 1 or not given[0].isdigit() or len(given[0]) > 19 or int(given[0]) > MAX_REVISION:
+            raise BadRequestError(400, "Base-Revision: the number of a version is needed")
         # Whether it is valid says the head, which knows whether it was taken: this node's program may be another one.
         ident = self.chance.getrandbits(63)
-        return self.pass_on(frames.WriteRequest(ident, self.ip, int(given[0]), message.body), connection)
+        return self.submit(frames.WriteRequest(ident, self.ip, int(given[0]), message.body), connection)
 
-    def read(self, message: Message, connection: ClientConnection) -> Answer | None:
+    def read(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
         if message.method not in (b"GET", b"HEAD"):
-            raise BadRequest(405, "Configuration.Read is a GET", b"GET, HEAD")
-        better = self.elsewhere()
+            raise BadRequestError(405, "Configuration.Read is a GET", b"GET, HEAD")
+        better = self.better_reader()
         if better is not None:
             where = b"http://%s:%d%s" % (better[0].encode(), better[1], READ)
             return Answer(307, [(b"Location", where)])
-        return self.pass_on(frames.ReadRequest(self.chance.getrandbits(63), self.ip), connection)
+        return self.submit(frames.ReadRequest(self.chance.getrandbits(63), self.ip), connection)
 
-    def change_members(self, message: Message, connection: ClientConnection) -> Answer | None:
+    def change_members(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
         """A change of the core's group: sent again and again, as it was, until the answer is no longer 202."""
         if message.method != b"POST":
-            raise BadRequest(405, "System.Members is a POST", b"POST")
+            raise BadRequestError(405, "System.Members is a POST", b"POST")
         ident = self.chance.getrandbits(63)
         try:
             asked = msgspec.json.decode(message.body, type=MembersCall)
         except (msgspec.DecodeError, msgspec.ValidationError) as err:
-            raise BadRequest(400, f"System.Members: {err}") from None
+            raise BadRequestError(400, f"System.Members: {err}") from None
         frame = frames.MembershipChangeRequest(
             ident, self.ip, KINDS.get(asked.change, 0), asked.old, asked.new, tuple(asked.base)
         )
         try:
             frame.check()
         except frames.FrameError as err:
-            raise BadRequest(400, f"System.Members: {REQUEST_LABEL}: {err.reason}") from None
-        return self.pass_on(frame, connection)
+            raise BadRequestError(400, f"System.Members: {REQUEST_LABEL}: {err.reason}") from None
+        return self.submit(frame, connection)
 
-    def pass_on(
+    def submit(
         self,
         frame: frames.WriteRequest | frames.ReadRequest | frames.MembershipChangeRequest,
         connection: ClientConnection,
     ) -> Answer | None:
-        if not self.view():
+        if not self.chain():
             return unavailable("the chain is not known here yet")
-        if self.alone():
+        if self.is_isolated():
             return unavailable("no machine of the core is in reach")
         name = str(frame.request_id)
         connection.request = name
-        self.calls[name] = Call(connection, frame, self.loop.time() + PATIENCE_S)
-        self.press(name)
+        self.calls[name] = PendingCall(connection, frame, self.loop.time() + CALL_TIMEOUT_S)
+        self.send_pending(name)
         return None
 
-    def press(self, name: str) -> None:
+    def send_pending(self, name: str) -> None:
         """Send a call that waits, again until it is answered or its caller moves on."""
         call = self.calls.get(name)
         if call is None:
             return
-        if self.loop.time() >= call.due_s:
+        if self.loop.time() >= call.deadline_s:
             log.warning("a call was left without the chain's answer")
-            self.settle(name, unavailable("the chain does not answer"))
+            self.complete(name, unavailable("the chain does not answer"))
             return
-        members = self.view()
+        members = self.chain()
         if members:
             self.send(members[-1] if isinstance(call.frame, frames.ReadRequest) else members[0], call.frame)
-        self.loop.call_later(min(AGAIN_S, max(call.due_s - self.loop.time(), 0.001)), self.press, name)
+        self.loop.call_later(
+            min(RESEND_INTERVAL_S, max(call.deadline_s - self.loop.time(), 0.001)), self.send_pending, name
+        )
 
-    def settle(self, name: str, answer: Answer) -> None:
+    def complete(self, name: str, answer: Answer) -> None:
         call = self.calls.pop(name, None)
         if call is not None:
             call.connection.respond(answer)
 
-    def on_outcome(self, frame: frames.WriteResult) -> None:
+    def on_write_result(self, frame: frames.WriteResult) -> None:
         headers = [(b"Retry-After", b"0.3")] if frame.status == 503 else []
-        self.settle(str(frame.request_id), Answer(frame.status, headers, f"{frame.text}\n".encode()))
+        self.complete(str(frame.request_id), Answer(frame.status, headers, f"{frame.text}\n".encode()))
 
-    def on_reading(self, frame: frames.ReadResult) -> None:
-        self.settle(str(frame.request_id), Answer(frame.status, [CBOR] if frame.body else [], frame.body))
+    def on_read_result(self, frame: frames.ReadResult) -> None:
+        self.complete(str(frame.request_id), Answer(frame.status, [CBOR] if frame.body else [], frame.body))
 
-    def on_progress(self, frame: frames.MembershipChangeStatus) -> None:
+    def on_change_status(self, frame: frames.MembershipChangeStatus) -> None:
         body = msgspec.json.encode({"status": frame.status, "text": frame.text, "group": frame.group})
-        self.settle(str(frame.request_id), Answer(frame.status, [JSON], body))
+        self.complete(str(frame.request_id), Answer(frame.status, [JSON], body))
 
     def client_gone(self, name: str) -> None:
-        if not self.survey.client_gone(name):
+        if not self.state_query.client_gone(name):
             self.calls.pop(name, None)
 
 
--- a/cypressbeam/node/core_machine.py
+++ b/cypressbeam/node/core_machine.py
@@ -21,14 +21,14 @@
 from cypressbeam.consensus.replacement import ReplacementManager
 from cypressbeam.consensus.replica import Replica
 from cypressbeam.consensus.views import Entry, View, ip_of
-from cypressbeam.distribution.endpoint_list import Server
-from cypressbeam.distribution.relay import Relay
+from cypressbeam.distribution.endpoint_list import Endpoint
+from cypressbeam.distribution.relay import TreeNode
 from cypressbeam.node.background_tasks import BackgroundTasks
 from cypressbeam.node.effect_executor import EffectExecutor
 from cypressbeam.node.leader_role import LeaderRole
 from cypressbeam.protocol import configuration, frames
 from cypressbeam.protocol.settings import Settings
-from cypressbeam.storage.store import FormatError, Loaded, Storage, StoreError
+from cypressbeam.storage.store import LoadedState, Storage, StoreError, UnsupportedFormatError
 from cypressbeam.transport.peers import Link
 
 log = logging.getLogger(__name__)
@@ -54,7 +54,7 @@
     """The revision of a configuration. Raises ValueError for an invalid one."""
     try:
         return configuration.read(body).revision
-    except configuration.Invalid as err:
+    except configuration.InvalidConfigurationError as err:
         raise ValueError(str(err)) from None
 
 
@@ -62,10 +62,10 @@
     """A machine with a disk. Times in seconds of the event loop's clock."""
 
     def __init__(
-        self, settings: Settings, relay: Relay, send: Callable[[str, frames.Frame], None], store: Storage
+        self, settings: Settings, relay: TreeNode, send: Callable[[str, frames.Frame], None], store: Storage
     ) -> None:
         self.settings = settings
-        self.relay = relay
+        self.tree = relay
         self.send = send
         self.store = store
         self.loop = asyncio.get_running_loop()
@@ -91,7 +91,7 @@
         self.reported_rejections: set[str] = set()
         self.quorum_monitor = QuorumMonitor()
         relay.fence.on_epoch = self.on_higher_epoch
-        relay.fence.vouched = self.vouched_leader
+        relay.fence.vouched_leader = self.vouched_leader
 
     # -- start and stop ------------------------------------------------------------------------------------
 
@@ -111,7 +111,7 @@
             try:
                 loaded = await self.store.load(reset)
                 break
-            except FormatError as err:
+            except UnsupportedFormatError as err:
                 if self.loop.time() < began_s + LOAD_TIMEOUT_S:
                     raise
                 log.error("disk unusable: %s; this node goes on without it", err)
@@ -123,23 +123,25 @@
         if self.on_loaded is not None and self.loop.time() > began_s + LOAD_TIMEOUT_S:
             self.on_loaded()
 
-    def adopt(self, loaded: Loaded) -> None:
+    def adopt(self, loaded: LoadedState) -> None:
         """Begin as the member whose disk this is."""
         settings = self.settings
         name = f"{settings.ip}/{loaded.identity}"
-        self.relay.registration.identity = name
+        self.tree.registration.identity = name
         replica = Replica(name, settings.machine_losses + 1, revision_of, configuration.digest, self.chance.random)
-        replica.check_version = configuration.CHECKS
+        replica.check_version = configuration.CHECK_VERSION
         self.replica = replica
         self.membership = MembershipManager(replica, settings.machine_losses)
         self.replacement = ReplacementManager(self.membership, settings.replace_after_s)
         self.dispatcher = Dispatcher(replica)
         self.dispatcher.add_membership(self.membership, self.replacement)
-        replica.remember(loaded.own, loaded.raised, loaded.marks)
+        replica.remember(loaded.durable_marks, loaded.pending_marks, loaded.reported_marks)
         self.marks_saved_s = self.loop.time()
         if loaded.view is not None:
             log.info("view %d loaded: chain %s", loaded.view.epoch, " ".join(loaded.view.chain))
-        self.executor.execute(replica.load(loaded.view, loaded.promised, loaded.last, loaded.taken, self.loop.time()))
+        self.executor.execute(
+            replica.load(loaded.view, loaded.promised, loaded.entry, loaded.applied_digests, self.loop.time())
+        )
 
     def reset_identity(self, reason: str) -> None:
         """Go on as another member with an empty disk, in the same process. What is on the disk is kept aside."""
@@ -149,10 +151,10 @@
         log.error("resetting identity: %s", reason)
         view = replica.state.view
         self.former_group = tuple(ip_of(name) for name in view.group) if view is not None else ()
-        if self.relay.position.is_root:
+        if self.tree.position.is_root:
             self.set_leadership(False)
         self.replica = None
-        self.relay.registration.identity = ""
+        self.tree.registration.identity = ""
         self.reported_rejections = set()
         self.tasks.spawn(self.load(reset=True))
 
@@ -217,37 +219,37 @@
         member, what any node may name; otherwise nobody."""
         replica, view = self.replica, self.view
         if replica is None or view is None or replica.name not in view.group:
-            return self.relay.position.named()
+            return self.tree.position.known_leader()
         if not self.has_quorum_contact():
             return ""
         self.observe_epoch()
-        if self.relay.position.is_root:
+        if self.tree.position.is_root:
             return self.settings.ip
-        highest_epoch = max(replica.voter.promised, self.relay.fence.epoch)
+        highest_epoch = max(replica.voter.promised, self.tree.fence.epoch)
         return view.tail if highest_epoch <= view.epoch else ""
 
     def observe_epoch(self) -> None:
         """An epoch counts as seen once somebody leads in it: one that is only proposed may come to nothing."""
         replica, view = self.replica, self.view
         if replica is not None and view is not None:
-            self.relay.fence.learn_group(tuple(ip_of(name) for name in view.group), view.epoch)
+            self.tree.fence.learn_group(tuple(ip_of(name) for name in view.group), view.epoch)
             if replica.leadership.leads(self.loop.time()):
-                self.relay.fence.see(view.epoch)
+                self.tree.fence.observe(view.epoch)
 
     def on_higher_epoch(self) -> None:
         """A higher epoch was seen. The leader passes it on at once, if it is its own view's, or leads no more."""
-        epoch, view = self.relay.fence.epoch, self.view
-        if not self.relay.position.is_root or view is None:
+        epoch, view = self.tree.fence.epoch, self.view
+        if not self.tree.position.is_root or view is None:
             return
         if view.epoch >= epoch:
-            self.relay.feed.send_beat()
+            self.tree.feed.send_heartbeat()
         else:
             log.warning("view %d superseded by epoch %d", view.epoch, epoch)
             self.set_leadership(False)
 
     def follow_leadership(self, replica: Replica, now_s: float) -> None:
         """Lead as long as the replica holds the lease, and no higher epoch than its view's was seen."""
-        view, epoch = replica.state.view, self.relay.fence.epoch
+        view, epoch = replica.state.view, self.tree.fence.epoch
         if view is None:
             return
         leadership, proposer = replica.leadership, replica.proposer
@@ -261,15 +263,15 @@
             self.higher_epoch_since_s = None
             replica.state.observe_epoch(epoch)
             self.executor.execute(proposer.propose(now_s))
-        leads = leadership.is_leader and self.relay.fence.epoch <= view.epoch
-        if leads is not self.relay.position.is_root:
+        leads = leadership.is_leader and self.tree.fence.epoch <= view.epoch
+        if leads is not self.tree.position.is_root:
             self.set_leadership(leads)
 
     def set_leadership(self, leads: bool) -> None:
         """Be the root of the distribution tree, or no more."""
         view = self.view
         assert view is not None
-        if leads is self.relay.position.is_root or (leads and self.relay.fence.epoch > view.epoch):
+        if leads is self.tree.position.is_root or (leads and self.tree.fence.epoch > view.epoch):
             return
         if leads:
             self.leader_role.begin(view, self.take_list)
@@ -278,7 +280,7 @@
 
     def publish(self, entry: Entry) -> None:
         """A configuration is committed."""
-        self.relay.configuration.publish(entry.revision, entry.body)
+        self.tree.configuration.publish(entry.revision, entry.body)
 
     # -- upkeep --------------------------------------------------------------------------------------------
 
@@ -301,7 +303,7 @@
             self.executor.execute(self.replacement.tick(now_s))
             self.observe_epoch()
             self.tick_replica(now_s)
-        if self.relay.position.is_root:
+        if self.tree.position.is_root:
             self.leader_role.tick(now_s)
 
     def tick_replica(self, now_s: float) -> None:
@@ -319,7 +321,7 @@
         """What peers have reported goes to disk with another write, or by itself after a while. Each member that is
         rejected is logged once."""
         rollback = replica.rollback
-        if not self.store.note(rollback.reported):
+        if not self.store.stage_marks(rollback.reported):
             self.marks_saved_s = now_s
         elif now_s > self.marks_saved_s + SAVE_MARKS_S:
             self.marks_saved_s = now_s
@@ -339,7 +341,7 @@
         group = {ip_of(name) for name in view.group} if view is not None else set()
         if settings.ip in group:
             return
-        for ip in dict.fromkeys([*self.former_group, *self.relay.fence.group]):
+        for ip in dict.fromkeys([*self.former_group, *self.tree.fence.group]):
             if ip not in group and ip != settings.ip:
                 self.send(ip, replica.own_heartbeat(now_s))
 
@@ -399,7 +401,7 @@
         """A node registers at the leader."""
         self.leader_role.on_join(link, frame, self.view)
 
-    def take_list(self, servers: list[Server]) -> None:
+    def take_list(self, servers: list[Endpoint]) -> None:
         """The platform's list, at the leader."""
         self.catch_up()
         self.leader_role.take_list(servers)
--- a/cypressbeam/node/effect_executor.py
+++ b/cypressbeam/node/effect_executor.py
@@ -22,7 +22,7 @@
 from cypressbeam.consensus.views import Entry
 from cypressbeam.node.background_tasks import BackgroundTasks
 from cypressbeam.protocol import frames
-from cypressbeam.storage.store import Storage, StoreError, TornError
+from cypressbeam.storage.store import CorruptStateError, Storage, StoreError
 
 log = logging.getLogger(__name__)
 
@@ -74,10 +74,10 @@
         replica = self.target.replica
         if replica is None:
             return  # what was to be written belongs to a disk that was set aside
-        self.store.note(replica.rollback.reported)
+        self.store.stage_marks(replica.rollback.reported)
         try:
             effects = await self.persist(replica, effect)
-        except TornError as err:
+        except CorruptStateError as err:
             if replica is self.target.replica:
                 self.target.reset_identity(str(err))
             return
@@ -99,5 +99,5 @@
             await self.store.save_view(effect.view, effect.entry, effect.applied_digests)
             log.info("view %d installed: chain %s", effect.view.epoch, " ".join(effect.view.chain))
             return replica.view_persisted(effect.view, effect.entry, effect.applied_digests, self.loop.time())
-        await self.store.try_disk()
+        await self.store.probe()
         return replica.disk_probed(self.loop.time())
--- a/cypressbeam/node/endpoint_poller.py
+++ b/cypressbeam/node/endpoint_poller.py
@@ -8,21 +8,21 @@
 from collections.abc import Callable
 from urllib.parse import quote
 
-from cypressbeam.distribution.endpoint_list import Server, read_page
-from cypressbeam.standalone.discovery import Address, ListConnection
+from cypressbeam.distribution.endpoint_list import Endpoint, read_page
+from cypressbeam.standalone.discovery import Address, HttpClient
 
 log = logging.getLogger(__name__)
 
 #: The list is asked for this often; on trouble sooner or later, with full jitter.
-POLL_S = 0.9
+POLL_INTERVAL_S = 0.9
 POLL_TIMEOUT_S = 1.0
-POLL_AGAIN_S = (0.1, 0.3)
+POLL_RETRY_S = (0.1, 0.3)
 
 
-class Poller:
+class EndpointPoller:
     """Asks the platform for the whole list, page by page, over one kept connection."""
 
-    def __init__(self, address: Address, on_list: Callable[[list[Server]], None], chance: random.Random) -> None:
+    def __init__(self, address: Address, on_list: Callable[[list[Endpoint]], None], chance: random.Random) -> None:
         self.address = address
         self.on_list = on_list
         self.chance = chance
@@ -30,26 +30,26 @@
     async def run(self) -> None:
         """Ask for ever, over a new connection after each failure."""
         while True:
-            connection = ListConnection(self.address)
+            connection = HttpClient(self.address)
             try:
                 await connection.open()
                 while True:
                     await self.poll(connection)
-                    await asyncio.sleep(POLL_S)
+                    await asyncio.sleep(POLL_INTERVAL_S)
             except Exception as err:  # whatever comes, the list stays as it was and is asked for again
                 log.warning("list of servers: %s: %s", type(err).__name__, err)
             finally:
                 connection.close()
-            await asyncio.sleep(self.chance.uniform(*POLL_AGAIN_S))
+            await asyncio.sleep(self.chance.uniform(*POLL_RETRY_S))
 
-    async def poll(self, connection: ListConnection) -> None:
+    async def poll(self, connection: HttpClient) -> None:
         """One whole list. A page that is refused over the rate is asked for again, later."""
-        servers: list[Server] = []
+        servers: list[Endpoint] = []
         token: str | None = ""
         while token is not None:
             answer = await connection.get("/servers" + (f"?pageToken={quote(token)}" if token else ""), POLL_TIMEOUT_S)
             if answer.status == 429:
-                await asyncio.sleep(self.chance.uniform(*POLL_AGAIN_S))
+                await asyncio.sleep(self.chance.uniform(*POLL_RETRY_S))
                 continue
             if answer.status != 200:
                 raise ValueError(f"status {answer.status}")
--- a/cypressbeam/node/gateway_node.py
+++ b/cypressbeam/node/gateway_node.py
@@ -13,58 +13,58 @@
 
 from cypressbeam.consensus.bootstrap import Bootstrap
 from cypressbeam.consensus.effects import SendMessage
-from cypressbeam.distribution.failure_detector import Watch
+from cypressbeam.distribution.failure_detector import UdpFailureDetector
 from cypressbeam.distribution.outlier_reports import OutlierReports
-from cypressbeam.distribution.relay import Handlers, Relay
+from cypressbeam.distribution.relay import Handlers, TreeNode
 from cypressbeam.node import control_api, early_listener
-from cypressbeam.node.control_api import Control
+from cypressbeam.node.control_api import ControlApi
 from cypressbeam.node.core_machine import CoreMachine
-from cypressbeam.node.state_query import Survey
+from cypressbeam.node.state_query import StateQuery
 from cypressbeam.protocol import configuration, frames
 from cypressbeam.protocol.settings import VARIABLE, Settings, SettingsError, load
 from cypressbeam.proxy.frontend import ClientConnection, Frontend, readiness
-from cypressbeam.proxy.gateway import OVERFLOW, Gate
-from cypressbeam.proxy.http_requests import BadRequest, Message
+from cypressbeam.proxy.gateway import OVERFLOW, Gateway
+from cypressbeam.proxy.http_requests import BadRequestError, RequestMessage
 from cypressbeam.proxy.http_responses import Answer
 from cypressbeam.standalone.discovery import Address
-from cypressbeam.storage.store import Storage, Store
+from cypressbeam.storage.store import SqliteStore, Storage
 from cypressbeam.transport.peers import Link, Peers
 
 log = logging.getLogger(__name__)
 
 READY_PATH = b"/-/ready"
 #: After SIGTERM new connections still come until two readiness calls, a second apart, were missed.
-ACCEPT_ON_S = 2.4
+DRAIN_ACCEPT_S = 2.4
 #: A node that has started takes up the news within a few milliseconds, as a rule. Clients wait for it, at most so long.
-ACCEPT_LATEST_S, ACCEPT_TICK_S = 0.8, 0.005
+ACCEPT_DELAY_MAX_S, ACCEPT_TICK_S = 0.8, 0.005
 #: All that is in hand is answered so long before the end of the grace period.
 STOP_MARGIN_S = 0.8
 #: A stop waits so long for the disk at the end; what it has acknowledged is there, and a closed file is no more.
-CLOSE_S = 0.4
-FOUNDING_TICK_S = 0.1
+DISK_CLOSE_TIMEOUT_S = 0.4
+BOOTSTRAP_TICK_S = 0.1
 #: A node whose link would take longer for the whole configuration sends those who read it to the core.
-READ_S = 0.1
+MAX_READ_S = 0.1
 #: A node that has heard no machine that may know the root for so long, and has no parent, takes no calls of operators.
-ALONE_S = 3.0
+ISOLATED_AFTER_S = 3.0
 #: How often the settings file is looked at.
 FILE_TICK_S = 1.0
 
 
-class Readiness:
+class ReadinessApi:
     """The application behind the readiness listener."""
 
-    def __init__(self, gate: Gate) -> None:
+    def __init__(self, gate: Gateway) -> None:
         self.loop = gate.loop
         self.now_us = gate.now_us
-        self.gate = gate
+        self.gateway = gate
         self.front: Frontend | None = None
 
     def can_serve(self) -> bool:
-        return self.gate.can_serve()
+        return self.gateway.can_serve()
 
-    def serve(self, message: Message, connection: ClientConnection) -> Answer | None:
+    def serve(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
         if message.target.partition(b"?")[0] != READY_PATH:
-            raise BadRequest(404, "no such call")
+            raise BadRequestError(404, "no such call")
         return readiness(connection, message.method)
 
     def client_gone(self, name: str) -> None:
@@ -81,36 +81,43 @@
         self.settings = settings
         self.listening = listening
         flags = (
-            (frames.SERVES_CLIENTS if settings.front else 0)
+            (frames.SERVES_CLIENTS if settings.front_listener else 0)
             | (frames.MAY_BE_MEMBER if settings.quorum_member else 0)
             | (frames.MAY_BOOTSTRAP if settings.bootstrap else 0)
         )
         self.peers = Peers(
-            settings.ip, settings.peer_port, self.on_frame, self.on_lost, settings.link_mbps, settings.front is not None
+            settings.ip,
+            settings.peer_port,
+            self.on_frame,
+            self.on_lost,
+            settings.link_mbps,
+            settings.front_listener is not None,
         )
-        self.relay = Relay(settings, self.peers, flags)
-        self.relay.configuration.on_committed = self.take_configuration
-        self.relay.servers.on_change = self.take_servers
-        self.relay.registration.on_assigned = self.take_place
-        self.watch = Watch(settings.peer_port, self.on_silent)
-        self.gate = self.make_gate()
+        self.tree = TreeNode(settings, self.peers, flags)
+        self.tree.configuration.on_committed = self.take_configuration
+        self.tree.endpoints.on_change = self.take_servers
+        self.tree.registration.on_assigned = self.take_assignment
+        self.failure_detector = UdpFailureDetector(settings.peer_port, self.on_silent)
+        self.gateway = self.make_gateway()
         self.core: CoreMachine | None = None
         if settings.state_dir is not None:
-            self.core = CoreMachine(settings, self.relay, self.peers.send, store or Store(settings.state_dir))
-        self.survey = Survey(settings.ip, self.members, self.tell, self.peers.send)
-        self.control = Control(settings.ip, self.members, self.peers.send, self.survey, self.better_reader, self.alone)
-        self.founding: Bootstrap | None = None
-        self.outliers = OutlierReports(self.relay.context, self.relay, self.take_outliers)
-        if self.gate is not None and settings.share_faults:
-            self.gate.on_fault = self.outliers.note_fault
+            self.core = CoreMachine(settings, self.tree, self.peers.send, store or SqliteStore(settings.state_dir))
+        self.state_query = StateQuery(settings.ip, self.members, self.describe, self.peers.send)
+        self.control = ControlApi(
+            settings.ip, self.members, self.peers.send, self.state_query, self.better_reader, self.is_isolated
+        )
+        self.bootstrap: Bootstrap | None = None
+        self.outliers = OutlierReports(self.tree.context, self.tree, self.take_outliers)
+        if self.gateway is not None and settings.share_faults:
+            self.gateway.on_failure = self.outliers.record_failure
         self.frontends: list[Frontend] = []
         self.tasks: set[asyncio.Task[None]] = set()
         self.handlers = (
-            self.relay.handlers() | self.outliers.handlers() | self.node_handlers() | self.root_handlers(self.core)
+            self.tree.handlers() | self.outliers.handlers() | self.node_handlers() | self.root_handlers(self.core)
         )
 
-    def make_gate(self) -> Gate | None:
-        return Gate(self.settings) if self.settings.front else None
+    def make_gateway(self) -> Gateway | None:
+        return Gateway(self.settings) if self.settings.front_listener else None
 
     # -- start and stop ------------------------------------------------------------------------------------
 
@@ -121,31 +128,34 @@
         if self.core is not None:
             await self.core.start()
         if self.core is not None and self.core.replica is None:
-            self.core.on_loaded = self.begin_founding
+            self.core.on_loaded = self.begin_bootstrap
         else:
-            self.begin_founding()
-        if settings.control is not None:
+            self.begin_bootstrap()
+        if settings.control_listener is not None:
             await self.listen(
-                Frontend(self.control, control_api.MOST_CONNECTIONS, OVERFLOW, control_api.LIMITS), settings.control
+                Frontend(self.control, control_api.MAX_CONNECTIONS, OVERFLOW, control_api.LIMITS),
+                settings.control_listener,
             )
-        if self.gate is not None and settings.front is not None:
-            self.listening = self.listening or early_listener.listen(*settings.front)
-            frontend = Frontend(self.gate, self.gate.client_connections, OVERFLOW, self.gate.limits)
+        if self.gateway is not None and settings.front_listener is not None:
+            self.listening = self.listening or early_listener.listen(*settings.front_listener)
+            frontend = Frontend(self.gateway, self.gateway.client_connections, OVERFLOW, self.gateway.limits)
             self.frontends.append(frontend)
-            task = self.loop.create_task(self.accept(frontend, settings.front))
+            task = self.loop.create_task(self.accept(frontend, settings.front_listener))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
-            if settings.readiness is not None:
-                await self.listen(Frontend(Readiness(self.gate), 64, OVERFLOW, control_api.LIMITS), settings.readiness)
-        self.relay.start()
-        await self.watch.start(settings.ip)
+            if settings.readiness_listener is not None:
+                await self.listen(
+                    Frontend(ReadinessApi(self.gateway), 64, OVERFLOW, control_api.LIMITS), settings.readiness_listener
+                )
+        self.tree.start()
+        await self.failure_detector.start(settings.ip)
 
     async def accept(self, frontend: Frontend, address: Address) -> None:
         """Take clients' connections, which wait at the socket until then, once requests can be served; or after a
         while, or when the node is told to stop, to tell them that they can't: left there, they would be reset."""
-        assert self.gate is not None
-        until_s = self.loop.time() + ACCEPT_LATEST_S
-        while not (self.gate.can_serve() or frontend.stopping) and self.loop.time() < until_s:
+        assert self.gateway is not None
+        until_s = self.loop.time() + ACCEPT_DELAY_MAX_S
+        while not (self.gateway.can_serve() or frontend.stopping) and self.loop.time() < until_s:
             await asyncio.sleep(ACCEPT_TICK_S)
         await frontend.listen(*address, self.listening)
 
@@ -156,33 +166,33 @@
     async def stop(self) -> None:
         """In order: unready, go on serving until clients stay away, answer what is in hand, end."""
         ends_s = self.loop.time() + self.settings.envelope.grace_period_s - STOP_MARGIN_S
-        leaving = self.loop.create_task(self.hand_over(ends_s - CLOSE_S))
-        if self.gate is None:
+        leaving = self.loop.create_task(self.hand_over(ends_s - DISK_CLOSE_TIMEOUT_S))
+        if self.gateway is None:
             await leaving  # its children are fed meanwhile
-        self.relay.leave()
+        self.tree.drain()
         for frontend in self.frontends:
             frontend.stopping = True
-        if self.gate is not None:
-            await asyncio.sleep(ACCEPT_ON_S)
+        if self.gateway is not None:
+            await asyncio.sleep(DRAIN_ACCEPT_S)
             for frontend in self.frontends:
                 frontend.stop_accepting()
             # Also requests that are still coming in: on a thin link a body takes a second.
             while (
-                self.gate.requests or any(frontend.owes() for frontend in self.frontends)
+                self.gateway.requests or any(frontend.has_pending_answers() for frontend in self.frontends)
             ) and self.loop.time() < ends_s:
                 await asyncio.sleep(0.02)
-            for request in [*self.gate.requests.values()]:
-                self.gate.time_is_up(request)
+            for request in [*self.gateway.requests.values()]:
+                self.gateway.time_is_up(request)
             for frontend in self.frontends:
                 frontend.refuse_partial()
             await asyncio.sleep(0.05)
-            self.gate.upstream.close()
+            self.gateway.upstream.close()
         await leaving
         if self.core is not None:
             self.core.close()
-            if not await self.core.store.closed(CLOSE_S):
+            if not await self.core.store.closed(DISK_CLOSE_TIMEOUT_S):
                 log.error("the disk does not answer; the process ends without it")
-        self.watch.close()
+        self.failure_detector.close()
         self.peers.close()
 
     async def hand_over(self, until_s: float) -> None:
@@ -197,12 +207,12 @@
         except SettingsError as err:
             log.error("settings: %s; the old ones stay", err)
             return
-        self.take_up(new)
+        self.take_settings(new)
 
-    def take_up(self, new: Settings) -> None:
+    def take_settings(self, new: Settings) -> None:
         if new.seeds != self.settings.seeds:
             log.info("settings: seeds are %s", " ".join(f"{host}:{port}" for host, port in new.seeds))
-        self.settings = self.relay.context.settings = new
+        self.settings = self.tree.context.settings = new
         if self.core is not None:
             self.core.take_settings(new)
 
@@ -216,25 +226,25 @@
             self.reload(os.environ)
         self.loop.call_later(FILE_TICK_S, self.watch_file, path, now_ns)
 
-    def begin_founding(self) -> None:
+    def begin_bootstrap(self) -> None:
         settings = self.settings
         if settings.bootstrap and settings.seeds and settings.seeds[0][0] == settings.ip and not self.members():
-            self.founding = Bootstrap(2 * settings.machine_losses + 1)
-            self.found()
+            self.bootstrap = Bootstrap(2 * settings.machine_losses + 1)
+            self.bootstrap_step()
 
-    def found(self) -> None:
-        founding = self.founding
+    def bootstrap_step(self) -> None:
+        founding = self.bootstrap
         if founding is None:
             return
-        if self.settings.quorum_member and self.relay.registration.identity:
-            founding.add_candidate(self.relay.registration.identity, self.loop.time())
+        if self.settings.quorum_member and self.tree.registration.identity:
+            founding.add_candidate(self.tree.registration.identity, self.loop.time())
         for tell in founding.tick(self.loop.time()):
             assert isinstance(tell, SendMessage)
             self.peers.send(tell.ip, tell.frame)
-        if founding.is_done() or self.relay.registration.assignment is not None:
-            self.founding = None
+        if founding.is_done() or self.tree.registration.assignment is not None:
+            self.bootstrap = None
         else:
-            self.loop.call_later(FOUNDING_TICK_S, self.found)
+            self.loop.call_later(BOOTSTRAP_TICK_S, self.bootstrap_step)
 
     # -- what is known -------------------------------------------------------------------------------------
 
@@ -242,29 +252,29 @@
         """The chain, head first, as this node knows it; empty before it does."""
         if self.core is not None and self.core.view is not None:
             return self.core.view.members
-        return self.relay.registration.chain()
+        return self.tree.registration.chain()
 
     def better_reader(self) -> Address | None:
         """A machine of the core, where this node's link would take long for the whole configuration. Any of them: one
         may be down, and the caller asks again."""
-        control, members = self.settings.control, self.members()
-        takes_s = len(self.relay.configuration.body) * 8 / (self.settings.link_mbps * 1e6)
-        if control is None or self.core is not None or not members or takes_s < READ_S:
+        control, members = self.settings.control_listener, self.members()
+        takes_s = len(self.tree.configuration.body) * 8 / (self.settings.link_mbps * 1e6)
+        if control is None or self.core is not None or not members or takes_s < MAX_READ_S:
             return None
-        return self.relay.context.chance.choice(members), control[1]
+        return self.tree.context.chance.choice(members), control[1]
 
-    def alone(self) -> bool:
+    def is_isolated(self) -> bool:
         """Whether this node has looked for the root for long, and heard none of those that may know it."""
-        relay, now_s = self.relay, self.loop.time()
+        relay, now_s = self.tree, self.loop.time()
         heard_s = relay.heartbeats.root_heard_s or 0.0
-        if self.core is not None or relay.subscription.parent is not None or now_s - heard_s < ALONE_S:
+        if self.core is not None or relay.subscription.parent is not None or now_s - heard_s < ISOLATED_AFTER_S:
             return False
-        group, seeds = relay.locator.known()
-        return all(now_s - self.peers.heard.get(ip, 0.0) > ALONE_S for ip in [*group, *seeds])
+        group, seeds = relay.locator.candidates()
+        return all(now_s - self.peers.last_heard_s.get(ip, 0.0) > ISOLATED_AFTER_S for ip in [*group, *seeds])
 
-    def tell(self) -> dict[str, Any]:
+    def describe(self) -> dict[str, Any]:
         """This node for an operator, in what JSON can hold."""
-        relay, settings = self.relay, self.settings
+        relay, settings = self.tree, self.settings
         return {
             "name": settings.node,
             "ip": settings.ip,
@@ -273,61 +283,63 @@
             "is_root": relay.position.is_root,
             "children": len(relay.children),
             "revision": relay.configuration.revision,
-            "servers": len(relay.servers.listing.servers),
-            "list": relay.servers.listing.seq,
-            "fronts": relay.registration.fronts,
+            "servers": len(relay.endpoints.endpoints.servers),
+            "list": relay.endpoints.endpoints.sequence,
+            "fronts": relay.registration.edge_count,
             "epoch": relay.fence.epoch,
-            "age_s": relay.position.age_s(),
-            "ready": self.gate.can_serve() if self.gate is not None else None,
+            "age_s": relay.position.leader_age_s(),
+            "ready": self.gateway.can_serve() if self.gateway is not None else None,
         }
 
     def take_configuration(self, revision: int, body: bytes) -> None:
-        if self.gate is not None:
+        if self.gateway is not None:
             try:
-                self.gate.take_configuration(configuration.read_committed(body))
-            except configuration.Invalid as err:  # the head has checked it, so this is a fault of ours
+                self.gateway.take_configuration(configuration.read_committed(body))
+            except (
+                configuration.InvalidConfigurationError
+            ) as err:  # the head has checked it, so this is a fault of ours
                 log.error("configuration %d: %s", revision, err)
 
     def take_servers(self) -> None:
-        if self.gate is not None:
-            self.gate.take_servers(self.relay.servers.listing.servers)
+        if self.gateway is not None:
+            self.gateway.take_servers(self.tree.endpoints.endpoints.servers)
 
     def take_outliers(self, servers: tuple[str, ...]) -> None:
         """Servers fail for many nodes of this zone."""
-        if self.gate is not None:
-            self.gate.take_verdict(servers)
+        if self.gateway is not None:
+            self.gateway.take_ejections(servers)
 
-    def take_place(self) -> None:
-        place = self.relay.registration.assignment
+    def take_assignment(self) -> None:
+        place = self.tree.registration.assignment
         if place is None:
             return
-        self.watch.take(place.probed_ips, place.probed_names)
+        self.failure_detector.watch(place.probed_ips, place.probed_names)
         if self.core is not None:
             self.core.send_spare_heartbeat()
-        if self.gate is not None:
-            self.gate.take_fleet(self.relay.registration.fronts or 1, place.index)
+        if self.gateway is not None:
+            self.gateway.take_fleet(self.tree.registration.edge_count or 1, place.index)
 
     def on_silent(self, name: str) -> None:
-        if self.relay.position.is_root and self.core is not None:
+        if self.tree.position.is_root and self.core is not None:
             self.core.leader_role.on_suspect(name)
-        elif self.relay.locator.root:
-            self.peers.send(self.relay.locator.root, frames.SuspectReport(name))
+        elif self.tree.locator.root:
+            self.peers.send(self.tree.locator.root, frames.SuspectReport(name))
 
     # -- frames --------------------------------------------------------------------------------------------
 
     def on_lost(self, link: Link) -> None:
-        self.relay.link_lost(link)
+        self.tree.link_lost(link)
 
     def node_handlers(self) -> Handlers:
         """What every node handles beside the messages of the tree. Replies find their request at the control calls."""
         return {
             frames.JoinRequest: self.on_join,
-            frames.BootstrapAck: lambda link, frame: self.on_founded(frame),
-            frames.WriteResult: lambda link, frame: self.control.on_outcome(frame),
-            frames.ReadResult: lambda link, frame: self.control.on_reading(frame),
-            frames.MembershipChangeStatus: lambda link, frame: self.control.on_progress(frame),
-            frames.ReplicaStatus: lambda link, frame: self.survey.on_state(frame),
-            frames.SpareAnnouncement: lambda link, frame: self.survey.on_standing_by(frame),
+            frames.BootstrapAck: lambda link, frame: self.on_bootstrap_ack(frame),
+            frames.WriteResult: lambda link, frame: self.control.on_write_result(frame),
+            frames.ReadResult: lambda link, frame: self.control.on_read_result(frame),
+            frames.MembershipChangeStatus: lambda link, frame: self.control.on_change_status(frame),
+            frames.ReplicaStatus: lambda link, frame: self.state_query.on_state(frame),
+            frames.SpareAnnouncement: lambda link, frame: self.state_query.on_spares(frame),
         }
 
     def root_handlers(self, core: CoreMachine | None) -> Handlers:
@@ -337,10 +349,10 @@
         return {
             frames.BootstrapRequest: core.on_bootstrap_request,
             frames.SuspectReport: lambda link, frame: (
-                core.leader_role.on_suspect(frame.name) if self.relay.position.is_root else None
+                core.leader_role.on_suspect(frame.name) if self.tree.position.is_root else None
             ),
             frames.LeaveNotice: lambda link, frame: (
-                core.leader_role.remove(frame.name, "left") if self.relay.position.is_root else None
+                core.leader_role.remove(frame.name, "left") if self.tree.position.is_root else None
             ),
         }
 
@@ -356,18 +368,18 @@
             core.on_message(frame)
 
     def on_join(self, link: Link, frame: frames.JoinRequest) -> None:
-        self.relay.fence.see(frame.epoch)
-        if self.relay.position.is_root and self.core is not None:
+        self.tree.fence.observe(frame.epoch)
+        if self.tree.position.is_root and self.core is not None:
             self.core.on_join(link, frame)
             return
         if self.core is not None:
             self.core.on_early_join(link, frame)
-        if self.founding is not None and frame.identity and not frame.has_assignment:
-            self.founding.add_candidate(frame.identity, self.loop.time())
-        link.send(self.relay.fence.redirect())
+        if self.bootstrap is not None and frame.identity and not frame.has_assignment:
+            self.bootstrap.add_candidate(frame.identity, self.loop.time())
+        link.send(self.tree.fence.redirect())
 
-    def on_founded(self, frame: frames.BootstrapAck) -> None:
-        founding = self.founding
+    def on_bootstrap_ack(self, frame: frames.BootstrapAck) -> None:
+        founding = self.bootstrap
         if founding is not None and founding.view is not None and frame.chain == founding.view.chain:
             founding.acknowledged.add(frame.name)
 
--- a/cypressbeam/node/leader_role.py
+++ b/cypressbeam/node/leader_role.py
@@ -13,10 +13,10 @@
 from dataclasses import replace
 
 from cypressbeam.consensus.views import View
-from cypressbeam.distribution.endpoint_list import Server
-from cypressbeam.distribution.node_registry import RENEW_S, Roster
-from cypressbeam.distribution.relay import Relay
-from cypressbeam.node.endpoint_poller import Poller
+from cypressbeam.distribution.endpoint_list import Endpoint
+from cypressbeam.distribution.node_registry import RENEWAL_INTERVAL_S, NodeRegistry
+from cypressbeam.distribution.relay import TreeNode
+from cypressbeam.node.endpoint_poller import EndpointPoller
 from cypressbeam.protocol import frames
 from cypressbeam.protocol.settings import Settings
 from cypressbeam.transport.peers import Link
@@ -42,7 +42,7 @@
     def __init__(
         self,
         settings: Settings,
-        relay: Relay,
+        relay: TreeNode,
         send: Callable[[str, frames.Frame], None],
         random_source: Callable[[], random.Random],
         vouched_leader: Callable[[], str],
@@ -51,12 +51,12 @@
         :param vouched_leader: the leader's address as this machine may name it now, or nothing.
         """
         self.settings = settings
-        self.relay = relay
+        self.tree = relay
         self.send = send
         self.random_source = random_source
         self.vouched_leader = vouched_leader
         self.loop = asyncio.get_running_loop()
-        self.registry = Roster(settings.node)
+        self.registry = NodeRegistry(settings.node)
         self.since_s = 0.0
         """When this machine took the lead."""
         self.introduced_s = 0.0
@@ -66,16 +66,16 @@
 
     # -- taking and leaving the lead -----------------------------------------------------------------------
 
-    def begin(self, view: View, take_list: Callable[[list[Server]], None]) -> None:
+    def begin(self, view: View, take_list: Callable[[list[Endpoint]], None]) -> None:
         """This machine leads from now on. `take_list` gets the platform's list, again and again."""
         settings = self.settings
         log.info("became root: epoch %d", view.epoch)
         self.since_s = self.loop.time()
-        self.relay.become_root(self.random_source().getrandbits(TERM_BITS) | 1, view.epoch)
-        self.registry = Roster(settings.node)
-        self.registry.join(self.own_registration(), self.since_s)
+        self.tree.become_root(self.random_source().getrandbits(TERM_BITS) | 1, view.epoch)
+        self.registry = NodeRegistry(settings.node)
+        self.registry.register(self.own_registration(), self.since_s)
         if settings.platform is not None:
-            poller = Poller(settings.platform, take_list, self.random_source())
+            poller = EndpointPoller(settings.platform, take_list, self.random_source())
             self.poller = self.loop.create_task(poller.run())
         early, self.early = self.early, {}
         for link, request, came_s in early.values():
@@ -89,7 +89,7 @@
             settings.node,
             settings.ip,
             settings.zone,
-            self.relay.registration.flags,
+            self.tree.registration.flags,
             1,
             "",
             kbps=max(int(settings.link_mbps * 1000), 1),
@@ -98,7 +98,7 @@
     def end(self) -> None:
         """Another machine leads, or none."""
         log.warning("lost root role")
-        self.relay.resign()
+        self.tree.resign()
         self.close()
 
     def close(self) -> None:
@@ -112,7 +112,7 @@
         self.registry.nodes[self.settings.node].seen_s = now_s
         for name in self.registry.expire(now_s):
             log.warning("node %s expired: no registration", name)
-        self.relay.registration.fronts = self.edge_count()
+        self.tree.registration.edge_count = self.edge_count()
         if now_s >= self.introduced_s + INTRODUCTION_INTERVAL_S:
             self.introduce(now_s)
 
@@ -125,11 +125,11 @@
         known = {node.ip for node in self.registry.nodes.values()}
         for ip, _ in self.settings.seeds:
             if ip not in known:
-                self.send(ip, self.relay.fence.redirect())
+                self.send(ip, self.tree.fence.redirect())
 
     def edge_count(self) -> int:
         """How many nodes carry traffic; 0 while this is not known yet."""
-        return self.registry.fronts() if self.loop.time() - self.since_s >= COUNTING_S else 0
+        return self.registry.edge_count() if self.loop.time() - self.since_s >= COUNTING_S else 0
 
     # -- the registry --------------------------------------------------------------------------------------
 
@@ -139,37 +139,37 @@
 
     def on_join(self, link: Link, frame: frames.JoinRequest, view: View | None) -> None:
         """A node asks for its parents. A machine that leads no more, or can't tell, says so."""
-        if not self.relay.position.is_root or not self.vouched_leader():
-            link.send(self.relay.fence.redirect())
+        if not self.tree.position.is_root or not self.vouched_leader():
+            link.send(self.tree.fence.redirect())
             return
         if frame.name not in self.registry.nodes:
             log.info("node %s registered: ip %s", frame.name, frame.ip)
-        epoch, group = self.relay.fence.epoch, self.relay.fence.group
-        self.registry.join(frame, self.loop.time(), epoch)
+        epoch, group = self.tree.fence.epoch, self.tree.fence.group
+        self.registry.register(frame, self.loop.time(), epoch)
         assert view is not None
-        link.send(self.registry.place(frame.name, epoch, view.members, self.settings.ip, self.edge_count(), group))
+        link.send(self.registry.assignment(frame.name, epoch, view.members, self.settings.ip, self.edge_count(), group))
 
     def on_suspect(self, name: str) -> None:
         """A node that probes it does not hear it. Where a link is full its datagrams are lost, so that alone says
         little: a node that has registered again since it would have been missed is there."""
         known = self.registry.nodes.get(name)
-        if known is not None and self.loop.time() - known.seen_s > RENEW_S + SUSPICION_S:
+        if known is not None and self.loop.time() - known.seen_s > RENEWAL_INTERVAL_S + SUSPICION_S:
             self.remove(name, "unreachable")
 
     def remove(self, name: str, reason: str) -> None:
         """A node is gone."""
         if name != self.settings.node and name in self.registry.nodes:
             log.info("node %s removed: %s", name, reason)
-            self.registry.drop(name)
+            self.registry.remove(name)
 
     # -- the endpoint list ---------------------------------------------------------------------------------
 
-    def take_list(self, servers: list[Server]) -> None:
+    def take_list(self, servers: list[Endpoint]) -> None:
         """The platform's list: what has changed goes down the tree."""
         if not self.vouched_leader():
             return  # whoever leads by now asks the platform too
-        relay = self.relay
-        changes = relay.servers.listing.poll(servers) if relay.position.is_root else None
+        relay = self.tree
+        changes = relay.endpoints.endpoints.update_from_platform(servers) if relay.position.is_root else None
         if changes is not None:
-            relay.children.tell(replace(changes, epoch=relay.fence.epoch))
-            relay.servers.on_change()
+            relay.children.broadcast(replace(changes, epoch=relay.fence.epoch))
+            relay.endpoints.on_change()
--- a/cypressbeam/node/run.py
+++ b/cypressbeam/node/run.py
@@ -13,7 +13,7 @@
 
 from cypressbeam.node.gateway_node import serve
 from cypressbeam.protocol.settings import SettingsError, load
-from cypressbeam.standalone.__main__ import GC_THRESHOLDS, Sparing
+from cypressbeam.standalone.__main__ import GC_THRESHOLDS, LogRateLimiter
 from cypressbeam.storage.store import StoreError
 
 
@@ -25,7 +25,7 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop runs
     logging.basicConfig(level=logging.INFO, format="%(levelname)s %(name)s: %(message)s", stream=sys.stderr)
     for handler in logging.getLogger().handlers:
-        handler.addFilter(Sparing())
+        handler.addFilter(LogRateLimiter())
     try:
         settings = load(os.environ)
         gc.collect()
--- a/cypressbeam/node/state_query.py
+++ b/cypressbeam/node/state_query.py
@@ -18,24 +18,24 @@
 
 STATE = b"/-/System.State"
 #: A machine that has not answered by then is told as silent.
-PATIENCE_S = 0.5
+QUERY_TIMEOUT_S = 0.5
 JSON = (b"Content-Type", b"application/json")
 
 
 @dataclass(slots=True)
-class Question:
+class PendingQuery:
     connection: ClientConnection
-    asked: set[str] = field(default_factory=set)
+    queried: set[str] = field(default_factory=set)
     """Addresses of machines of the core."""
     answers: dict[str, frames.ReplicaStatus] = field(default_factory=dict)
-    standing_by: set[str] = field(default_factory=set)
+    spares: set[str] = field(default_factory=set)
     """Names of machines that stand by, as any of the core hears them."""
-    silent: tuple[str, ...] = ()
-    waits: str = ""
+    silent_members: tuple[str, ...] = ()
+    replacement_status: str = ""
     """What the head tells of members that it does not hear, and of a replacement under way."""
 
 
-class Survey:
+class StateQuery:
     """Calls for the state that wait for the core. `own` tells of this node itself, in what JSON can hold."""
 
     def __init__(
@@ -46,79 +46,79 @@
         send: Callable[[str, frames.Frame], None],
     ) -> None:
         self.loop = asyncio.get_running_loop()
-        self.ip, self.members, self.own, self.send = ip, members, own, send
+        self.ip, self.members, self.own_state, self.send = ip, members, own, send
         self.chance = random.SystemRandom()
-        self.open: dict[str, Question] = {}
+        self.pending: dict[str, PendingQuery] = {}
 
     def begin(self, connection: ClientConnection) -> Answer | None:
         """Ask the core; the answer comes once all have told, or after a while. At once where no core is known."""
         members = self.members()
-        question = Question(connection)
+        question = PendingQuery(connection)
         if not members:
-            return self.answer(question)
+            return self.build_answer(question)
         ident = self.chance.getrandbits(63)
         name = connection.request = str(ident)
-        self.open[name] = question
-        self.ask(ident, question, members)
-        self.loop.call_later(PATIENCE_S, self.conclude, name)
+        self.pending[name] = question
+        self.query(ident, question, members)
+        self.loop.call_later(QUERY_TIMEOUT_S, self.conclude, name)
         return None
 
-    def ask(self, ident: int, question: Question, ips: tuple[str, ...]) -> None:
+    def query(self, ident: int, question: PendingQuery, ips: tuple[str, ...]) -> None:
         for ip in ips:
-            if ip not in question.asked:
-                question.asked.add(ip)
+            if ip not in question.queried:
+                question.queried.add(ip)
                 self.send(ip, frames.StatusQuery(ident, self.ip))
 
     def on_state(self, frame: frames.ReplicaStatus) -> None:
-        question = self.open.get(str(frame.request_id))
+        question = self.pending.get(str(frame.request_id))
         if question is None:
             return
         question.answers[ip_of(frame.name)] = frame
         # Those of the group that the chain has left out are asked too: it may be they that are looked for.
-        self.ask(frame.request_id, question, tuple(ip_of(name) for name in frame.group))
-        if question.asked <= question.answers.keys():
+        self.query(frame.request_id, question, tuple(ip_of(name) for name in frame.group))
+        if question.queried <= question.answers.keys():
             self.conclude(str(frame.request_id))
 
-    def on_standing_by(self, frame: frames.SpareAnnouncement) -> None:
+    def on_spares(self, frame: frames.SpareAnnouncement) -> None:
         """Each machine of the core sends it before its state."""
-        question = self.open.get(str(frame.request_id))
+        question = self.pending.get(str(frame.request_id))
         if question is not None:
-            question.standing_by.update(frame.spares)
-            question.silent = frame.silent_members or question.silent
-            question.waits = frame.replacement_status or question.waits
+            question.spares.update(frame.spares)
+            question.silent_members = frame.silent_members or question.silent_members
+            question.replacement_status = frame.replacement_status or question.replacement_status
 
     def conclude(self, name: str) -> None:
-        question = self.open.pop(name, None)
+        question = self.pending.pop(name, None)
         if question is not None:
-            question.connection.respond(self.answer(question))
+            question.connection.respond(self.build_answer(question))
 
     def client_gone(self, name: str) -> bool:
-        return self.open.pop(name, None) is not None
+        return self.pending.pop(name, None) is not None
 
-    def answer(self, question: Question) -> Answer:
+    def build_answer(self, question: PendingQuery) -> Answer:
         newest = max(question.answers.values(), key=lambda state: state.epoch, default=None)
         head = max(
             (state.number for state in question.answers.values() if newest and state.epoch == newest.epoch), default=0
         )
         told = {
-            "node": self.own(),
+            "node": self.own_state(),
             "epoch": newest.epoch if newest else None,
             "chain": newest.chain if newest else (),
             "group": newest.group if newest else (),
             "quorumLoss": self.quorum_loss(question, newest),
-            "standingBy": sorted(question.standing_by),
-            "silent": question.silent,
-            "waits": question.waits,
-            "members": [describe(ip, question.answers.get(ip), head) for ip in sorted(question.asked)],
+            "standingBy": sorted(question.spares),
+            "silent": question.silent_members,
+            "waits": question.replacement_status,
+            "members": [describe(ip, question.answers.get(ip), head) for ip in sorted(question.queried)],
         }
         return Answer(200, [JSON], msgspec.json.encode(told))
 
-    def quorum_loss(self, question: Question, newest: frames.ReplicaStatus | None) -> dict[str, Any] | None:
+    def quorum_loss(self, question: PendingQuery, newest: frames.ReplicaStatus | None) -> dict[str, Any] | None:
         """Where no majority of the core answers, or none of it leads and one says that it hears no majority: what that
         means and what to do. Where nobody answers, of the machines that were asked."""
-        group = newest.group if newest is not None else tuple(question.asked)
+        group = newest.group if newest is not None else tuple(question.queried)
         heard = {ip: state.name for ip, state in question.answers.items()}
-        silent_s = parse_silences(question.silent)
+        silent_s = parse_silences(question.silent_members)
         if not any(state.flags & frames.IS_ROOT for state in question.answers.values()):
             heard = {ip: name for ip, name in heard.items() if ip not in silent_s}
         loss = detect(group, heard, silent_s)
--- a/cypressbeam/protocol/configuration.py
+++ b/cypressbeam/protocol/configuration.py
@@ -13,48 +13,54 @@
 Mode = Literal["idempotent", "effectful", "ingest"]
 #: Between nodes and on disk a version's number has eight bytes, with a sign. Other whole numbers have the same bound:
 #: one of thousands of digits can't even be written as text.
-MOST_REVISION = MOST_WHOLE = 2**63 - 1
+MAX_REVISION = MAX_INTEGER = 2**63 - 1
 #: The version of the check, up to 127: to be raised with each change of what is refused. While members of two versions
 #: are there, what is no valid configuration is left without a clear answer (docs/design/orders.md).
-CHECKS = 1
+CHECK_VERSION = 1
 
 
-class Invalid(Exception):
+class InvalidConfigurationError(Exception):
     """A configuration that can't be taken: one line on where and why."""
 
 
-class Share(msgspec.Struct, frozen=True):
-    plant: str
-    gain: float
+class WeightedService(msgspec.Struct, frozen=True):
+    """A service among those that a route leads to. The names of the document stand in `name`."""
 
+    service: str = msgspec.field(name="plant")
+    weight: float = msgspec.field(name="gain")
 
-class Channel(msgspec.Struct, frozen=True, rename="camel"):
-    """A route. Times are in milliseconds."""
+
+class RouteConfiguration(msgspec.Struct, frozen=True, rename="camel"):
+    """A route (a channel of the document). Times are in milliseconds."""
 
     label: str
     host: str
     prefix: str
     mode: Mode
-    cutoff_ms: float
-    setpoint_ms: float
+    timeout_ms: float = msgspec.field(name="cutoffMs")
+    """How long a request may take in all."""
+    latency_target_ms: float = msgspec.field(name="setpointMs")
+    """How soon an answer is wanted."""
     rank: int = 0
+    """The lower, the more its requests are worth."""
     tries: int = 1
-    plant: str | None = None
-    allocation: tuple[Share, ...] = ()
+    service: str | None = msgspec.field(name="plant", default=None)
+    allocation: tuple[WeightedService, ...] = ()
 
-    def shares(self) -> tuple[Share, ...]:
+    def weighted_services(self) -> tuple[WeightedService, ...]:
         """The services that the route leads to, each with its weight above 0."""
-        if self.plant is not None:
-            return (Share(self.plant, 1.0),)
-        return tuple(share for share in self.allocation if share.gain > 0)
+        if self.service is not None:
+            return (WeightedService(self.service, 1.0),)
+        return tuple(weighted for weighted in self.allocation if weighted.weight > 0)
 
 
-class Plant(msgspec.Struct, frozen=True, rename="camel"):
-    """A service."""
+class ServiceConfiguration(msgspec.Struct, frozen=True, rename="camel"):
+    """A service (a plant of the document)."""
 
     label: str
     probe: str = ""
     conn_limit: int = 0
+    """Connections that one of its servers takes."""
     protocol: str = "h1"
     tls: bool = False
 
@@ -69,9 +75,11 @@
 
 
 class Configuration(msgspec.Struct, frozen=True):
+    """The operator's configuration document."""
+
     revision: int
-    channels: tuple[Channel, ...]
-    plants: tuple[Plant, ...]
+    routes: tuple[RouteConfiguration, ...] = msgspec.field(name="channels")
+    services: tuple[ServiceConfiguration, ...] = msgspec.field(name="plants")
     constraints: Constraints = Constraints()
 
 
@@ -94,9 +102,9 @@
     try:
         value: object = cbor2.load(stream, allow_duplicate_keys=committed)
     except Exception as err:
-        raise Invalid(f"no CBOR: {err}") from None
+        raise InvalidConfigurationError(f"no CBOR: {err}") from None
     if stream.tell() != len(body):
-        raise Invalid("bytes behind the CBOR item")
+        raise InvalidConfigurationError("bytes behind the CBOR item")
     return value
 
 
@@ -118,49 +126,51 @@
     try:
         return msgspec.convert(document, Configuration)
     except (msgspec.ValidationError, ValueError, OverflowError, RecursionError) as err:
-        raise Invalid(str(err)) from None
+        raise InvalidConfigurationError(str(err)) from None
 
 
 def check(configuration: Configuration) -> None:
     """Raises Invalid for what PROTOCOL.md calls invalid, and for what could not be carried out."""
-    if not 0 < configuration.revision <= MOST_REVISION:
-        raise Invalid(f"revision: 1 to {MOST_REVISION} is wanted")
+    if not 0 < configuration.revision <= MAX_REVISION:
+        raise InvalidConfigurationError(f"revision: 1 to {MAX_REVISION} is wanted")
     limits = configuration.constraints
     # Each by itself: what is no number compares with nothing, and would pass for the least of them.
     if not all(
         0 < figure < math.inf
         for figure in (limits.header_max_bytes, limits.body_max_bytes, limits.header_wait_ms, limits.quiet_ms)
     ):
-        raise Invalid("constraints: each must be above 0, and a number")
-    if max(limits.header_max_bytes, limits.body_max_bytes) > MOST_WHOLE:
-        raise Invalid(f"constraints: at most {MOST_WHOLE} bytes")
-    services = {plant.label for plant in configuration.plants}
-    if len(services) != len(configuration.plants):
-        raise Invalid("plants: two have the same label")
+        raise InvalidConfigurationError("constraints: each must be above 0, and a number")
+    if max(limits.header_max_bytes, limits.body_max_bytes) > MAX_INTEGER:
+        raise InvalidConfigurationError(f"constraints: at most {MAX_INTEGER} bytes")
+    services = {plant.label for plant in configuration.services}
+    if len(services) != len(configuration.services):
+        raise InvalidConfigurationError("plants: two have the same label")
     places: dict[tuple[str, str], str] = {}
-    for channel in configuration.channels:
+    for channel in configuration.routes:
         check_channel(channel, services)
         place = (host_name(channel.host), channel.prefix)
         if place in places:
-            raise Invalid(f"channels[{channel.label}]: host and prefix are those of {places[place]}")
+            raise InvalidConfigurationError(f"channels[{channel.label}]: host and prefix are those of {places[place]}")
         places[place] = channel.label
 
 
-def check_channel(channel: Channel, services: set[str]) -> None:
+def check_channel(channel: RouteConfiguration, services: set[str]) -> None:
     where = f"channels[{channel.label}]"
     if not host_name(channel.host):
-        raise Invalid(f"{where}.host: a name is wanted")
+        raise InvalidConfigurationError(f"{where}.host: a name is wanted")
     if not (channel.prefix.startswith("/") and channel.prefix.endswith("/")):
-        raise Invalid(f"{where}.prefix: must begin and end with a slash, not {channel.prefix!r}")
-    if not 0 < channel.cutoff_ms < 1e9 or not 0 <= channel.setpoint_ms < 1e9:
-        raise Invalid(f"{where}: cutoffMs must be above 0, setpointMs at least 0")
-    if not (0 <= channel.tries <= MOST_WHOLE and 0 <= channel.rank <= MOST_WHOLE):
-        raise Invalid(f"{where}: tries and rank must be 0 to {MOST_WHOLE}")
-    if (channel.plant is None) == (not channel.allocation):
-        raise Invalid(f"{where}: either plant or allocation is wanted")
-    named = {channel.plant} if channel.plant is not None else {share.plant for share in channel.allocation}
+        raise InvalidConfigurationError(f"{where}.prefix: must begin and end with a slash, not {channel.prefix!r}")
+    if not 0 < channel.timeout_ms < 1e9 or not 0 <= channel.latency_target_ms < 1e9:
+        raise InvalidConfigurationError(f"{where}: cutoffMs must be above 0, setpointMs at least 0")
+    if not (0 <= channel.tries <= MAX_INTEGER and 0 <= channel.rank <= MAX_INTEGER):
+        raise InvalidConfigurationError(f"{where}: tries and rank must be 0 to {MAX_INTEGER}")
+    if (channel.service is None) == (not channel.allocation):
+        raise InvalidConfigurationError(f"{where}: either plant or allocation is wanted")
+    named = {channel.service} if channel.service is not None else {share.service for share in channel.allocation}
     if unknown := named - services:
-        raise Invalid(f"{where}: unknown service {min(map(str, unknown))}")
-    total = sum(share.gain for share in channel.shares())
-    if any(not share.gain >= 0 for share in channel.allocation) or not 0 < total < math.inf:
-        raise Invalid(f"{where}.allocation: the weights must be at least 0, not add up to 0, and their sum a number")
+        raise InvalidConfigurationError(f"{where}: unknown service {min(map(str, unknown))}")
+    total = sum(share.weight for share in channel.weighted_services())
+    if any(not share.weight >= 0 for share in channel.allocation) or not 0 < total < math.inf:
+        raise InvalidConfigurationError(
+            f"{where}.allocation: the weights must be at least 0, not add up to 0, and their sum a number"
+        )
--- a/cypressbeam/protocol/delta.py
+++ b/cypressbeam/protocol/delta.py
@@ -18,10 +18,10 @@
 #: Packed once and carried to each node: 1,500 routes come to 22 kB in place of 28 at level 1, for 4 ms more.
 LEVEL = 9
 #: No body is larger.
-MOST_BODY = 16 * 1024 * 1024
+MAX_BODY_BYTES = 16 * 1024 * 1024
 
 
-class Broken(ValueError):
+class DeltaError(ValueError):
     """Bytes that are no packed body: one line on why."""
 
 
@@ -59,26 +59,26 @@
     return zlib.compress(b"".join(parts), LEVEL)
 
 
-def unpack(data: bytes, base: bytes = b"", most: int = MOST_BODY) -> bytes:
+def unpack(data: bytes, base: bytes = b"", most: int = MAX_BODY_BYTES) -> bytes:
     """The body that was packed. Raises Broken, also where it would be larger than `most`."""
     try:
         reader = zlib.decompressobj()
         plain = reader.decompress(data, 2 * most)
     except zlib.error as err:
-        raise Broken(str(err)) from None
+        raise DeltaError(str(err)) from None
     if not reader.eof or reader.unused_data:
-        raise Broken("too large, cut off, or with bytes behind it")
+        raise DeltaError("too large, cut off, or with bytes behind it")
     parts, size, at = [], 0, 0
     while at < len(plain):
         if at + RANGE.size > len(plain):
-            raise Broken("it ends within a range")
+            raise DeltaError("it ends within a range")
         start, length, new = RANGE.unpack_from(plain, at)
         at += RANGE.size
         if start + length > len(base) or at + new > len(plain):
-            raise Broken("a range ends behind the bytes there are")
+            raise DeltaError("a range ends behind the bytes there are")
         parts += [base[start : start + length], plain[at : at + new]]
         at += new
         size += length + new
         if size > most:
-            raise Broken(f"over {most} bytes")
+            raise DeltaError(f"over {most} bytes")
     return b"".join(parts)
