--- a/cypressbeam/protocol/settings.py
+++ b/cypressbeam/protocol/settings.py
@@ -41,9 +41,9 @@
     ip: str
     zone: str
     seeds: tuple[Address, ...]
-    front: Address | None
-    readiness: Address | None
-    control: Address | None
+    front_listener: Address | None
+    readiness_listener: Address | None
+    control_listener: Address | None
     internal_ports: tuple[int, int]
     bootstrap: bool
     quorum_member: bool
@@ -67,14 +67,14 @@
         return self.internal_ports[0]
 
 
-class Lines:
+class SettingsReader:
     """Values by key, each read with a check that names file, key, what was found and what is wanted."""
 
     def __init__(self, path: str, values: Mapping[str, str]) -> None:
         self.path = path
         self.values = values
 
-    def wrong(self, key: str, wanted: str) -> SettingsError:
+    def error(self, key: str, wanted: str) -> SettingsError:
         found = self.values.get(key)
         told = "is missing" if found is None else f"is {found!r}"
         return SettingsError(f"{self.path}: {key} {told}; {wanted} is wanted")
@@ -82,25 +82,25 @@
     def text(self, key: str) -> str:
         value = self.values.get(key, "")
         if not value:
-            raise self.wrong(key, "a value")
+            raise self.error(key, "a value")
         return value
 
     def address(self, key: str) -> Address | None:
         found = self.addresses(key)
         if len(found) > 1 or (self.values.get(key) and not found):
-            raise self.wrong(key, "host:port")
+            raise self.error(key, "host:port")
         return found[0] if found else None
 
     def addresses(self, key: str) -> tuple[Address, ...]:
         try:
             return tuple(read_address(part) for part in self.values.get(key, "").split(",") if part)
         except ValueError:
-            raise self.wrong(key, "host:port") from None
+            raise self.error(key, "host:port") from None
 
     def flag(self, key: str, default: bool = False) -> bool:
         value = self.values.get(key, str(default).lower())
         if value not in ("true", "false"):
-            raise self.wrong(key, "true or false")
+            raise self.error(key, "true or false")
         return value == "true"
 
     def number(self, key: str, default: T, least: float = 0) -> T:
@@ -110,15 +110,15 @@
         try:
             value = type(default)(text)
         except ValueError:
-            raise self.wrong(key, "a number") from None
+            raise self.error(key, "a number") from None
         if not least <= value < float("inf"):
-            raise self.wrong(key, f"at least {least:g}")
+            raise self.error(key, f"at least {least:g}")
         return value
 
     def ports(self, key: str) -> tuple[int, int]:
         parts = self.text(key).split(",")
         if len(parts) != 2 or not all(part.isdecimal() and 0 < int(part) < 65536 for part in parts):
-            raise self.wrong(key, "a first and a last port")
+            raise self.error(key, "a first and a last port")
         return int(parts[0]), int(parts[1])
 
 
@@ -132,7 +132,7 @@
         if not equals:
             raise SettingsError(f"{path}: line {number} is {line.strip()!r}; key=value is wanted")
         values[key.strip()] = value.strip()
-    lines = Lines(path, values)
+    lines = SettingsReader(path, values)
     sync_s = lines.number("envelope.syncS", 4.0)
     state_dir = values.get("stateDir")
     return Settings(
@@ -140,9 +140,9 @@
         ip=lines.text("ip"),
         zone=values.get("zone", ""),
         seeds=lines.addresses("seedPeers"),
-        front=lines.address("listeners.front"),
-        readiness=lines.address("listeners.readiness"),
-        control=lines.address("listeners.control"),
+        front_listener=lines.address("listeners.front"),
+        readiness_listener=lines.address("listeners.readiness"),
+        control_listener=lines.address("listeners.control"),
         internal_ports=lines.ports("internalPorts"),
         bootstrap=lines.flag("bootstrap"),
         quorum_member=lines.flag("quorumMember"),
--- a/cypressbeam/proxy/attempts.py
+++ b/cypressbeam/proxy/attempts.py
@@ -9,13 +9,13 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from cypressbeam.balancing.interface import Ending, Group, Repeat, RequestClass
+from cypressbeam.balancing.interface import AttemptOutcome, Group, Repeat, RequestClass
 
 #: Statuses that promise: the request has not run and never will (PROTOCOL.md, Answers).
 PROMISES = frozenset({408, 421, 429, 503})
 
 
-class Sent(Enum):
+class SendProgress(Enum):
     """How much of a request its connection was given. What was given may have left, whatever breaks later: that the
     system holds it back is known of the part that was not taken off, not of the rest."""
 
@@ -24,7 +24,7 @@
     WHOLE = "whole"
 
 
-class Cause(Enum):
+class EndCause(Enum):
     """What ended an attempt."""
 
     NO_CONNECTION = "no connection"
@@ -42,7 +42,7 @@
     """The list tells that the process which had it is no more."""
 
 
-class Reply(Enum):
+class ReplyKind(Enum):
     """What a whole answer says of its request."""
 
     SUCCESS = "success"
@@ -57,59 +57,59 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class AttemptResult:
     """What becomes of an attempt."""
 
-    ending: Ending
+    ending: AttemptOutcome
     may_have_run: bool
     """Or may run yet. False: it has not and never will."""
     reusable: bool = False
     """The connection may carry another request, if its framing allows."""
 
 
-UNSENT = Outcome(Ending.CONNECT_FAILED, may_have_run=False)
-UNSENT_CANCELLED = Outcome(Ending.CANCELLED, may_have_run=False)
+UNSENT = AttemptResult(AttemptOutcome.CONNECT_FAILED, may_have_run=False)
+UNSENT_CANCELLED = AttemptResult(AttemptOutcome.CANCELLED, may_have_run=False)
 BROKEN = {
-    cause: Outcome(ending, may_have_run=True)
+    cause: AttemptResult(ending, may_have_run=True)
     for cause, ending in (
-        (Cause.CLOSED, Ending.RESET),
-        (Cause.MALFORMED, Ending.RESET),
-        (Cause.SERVER_GONE, Ending.RESET),
-        (Cause.TIMED_OUT, Ending.TIMEOUT),
-        (Cause.CANCELLED, Ending.CANCELLED),
+        (EndCause.CLOSED, AttemptOutcome.RESET),
+        (EndCause.MALFORMED, AttemptOutcome.RESET),
+        (EndCause.SERVER_GONE, AttemptOutcome.RESET),
+        (EndCause.TIMED_OUT, AttemptOutcome.TIMEOUT),
+        (EndCause.CANCELLED, AttemptOutcome.CANCELLED),
     )
 }
 REPLIES = {
-    Reply.SUCCESS: (Ending.OK, True),
-    Reply.SPOILT: (Ending.RESET, True),
-    Reply.FAILURE: (Ending.ERROR, True),
-    Reply.NOT_EXECUTED: (Ending.FULL, False),
-    Reply.MISDIRECTED: (Ending.CONNECT_FAILED, False),
+    ReplyKind.SUCCESS: (AttemptOutcome.OK, True),
+    ReplyKind.SPOILT: (AttemptOutcome.RESET, True),
+    ReplyKind.FAILURE: (AttemptOutcome.ERROR, True),
+    ReplyKind.NOT_EXECUTED: (AttemptOutcome.FULL, False),
+    ReplyKind.MISDIRECTED: (AttemptOutcome.CONNECT_FAILED, False),
 }
 #: After these the connection is of no more use.
-LAST_REPLIES = frozenset({Reply.SPOILT, Reply.MISDIRECTED})
+LAST_REPLIES = frozenset({ReplyKind.SPOILT, ReplyKind.MISDIRECTED})
 ANSWERED = {
-    (sent, reply): Outcome(*known, reusable=sent is Sent.WHOLE and reply not in LAST_REPLIES)
-    for sent in (Sent.PART, Sent.WHOLE)
+    (sent, reply): AttemptResult(*known, reusable=sent is SendProgress.WHOLE and reply not in LAST_REPLIES)
+    for sent in (SendProgress.PART, SendProgress.WHOLE)
     for reply, known in REPLIES.items()
 }
 
 
-def outcome(sent: Sent, cause: Cause, reply: Reply | None = None) -> Outcome:
+def result_of(sent: SendProgress, cause: EndCause, reply: ReplyKind | None = None) -> AttemptResult:
     """The table. An answer (`reply`) goes with Cause.ANSWERED alone. Raises KeyError for what can't be."""
-    if sent is Sent.NOTHING:
-        return UNSENT_CANCELLED if cause is Cause.CANCELLED else UNSENT
-    if cause is Cause.ANSWERED and reply is not None:
+    if sent is SendProgress.NOTHING:
+        return UNSENT_CANCELLED if cause is EndCause.CANCELLED else UNSENT
+    if cause is EndCause.ANSWERED and reply is not None:
         return ANSWERED[sent, reply]
     return BROKEN[cause]
 
 
-def repeatable(kind: RequestClass) -> bool:
+def is_idempotent(kind: RequestClass) -> bool:
     """Whether a client may send a request of this class again though it may have run."""
     return kind.repeat is Repeat.SAFE or (kind.repeat is Repeat.KEYED and kind.group is Group.ALL)
 
 
-def may_tell(status: int, is_repeatable: bool, may_have_run: Iterable[bool]) -> bool:
+def may_answer_status(status: int, is_repeatable: bool, may_have_run: Iterable[bool]) -> bool:
     """Whether a status may be the final answer to a request with such attempts: a promise only where all are known
     not to have run, or where a repeat does no harm."""
     return status not in PROMISES or is_repeatable or not any(may_have_run)
--- a/cypressbeam/proxy/frontend.py
+++ b/cypressbeam/proxy/frontend.py
@@ -9,7 +9,7 @@
 from itertools import islice
 from typing import Protocol, cast
 
-from cypressbeam.proxy.http_requests import BadRequest, Message, RequestReader, Store
+from cypressbeam.proxy.http_requests import BadRequestError, BodyBudget, RequestMessage, RequestReader
 from cypressbeam.proxy.http_responses import BODILESS, Answer, Limits, readable
 
 log = logging.getLogger(__name__)
@@ -55,7 +55,7 @@
 
     def now_us(self) -> int: ...
 
-    def serve(self, message: Message, connection: ClientConnection) -> Answer | None:
+    def serve(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
         """Take a whole message. None: the answer comes later, by the connection's `respond`.
 
         Raises BadRequest for what can't be taken."""
@@ -72,10 +72,10 @@
     def __init__(self, app: Application, most: int, overflow: int, limits: Limits | None = None) -> None:
         self.app = app
         self.limits = limits or Limits()
-        self.store = Store(self.limits)
+        self.store = BodyBudget(self.limits)
         self.loop = app.loop
-        self.most = most
-        self.overflow = overflow
+        self.max_connections = most
+        self.overflow_connections = overflow
         self.connections: set[ClientConnection] = set()
         # Where the connections without an open request are. Those with one are in none of these.
         self.silent: Waiting = {}
@@ -103,7 +103,7 @@
         for connection in [*self.silent, *self.idle]:
             connection.part()
 
-    def owes(self) -> bool:
+    def has_pending_answers(self) -> bool:
         """Whether a client is within a request, waits for its answer, or has not been sent all of it."""
         return bool(self.partial) or any(
             connection.current is not None or connection.transport.get_write_buffer_size()
@@ -113,14 +113,14 @@
     def refuse_partial(self) -> None:
         """Nothing more can be waited for. What has not come whole was passed to nobody: its client may come again."""
         for connection in [*self.partial]:
-            connection.reject(BadRequest(503, "the node stops", retry_after=STOPS_S))
+            connection.reject(BadRequestError(503, "the node stops", retry_after=STOPS_S))
 
     def admit(self, connection: ClientConnection) -> bool:
         """Whether a new connection is within the bound; one without an open request makes room."""
         self.connections.add(connection)
-        if len(self.connections) <= self.most or self.make_room():
+        if len(self.connections) <= self.max_connections or self.make_room():
             return True
-        log.warning("all %d client connections are in use: no room for another", self.most)
+        log.warning("all %d client connections are in use: no room for another", self.max_connections)
         return False
 
     def make_room(self) -> bool:
@@ -154,7 +154,7 @@
         for connection, since_s in list(self.partial.items()):
             in_body = connection.reader.headers_done
             if now_s - since_s >= (limits.body_s if in_body else limits.ask_s):
-                connection.reject(BadRequest(408, "the request did not come whole in time"))
+                connection.reject(BadRequestError(408, "the request did not come whole in time"))
         for connection, since_s in list(self.idle.items()):
             if connection.unread and now_s - since_s >= SLOW_S:
                 connection.transport.abort()
@@ -168,7 +168,7 @@
         self.frontend = frontend
         self.app = frontend.app
         self.reader = RequestReader(self.app.now_us, self.go_ahead, frontend.store)
-        self.current: Message | None = None  # the message that an answer is owed for
+        self.current: RequestMessage | None = None  # the message that an answer is owed for
         self.request: str | None = None  # and its name, once the application has taken it
         self.closing = False
         self.admitted = True
@@ -182,7 +182,10 @@
         self.transport: asyncio.Transport = cast(asyncio.Transport, transport)
         self.opened_s = self.frontend.loop.time()
         self.admitted = self.frontend.admit(self)
-        if not self.admitted and len(self.frontend.connections) > self.frontend.most + self.frontend.overflow:
+        if (
+            not self.admitted
+            and len(self.frontend.connections) > self.frontend.max_connections + self.frontend.overflow_connections
+        ):
             self.shut()
             return
         self.wait_in(self.frontend.silent, self.opened_s)
@@ -251,7 +254,7 @@
         self.wait_in(None)
         try:
             answer = self.app.serve(message, self)
-        except BadRequest as err:
+        except BadRequestError as err:
             tell(err)
             self.respond(plain(err))
             return
@@ -323,7 +326,7 @@
         lines.append(answer.body)
         self.transport.write(b"".join(lines))
 
-    def reject(self, error: BadRequest) -> None:
+    def reject(self, error: BadRequestError) -> None:
         """Answer what can't be read to its end; where the next message would begin is not known."""
         tell(error)
         self.reader.give_back(self.reader.held)
@@ -347,17 +350,17 @@
 def readiness(connection: ClientConnection, method: bytes) -> Answer:
     """Whether the node behind this connection's listening socket takes requests."""
     if method not in (b"GET", b"HEAD"):
-        raise BadRequest(405, f"{method!r} for readiness", b"GET, HEAD")
+        raise BadRequestError(405, f"{method!r} for readiness", b"GET, HEAD")
     return Answer(200 if connection.frontend.ready() else 503)
 
 
-def tell(error: BadRequest) -> None:
+def tell(error: BadRequestError) -> None:
     """Log what was refused. What an operator's limit refused he may want to know; the rest is the client's fault."""
     level = logging.INFO if error.status in LIMITED else logging.DEBUG
     log.log(level, "refused a request: %d: %s", error.status, error)
 
 
-def plain(error: BadRequest) -> Answer:
+def plain(error: BadRequestError) -> Answer:
     headers = [(b"Content-Type", b"text/plain; charset=utf-8")]
     if error.retry_after:
         headers.append((b"Retry-After", error.retry_after))
--- a/cypressbeam/proxy/gateway.py
+++ b/cypressbeam/proxy/gateway.py
@@ -9,16 +9,16 @@
 from cypressbeam.balancing import interface as it
 from cypressbeam.balancing.balancer import Balancer
 from cypressbeam.distribution import endpoint_list
-from cypressbeam.protocol.configuration import Channel, Configuration, Constraints
+from cypressbeam.protocol.configuration import Configuration, Constraints, RouteConfiguration
 from cypressbeam.protocol.settings import Envelope, Settings
 from cypressbeam.proxy.attempts import PROMISES
 from cypressbeam.proxy.frontend import ClientConnection
-from cypressbeam.proxy.http_requests import BadRequest, Message, gather, pass_on
+from cypressbeam.proxy.http_requests import BadRequestError, RequestMessage, collect_headers, request_head
 from cypressbeam.proxy.http_responses import Answer, Limits
-from cypressbeam.proxy.protocol_profile import GATE
-from cypressbeam.proxy.proxy_core import ANSWER_MARGIN_US, Carrier, Desk, Request
-from cypressbeam.proxy.response_validation import Asked
-from cypressbeam.proxy.routing import Route, Table, kind_of
+from cypressbeam.proxy.protocol_profile import GATEWAY_PROFILE
+from cypressbeam.proxy.proxy_core import ANSWER_MARGIN_US, BalancerHost, ProxiedRequest, ProxyCore
+from cypressbeam.proxy.response_validation import RequestContext
+from cypressbeam.proxy.routing import Route, RoutingTable, kind_of
 from cypressbeam.proxy.upstream import Attempt
 from cypressbeam.standalone.config import CLIENT_SHARE
 
@@ -55,32 +55,32 @@
 NOT_READY_S = b"0.5"
 
 #: What a server does wrong by itself, as far as a node can tell. A connect may fail by this side's doing.
-SERVERS_FAULTS = frozenset({it.Ending.ERROR, it.Ending.RESET})
+SERVERS_FAULTS = frozenset({it.AttemptOutcome.ERROR, it.AttemptOutcome.RESET})
 
 MODES = {"idempotent": it.Repeat.SAFE, "effectful": it.Repeat.UNSAFE, "ingest": it.Repeat.UNSAFE}
 
 
-def request_class(channel: Channel) -> it.RequestClass:
+def request_class(channel: RouteConfiguration) -> it.RequestClass:
     """What a route asks for, in the balancer's words. Rank 0 is the highest: each further one is worth half."""
     return it.RequestClass(
         kind_of(channel),
         MODES[channel.mode],
-        aim_us=max(int(channel.setpoint_ms * 1000), 1),
-        deadline_us=max(int(channel.cutoff_ms * 1000), 1),
-        worth=2.0 ** -min(channel.rank, 8),
-        late_worth=0.3 * 2.0 ** -min(channel.rank, 8),
+        latency_target_us=max(int(channel.latency_target_ms * 1000), 1),
+        deadline_us=max(int(channel.timeout_ms * 1000), 1),
+        value=2.0 ** -min(channel.rank, 8),
+        late_value=0.3 * 2.0 ** -min(channel.rank, 8),
         tries=max(channel.tries, 1),
     )
 
 
-def balancer_settings(channels: list[Channel], settings: Settings, fronts: int, index: int) -> it.Settings:
+def balancer_settings(channels: list[RouteConfiguration], settings: Settings, fronts: int, index: int) -> it.Settings:
     """The settings of one service's balancer. The retry budget of the fleet is parted among its nodes."""
     envelope: Envelope = settings.envelope
     classes = {kind_of(channel): request_class(channel) for channel in channels}
     return it.Settings(
         classes=tuple(classes.values()),
         proxies=max(fronts, 1),
-        me=min(index, max(fronts, 1) - 1),
+        own_name=min(index, max(fronts, 1) - 1),
         zone=settings.zone,
         may_cancel=True,
         retry_advice=True,
@@ -97,7 +97,7 @@
     )
 
 
-class Sizes:
+class AnswerSizes:
     """How large the answers of each class of requests are, lately, for what a crossing would carry."""
 
     def __init__(self) -> None:
@@ -113,30 +113,30 @@
         return 1.0 if usual is None else min((body + usual) / CROSSING_BYTES, MOST_CROSSING)
 
 
-class Gate(Carrier):
+class Gateway(ProxyCore):
     """Takes clients' requests by the routes in force. A request ends under the table it came in with."""
 
     def __init__(self, settings: Settings, now_us: Callable[[], int] | None = None) -> None:
         usable = settings.file_handles - SPARE_DESCRIPTORS
         self.client_connections = max(1, int(usable * CLIENT_SHARE))
         super().__init__(
-            GATE, CONNECT_TIMEOUT_US, IDLE_US, max(1, usable - self.client_connections), MOST_ANSWER, now_us
+            GATEWAY_PROFILE, CONNECT_TIMEOUT_US, IDLE_US, max(1, usable - self.client_connections), MOST_ANSWER, now_us
         )
         self.settings = settings
         self.chance = random.Random()
-        self.table: Table | None = None
+        self.table: RoutingTable | None = None
         usual = Constraints()  # until there is a configuration: bodies are not to be refused that it would allow
         self.limits = Limits(
             body_bytes=usual.body_max_bytes, body_renews=True, held_bytes=int(settings.memory_mb * HELD_SHARE * 1e6)
         )
-        self.desks: dict[str, Desk] = {}
-        self.sizes = Sizes()
-        self.servers: dict[str, endpoint_list.Server] = {}
+        self.hosts: dict[str, BalancerHost] = {}
+        self.sizes = AnswerSizes()
+        self.servers: dict[str, endpoint_list.Endpoint] = {}
         self.started_us: dict[str, int] = {}
         self.listed = False
         self.version = 0
         self.fronts, self.index = 1, 0
-        self.on_fault: Callable[[str], None] = lambda server: None
+        self.on_failure: Callable[[str], None] = lambda server: None
         """Told of each server that has failed a request which it had."""
         self.start_upkeep()
 
@@ -147,100 +147,103 @@
 
     def take_configuration(self, configuration: Configuration) -> None:
         """Swap the table of routes, in one step. What balancers have learned stays."""
-        self.table = Table(configuration)
+        self.table = RoutingTable(configuration)
         limits = configuration.constraints
         self.limits.head_bytes, self.limits.body_bytes = limits.header_max_bytes, limits.body_max_bytes
         self.limits.ask_s = limits.header_wait_ms / 1000
         self.limits.body_s = self.limits.idle_s = limits.quiet_ms / 1000
-        log.info("configuration %d: %d routes", configuration.revision, len(configuration.channels))
-        self.settle()
+        log.info("configuration %d: %d routes", configuration.revision, len(configuration.routes))
+        self.update_balancers()
 
     def take_fleet(self, fronts: int, index: int) -> None:
         """How many nodes carry traffic, and which of them this one is."""
         if (fronts, index) != (self.fronts, self.index):
             self.fronts, self.index = fronts, index
             if self.table is not None:
-                self.settle()
+                self.update_balancers()
 
-    def settle(self) -> None:
+    def update_balancers(self) -> None:
         """Each service's balancer gets its classes; one that has none any more stays as it was, for requests
         in hand."""
         assert self.table is not None
         for service, kinds in self.table.kinds.items():
             settings = balancer_settings([*kinds.values()], self.settings, self.fronts, self.index)
-            desk = self.desks.get(service)
+            desk = self.hosts.get(service)
             if desk is None:
-                self.desks[service] = Desk(self, Balancer(settings, self.chance.getrandbits(63)))
-                self.tell_servers(service)
+                self.hosts[service] = BalancerHost(self, Balancer(settings, self.chance.getrandbits(63)))
+                self.notify_servers(service)
             elif desk.balancer.settings != settings:
-                desk.feed(it.SettingsChanged(settings))
+                desk.handle(it.SettingsChanged(settings))
 
-    def take_servers(self, servers: dict[str, endpoint_list.Server]) -> None:
+    def take_servers(self, servers: dict[str, endpoint_list.Endpoint]) -> None:
         """The list as it is now; each service's balancer is told of what concerns it."""
         self.listed = True
         self.version += 1
-        touched = {server.plant for ident, server in servers.items() if self.servers.get(ident) != server}
-        touched |= {server.plant for ident, server in self.servers.items() if ident not in servers}
+        touched = {server.service for ident, server in servers.items() if self.servers.get(ident) != server}
+        touched |= {server.service for ident, server in self.servers.items() if ident not in servers}
         for ident in self.servers.keys() - servers.keys():
             self.upstream.shut(ident)
             self.started_us.pop(ident, None)
         now_us = self.now_us()
         for server in servers.values():
-            if server.ident not in self.started_us:
+            if server.instance_id not in self.started_us:
                 warm_us = server.warmup_ms * 1000
-                self.started_us[server.ident] = now_us + warm_us - COLD_US if warm_us else 0
-            self.upstream.place(
-                server.ident, server.address, self.started_us[server.ident], server.state == endpoint_list.IN_SERVICE
+                self.started_us[server.instance_id] = now_us + warm_us - COLD_US if warm_us else 0
+            self.upstream.pool(
+                server.instance_id,
+                server.address,
+                self.started_us[server.instance_id],
+                server.state == endpoint_list.IN_SERVICE,
             )
         self.servers = dict(servers)
         for service in touched:
-            self.tell_servers(service)
+            self.notify_servers(service)
 
-    def tell_servers(self, service: str) -> None:
-        desk = self.desks.get(service)
+    def notify_servers(self, service: str) -> None:
+        desk = self.hosts.get(service)
         if desk is None:
             return
         entries = tuple(
             it.ServerEntry(
-                server.ident,
+                server.instance_id,
                 zone=server.zone,
                 weight=float(server.capacity),
                 state=(it.ServerState.ACTIVE if server.state == endpoint_list.IN_SERVICE else it.ServerState.DRAINING),
-                started_us=self.started_us[server.ident],
+                started_us=self.started_us[server.instance_id],
             )
             for server in self.servers.values()
-            if server.plant == service
+            if server.service == service
         )
-        desk.feed(it.ListChanged(self.version, it.ListScope.WHOLE, entries))
+        desk.handle(it.ListChanged(self.version, it.ListScope.WHOLE, entries))
 
-    def take_verdict(self, servers: Iterable[str]) -> None:
+    def take_ejections(self, servers: Iterable[str]) -> None:
         """Servers that fail for many nodes."""
         for ident in servers:
             server = self.servers.get(ident)
-            desk = self.desks.get(server.plant) if server is not None else None
+            desk = self.hosts.get(server.service) if server is not None else None
             if desk is not None:
-                desk.feed(it.ServerAils(ident))
+                desk.handle(it.ServerUnhealthy(ident))
 
     # -- requests ------------------------------------------------------------------------------------------
 
     def attempt_ended(
-        self, attempt: Attempt, ending: it.Ending, answer: Answer | None, report: it.Report | None
+        self, attempt: Attempt, ending: it.AttemptOutcome, answer: Answer | None, report: it.Report | None
     ) -> None:
         if ending in SERVERS_FAULTS:
-            self.on_fault(attempt.server)
+            self.on_failure(attempt.server)
         super().attempt_ended(attempt, ending, answer, report)
 
-    def serve(self, message: Message, connection: ClientConnection) -> Answer | None:
+    def serve(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
         if self.table is None or not self.listed or not connection.admitted:
             connection.closing = True
             return Answer(503, [(b"Retry-After", NOT_READY_S)])
-        found, named = gather(message, GATE)
+        found, named = collect_headers(message, GATEWAY_PROFILE)
         route = find_route(self.table, message, found)
         ident = found.get(b"attempt-id", b"").decode("latin-1")
         if not ident or len(ident) > 128 or not ident.isprintable() or " " in ident:
-            raise BadRequest(400, "Attempt-Id: a word is needed")
+            raise BadRequestError(400, "Attempt-Id: a word is needed")
         if self.knows(ident):
-            raise BadRequest(400, f"Attempt-Id: {ident} is still in hand")
+            raise BadRequestError(400, f"Attempt-Id: {ident} is still in hand")
         service = route.choose(self.chance)
         arrived = it.RequestArrived(
             ident,
@@ -251,59 +254,59 @@
         )
         connection.request = ident
         self.take(
-            Request(
-                self.desks[service],
+            ProxiedRequest(
+                self.hosts[service],
                 arrived,
-                pass_on(message, named, GATE),
+                request_head(message, named, GATEWAY_PROFILE),
                 message.body,
                 connection.respond,
-                MODES[route.channel.mode] is it.Repeat.SAFE,
-                Asked(message.method == b"HEAD", b"range" in found),
+                MODES[route.configuration.mode] is it.Repeat.SAFE,
+                RequestContext(message.method == b"HEAD", b"range" in found),
             )
         )
         return None
 
-    def give_up_at(self, message: Message, found: dict[bytes, bytes], route: Route) -> int:
+    def give_up_at(self, message: RequestMessage, found: dict[bytes, bytes], route: Route) -> int:
         """When the answer is due: before the client's patience ends, and the operator's."""
-        left_ms = route.channel.cutoff_ms
+        left_ms = route.configuration.timeout_ms
         text = found.get(b"time-left-ms")
         if text is not None:
             if not text.isdigit() or len(text) > 12:
-                raise BadRequest(400, f"Time-Left-Ms: milliseconds are needed, not {text!r}")
+                raise BadRequestError(400, f"Time-Left-Ms: milliseconds are needed, not {text!r}")
             left_ms = min(left_ms, int(text))
         return message.came_us + int(left_ms * 1000) - ANSWER_MARGIN_US
 
-    def finish(self, request: Request, answer: Answer) -> None:
+    def finish(self, request: ProxiedRequest, answer: Answer) -> None:
         if not request.finished and answer.status < 300:
             self.sizes.answered(request.arrived.class_name, len(answer.body))
         super().finish(request, answer)
 
-    def refusal(self, request: Request, retry_after_us: int) -> Answer:
-        own_word = self.servers_word(request)
+    def refusal(self, request: ProxiedRequest, retry_after_us: int) -> Answer:
+        own_word = self.forwarded_failure(request)
         return own_word or super().refusal(request, retry_after_us)
 
-    def failure(self, request: Request) -> Answer:
-        return self.servers_word(request) or super().failure(request)
+    def failure(self, request: ProxiedRequest) -> Answer:
+        return self.forwarded_failure(request) or super().failure(request)
 
-    def servers_word(self, request: Request) -> Answer | None:
+    def forwarded_failure(self, request: ProxiedRequest) -> Answer | None:
         """A server's own failure goes back as it came, unless it would promise what the server did not prove."""
         answer = request.last_answer
-        if answer is None or request.last_ending is not it.Ending.ERROR or answer.status in PROMISES:
+        if answer is None or request.last_ending is not it.AttemptOutcome.ERROR or answer.status in PROMISES:
             return None
-        return self.passed_back(answer)
+        return self.forwarded_answer(answer)
 
 
-def find_route(table: Table, message: Message, found: dict[bytes, bytes]) -> Route:
+def find_route(table: RoutingTable, message: RequestMessage, found: dict[bytes, bytes]) -> Route:
     """Raises BadRequest where no route leads on."""
     if message.method == b"CONNECT":
-        raise BadRequest(405, "CONNECT is not served here")
+        raise BadRequestError(405, "CONNECT is not served here")
     path = message.target.partition(b"?")[0]
     if not path.startswith(b"/"):
-        raise BadRequest(400, "a path is needed")
+        raise BadRequestError(400, "a path is needed")
     host = found.get(b"host")
     if host is None:
-        raise BadRequest(400, "Host is needed")
+        raise BadRequestError(400, "Host is needed")
     route = table.find(host.decode("latin-1"), path.decode("latin-1"))
     if route is None:
-        raise BadRequest(404, "no route")
+        raise BadRequestError(404, "no route")
     return route
--- a/cypressbeam/proxy/http_requests.py
+++ b/cypressbeam/proxy/http_requests.py
@@ -11,8 +11,8 @@
 import httptools
 
 from cypressbeam.balancing.interface import Repeat, RequestArrived, RequestClass
-from cypressbeam.proxy.http_responses import MOST_FRAMED, Limits
-from cypressbeam.proxy.protocol_profile import NODE, Dialect
+from cypressbeam.proxy.http_responses import MAX_FRAMED_BYTES, Limits
+from cypressbeam.proxy.protocol_profile import STANDALONE_PROFILE, ProtocolProfile
 
 #: Requests sent ahead on a connection, before the answer to the first.
 MOST_AHEAD = 4
@@ -26,7 +26,7 @@
 UNIT_US = {b"m": 1000.0, b"u": 1.0}
 
 
-class BadRequest(Exception):
+class BadRequestError(Exception):
     """What can't be taken: the status of its answer, and why."""
 
     def __init__(self, status: int, why: str, allow: bytes = b"", retry_after: bytes = b"") -> None:
@@ -36,7 +36,7 @@
         self.retry_after = retry_after
 
 
-class Store:
+class BodyBudget:
     """The bytes of requests' bodies that one listening socket holds, over all its connections."""
 
     def __init__(self, limits: Limits) -> None:
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True)
-class Message:
+class RequestMessage:
     """A whole HTTP request as it came."""
 
     method: bytes
@@ -68,15 +68,15 @@
     """Makes whole messages of the bytes from one client. The first error is the last word: where the next
     message would begin is not known any more, so nothing behind it is parsed or kept."""
 
-    def __init__(self, now_us: Callable[[], int], on_expect: Callable[[], None], store: Store) -> None:
+    def __init__(self, now_us: Callable[[], int], on_expect: Callable[[], None], store: BodyBudget) -> None:
         self.limits = store.limits
         self.store = store
         self.held = 0
         """Bytes of bodies that came here and are not given back to the store yet."""
         self.now_us = now_us
         self.on_expect = on_expect
-        self.messages: deque[Message] = deque()
-        self.error: BadRequest | None = None
+        self.messages: deque[RequestMessage] = deque()
+        self.error: BadRequestError | None = None
         self.partial = False
         """Within a message."""
         self.expects = False
@@ -96,19 +96,19 @@
                 self.messages[-1].keep_alive = False
             self.close()
         except httptools.HttpParserError as err:
-            self.error = self.error or BadRequest(400, f"malformed request: {err}")
+            self.error = self.error or BadRequestError(400, f"malformed request: {err}")
         # Bytes are counted before they are parsed, for the parser itself keeps a line until it ends.
         if self.partial and self.error is None and self.raw_bytes > self.most_raw():
             self.error = (
-                BadRequest(413, "the body is too large")
+                BadRequestError(413, "the body is too large")
                 if self.headers_done
-                else BadRequest(431, "the headers are too large")
+                else BadRequestError(431, "the headers are too large")
             )
         if self.error is not None:
             self.close()
 
     def most_raw(self) -> int:
-        return self.limits.head_bytes + MOST_FRAMED * len(self.body)
+        return self.limits.head_bytes + MAX_FRAMED_BYTES * len(self.body)
 
     def most_body(self) -> int:
         """One that is larger than all that may be held would never fit."""
@@ -123,7 +123,7 @@
         self.held -= size
         self.store.held -= size
 
-    def stop(self, error: BadRequest) -> None:
+    def stop(self, error: BadRequestError) -> None:
         """From within a callback: end the parsing here."""
         self.error = self.error or error
         raise error
@@ -134,7 +134,7 @@
         # Not when bytes come: they may be a blank line between messages, or hold the end of one and the
         # beginning of the next.
         if len(self.messages) > MOST_AHEAD:
-            self.stop(BadRequest(400, "too many requests sent ahead"))
+            self.stop(BadRequestError(400, "too many requests sent ahead"))
         self.target = b""
         self.headers: list[tuple[bytes, bytes, bytes]] = []
         self.body = bytearray()
@@ -154,35 +154,35 @@
         self.headers_done = True
         version = self.parser.get_http_version()
         if version not in ("1.1", "1.0"):
-            self.stop(BadRequest(505, f"HTTP/{version} is not spoken here"))
+            self.stop(BadRequestError(505, f"HTTP/{version} is not spoken here"))
         size = len(self.target)
         for lower, name, value in self.headers:
             size += len(name) + len(value) + 4
             # Two or unequal lengths, and a length beside a coding, are errors of httptools' own.
             if lower == b"content-length" and (len(value) > 18 or int(value) > self.most_body()):
-                self.stop(BadRequest(413, "the body is too large"))
+                self.stop(BadRequestError(413, "the body is too large"))
             if lower == b"transfer-encoding" and (version == "1.0" or value.strip().lower() != b"chunked"):
-                self.stop(BadRequest(501, "of all Transfer-Encodings only chunked is read"))
+                self.stop(BadRequestError(501, "of all Transfer-Encodings only chunked is read"))
             if lower == b"expect" and value.lower() == b"100-continue" and version == "1.1":
                 self.expects = True
                 self.on_expect()
         if size > self.limits.head_bytes:
-            self.stop(BadRequest(431, "the headers are too large"))
+            self.stop(BadRequestError(431, "the headers are too large"))
 
     def on_body(self, data: bytes) -> None:
         self.body += data
         self.held += len(data)
         there_is_room = self.store.take(len(data))
         if len(self.body) > self.most_body():
-            self.stop(BadRequest(413, "the body is too large"))
+            self.stop(BadRequestError(413, "the body is too large"))
         if not there_is_room:
-            self.stop(BadRequest(503, "too many bodies at once", retry_after=STORE_FULL_S))
+            self.stop(BadRequestError(503, "too many bodies at once", retry_after=STORE_FULL_S))
 
     def on_message_complete(self) -> None:
         assert self.parser is not None
         came_us = max(self.began_us, self.now_us() - ON_ITS_WAY_US)
         self.messages.append(
-            Message(
+            RequestMessage(
                 self.parser.get_method(),
                 self.target,
                 self.headers,
@@ -200,7 +200,7 @@
     form = TIMEOUT_FORM.fullmatch(text)
     timeout_us = int(float(form[1]) * UNIT_US[form[2]]) if form else 0
     if timeout_us <= 0:
-        raise BadRequest(400, f"Request-Timeout: a number and a unit, m or u, are needed, not {text!r}")
+        raise BadRequestError(400, f"Request-Timeout: a number and a unit, m or u, are needed, not {text!r}")
     return timeout_us
 
 
@@ -211,36 +211,36 @@
     return parse_qs(query.decode("latin-1")).get("k", [None])[0]
 
 
-def find_kind(message: Message, kinds: dict[str, RequestClass]) -> RequestClass:
+def find_kind(message: RequestMessage, kinds: dict[str, RequestClass]) -> RequestClass:
     """The class that a message asks for, by the first part of its path."""
     path = message.target.partition(b"?")[0]
     name = path[1:].split(b"/", 1)[0].decode("latin-1")
     kind = kinds.get(name)
     if kind is None or not path.startswith(b"/"):
-        raise BadRequest(404, f"no class {name!r}")
+        raise BadRequestError(404, f"no class {name!r}")
     method = b"GET" if kind.repeat is Repeat.SAFE else b"POST"
     if message.method != method:
-        raise BadRequest(405, f"{message.method!r} for class {name}", method)
+        raise BadRequestError(405, f"{message.method!r} for class {name}", method)
     # A server that reads no body here would take it for the next request.
     if message.method == b"GET" and message.body:
-        raise BadRequest(400, "GET takes no body")
+        raise BadRequestError(400, "GET takes no body")
     return kind
 
 
-def gather(message: Message, dialect: Dialect) -> tuple[dict[bytes, bytes], set[bytes]]:
+def collect_headers(message: RequestMessage, dialect: ProtocolProfile) -> tuple[dict[bytes, bytes], set[bytes]]:
     """A message's headers by name, and the names that its Connection header would have left out."""
     found: dict[bytes, bytes] = {}
     named: set[bytes] = set()
     for lower, _, value in message.headers:
         if lower in found and lower in dialect.essential:
-            raise BadRequest(400, f"{lower.decode('latin-1')} is given twice")
+            raise BadRequestError(400, f"{lower.decode('latin-1')} is given twice")
         found[lower] = value
         if lower == b"connection":
             named.update(part.strip().lower() for part in value.split(b","))
     return found, named - dialect.essential
 
 
-def pass_on(message: Message, named: set[bytes], dialect: Dialect) -> bytes:
+def request_head(message: RequestMessage, named: set[bytes], dialect: ProtocolProfile) -> bytes:
     """A message's head as it goes to any server; what only one server gets comes behind it."""
     head = [b"%s %s HTTP/1.1\r\n" % (message.method, message.target)]
     for lower, name, value in message.headers:
@@ -251,18 +251,20 @@
     return b"".join(head)
 
 
-def read_request(message: Message, kinds: dict[str, RequestClass], margin_us: int) -> tuple[RequestArrived, bytes]:
+def read_request(
+    message: RequestMessage, kinds: dict[str, RequestClass], margin_us: int
+) -> tuple[RequestArrived, bytes]:
     """Check a message. Returns what it asks, and its head as it goes on, all but Request-Timeout."""
     kind = find_kind(message, kinds)
-    found, named = gather(message, NODE)
-    head = pass_on(message, named, NODE)
+    found, named = collect_headers(message, STANDALONE_PROFILE)
+    head = request_head(message, named, STANDALONE_PROFILE)
     if b"host" not in found:
         head += b"Host: backend.local\r\n"
     ident = found.get(b"request-id", b"").decode("latin-1")
     if not ident or len(ident) > 128 or not ident.isprintable() or " " in ident:
-        raise BadRequest(400, "Request-Id: a word is needed")
+        raise BadRequestError(400, "Request-Id: a word is needed")
     if kind.repeat is Repeat.KEYED and not found.get(b"idempotency-key"):
-        raise BadRequest(400, "Idempotency-Key is needed")
+        raise BadRequestError(400, "Idempotency-Key is needed")
     key = read_key(message.target.partition(b"?")[2])
     hint = found.get(b"work-hint", b"")
     tenant = found.get(b"tenant")
--- a/cypressbeam/proxy/http_responses.py
+++ b/cypressbeam/proxy/http_responses.py
@@ -12,12 +12,12 @@
 Headers = list[tuple[bytes, bytes]]
 
 #: Header lines, together, and the bodies of requests hold at most so many bytes.
-MOST_HEAD = 16 * 1024
-MOST_BODY = 64 * 1024
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BODY_BYTES = 64 * 1024
 #: Servers also give good answers over 64 KiB; a quarter of a megabyte has been seen.
-MOST_ANSWER = 512 * 1024
+MAX_ANSWER_BYTES = 512 * 1024
 #: With chunks as small as they can be a message is so many times the size of its body, and a little more.
-MOST_FRAMED = 7
+MAX_FRAMED_BYTES = 7
 #: Headers that concern one connection, or the framing of one message, and are never passed on.
 HOP_BY_HOP = frozenset(
     {
@@ -55,7 +55,7 @@
     return bool(poll.poll(0))
 
 
-class TooLarge(ValueError):
+class AnswerTooLargeError(ValueError):
     """A message over the limits."""
 
 
@@ -63,8 +63,8 @@
 class Limits:
     """What a client may send, and for how long it may take or stay idle."""
 
-    head_bytes: int = MOST_HEAD
-    body_bytes: int = MOST_BODY
+    head_bytes: int = MAX_HEAD_BYTES
+    body_bytes: int = MAX_BODY_BYTES
     ask_s: float = 2.0
     """For a request's head to come, from the connect or from its first byte."""
     body_s: float = 2.0
@@ -112,7 +112,7 @@
     have no length and end with its connection, if it says so (`ends_with_close`).
     """
 
-    def __init__(self, most_body: int = MOST_ANSWER, names: bytes | None = None) -> None:
+    def __init__(self, most_body: int = MAX_ANSWER_BYTES, names: bytes | None = None) -> None:
         self.most_body = most_body
         self.names = names
         self.dropped = 0
@@ -190,8 +190,8 @@
         if self.complete:
             return
         # Heads without end, also in parts that the parser still holds, and bodies that are mostly frame.
-        if self.raw_bytes > MOST_HEAD + MOST_FRAMED * (len(self.body) + self.skipped):
-            raise TooLarge("the answer is too large")
+        if self.raw_bytes > MAX_HEAD_BYTES + MAX_FRAMED_BYTES * (len(self.body) + self.skipped):
+            raise AnswerTooLargeError("the answer is too large")
 
     # httptools' callbacks; what they raise comes out of feed_data as a HttpParserError
 
@@ -213,8 +213,8 @@
 
     def on_headers_complete(self) -> None:
         self.headers_done = True
-        if sum(len(name) + len(value) + 4 for name, value in self.headers) > MOST_HEAD:
-            raise TooLarge("the answer's head is too large")
+        if sum(len(name) + len(value) + 4 for name, value in self.headers) > MAX_HEAD_BYTES:
+            raise AnswerTooLargeError("the answer's head is too large")
         if b"HTTP/1." in self.reason and STATUS_LINE.search(self.reason):
             raise ValueError("an answer that begins within the head of another")
         for name, value in self.headers:
@@ -222,7 +222,7 @@
                 raise ValueError("an answer that begins within the head of another")
             lower = name.lower()
             if lower == b"content-length" and (len(value) > 18 or int(value) > self.most_body):
-                raise TooLarge("the answer is too large")
+                raise AnswerTooLargeError("the answer is too large")
             if lower == b"transfer-encoding" and value.lower() != b"chunked":
                 raise ValueError(f"Transfer-Encoding {value!r} was not asked for")
         assert self.parser is not None
@@ -292,7 +292,7 @@
         else:
             self.body += data
         if len(self.body) + self.skipped > self.most_body:
-            raise TooLarge("the answer is too large")
+            raise AnswerTooLargeError("the answer is too large")
 
     def on_message_complete(self) -> None:
         if self.no_body and self.complete:
--- a/cypressbeam/proxy/protocol_profile.py
+++ b/cypressbeam/proxy/protocol_profile.py
@@ -11,9 +11,9 @@
 
 from cypressbeam.balancing.interface import Report
 from cypressbeam.proxy import response_validation
-from cypressbeam.proxy.attempts import Reply
+from cypressbeam.proxy.attempts import ReplyKind
 from cypressbeam.proxy.http_responses import HOP_BY_HOP, Answer
-from cypressbeam.proxy.response_validation import Asked
+from cypressbeam.proxy.response_validation import RequestContext
 
 #: The names of load figures on sockets, with those that the settings use.
 LOAD_NAMES = {
@@ -56,32 +56,32 @@
     return Report(queue=float(waiting), in_flight=float(running), utilization=running / max(slots, 1))
 
 
-def judge_node(answer: Answer) -> Reply:
+def classify_standalone(answer: Answer) -> ReplyKind:
     if answer.status == 200:
-        return Reply.SUCCESS
+        return ReplyKind.SUCCESS
     if answer.status in (503, 504) and answer.header(b"not-started") == b"1":
-        return Reply.NOT_EXECUTED
-    return Reply.FAILURE
+        return ReplyKind.NOT_EXECUTED
+    return ReplyKind.FAILURE
 
 
-def judge_gate(answer: Answer) -> Reply:
+def classify_gateway(answer: Answer) -> ReplyKind:
     """421 is another server's word at this address: the one that was meant is not there."""
     if 200 <= answer.status < 300:
-        return Reply.SUCCESS
+        return ReplyKind.SUCCESS
     if answer.status == 421:
-        return Reply.MISDIRECTED
+        return ReplyKind.MISDIRECTED
     if answer.header(b"not-executed") is not None:
-        return Reply.NOT_EXECUTED
-    return Reply.FAILURE
+        return ReplyKind.NOT_EXECUTED
+    return ReplyKind.FAILURE
 
 
-def flaw_node(answer: Answer, asked: Asked, behind: bytes) -> str:
+def flaw_node(answer: Answer, asked: RequestContext, behind: bytes) -> str:
     """The older program's servers put no proof into their answers."""
     return ""
 
 
 @dataclass(frozen=True, slots=True)
-class Dialect:
+class ProtocolProfile:
     """One wire, towards clients and servers alike. Header names are in lower case."""
 
     ident: bytes
@@ -95,34 +95,34 @@
     """Headers of an answer that speak of the server or of its connection, not to the client."""
     load: bytes
     read_load: Callable[[bytes | None], Report | None]
-    judge: Callable[[Answer], Reply]
+    judge: Callable[[Answer], ReplyKind]
     address: Callable[[int, str], bytes]
     """The lines that a server gets beside the client's: milliseconds left, and its own name."""
     names_answers: bool = False
     """Whether each answer of a server names its request by the `ident` header."""
-    flaw: Callable[[Answer, Asked, bytes], str] = flaw_node
+    flaw: Callable[[Answer, RequestContext, bytes], str] = flaw_node
     """Why a success does not count, with the bytes that came behind it; empty where it does."""
 
 
-NODE = Dialect(
+STANDALONE_PROFILE = ProtocolProfile(
     ident=b"request-id",
     essential=frozenset({b"request-id", b"idempotency-key", b"request-timeout", b"host", b"tenant"}),
     not_passed_on=HOP_BY_HOP | {b"request-timeout"},
     not_passed_back=HOP_BY_HOP | {b"server-load", b"not-started"},
     load=b"server-load",
     read_load=read_report,
-    judge=judge_node,
+    judge=classify_standalone,
     address=lambda left_ms, server: b"Request-Timeout: %dm\r\n" % left_ms,
 )
 
-GATE = Dialect(
+GATEWAY_PROFILE = ProtocolProfile(
     ident=b"attempt-id",
     essential=frozenset({b"attempt-id", b"time-left-ms", b"host", b"target-server"}),
     not_passed_on=HOP_BY_HOP | {b"time-left-ms", b"target-server"},
     not_passed_back=HOP_BY_HOP | {b"server-load", b"not-executed"},
     load=b"server-load",
     read_load=read_load,
-    judge=judge_gate,
+    judge=classify_gateway,
     address=lambda left_ms, server: b"Time-Left-Ms: %d\r\nTarget-Server: %s\r\n" % (left_ms, server.encode()),
     names_answers=True,
     flaw=response_validation.flaw,
--- a/cypressbeam/proxy/proxy_core.py
+++ b/cypressbeam/proxy/proxy_core.py
@@ -15,10 +15,10 @@
 
 from cypressbeam.balancing import interface as it
 from cypressbeam.balancing.balancer import Balancer
-from cypressbeam.proxy.attempts import Cause, may_tell
-from cypressbeam.proxy.http_responses import MOST_ANSWER, Answer
-from cypressbeam.proxy.protocol_profile import Dialect
-from cypressbeam.proxy.response_validation import Asked
+from cypressbeam.proxy.attempts import EndCause, may_answer_status
+from cypressbeam.proxy.http_responses import MAX_ANSWER_BYTES, Answer
+from cypressbeam.proxy.protocol_profile import ProtocolProfile
+from cypressbeam.proxy.response_validation import RequestContext
 from cypressbeam.proxy.upstream import WHOLE_BODY, Attempt, Upstream
 
 log = logging.getLogger(__name__)
@@ -45,16 +45,16 @@
         return time.monotonic_ns() // 1000 + self.offset_us
 
 
-class Desk:
+class BalancerHost:
     """One balancer, and the events that wait for it."""
 
-    def __init__(self, carrier: Carrier, balancer: Balancer) -> None:
-        self.carrier = carrier
+    def __init__(self, carrier: ProxyCore, balancer: Balancer) -> None:
+        self.core = carrier
         self.balancer = balancer
         self.events: deque[it.Event] = deque()
         self.feeding = False
 
-    def feed(self, event: it.Event) -> None:
+    def handle(self, event: it.Event) -> None:
         """Give the balancer an event. What its actions bring about at once waits its turn behind them."""
         self.events.append(event)
         if self.feeding:
@@ -64,26 +64,26 @@
             while self.events:
                 event = self.events.popleft()
                 try:
-                    actions = self.balancer.handle(self.carrier.now_us(), event)
+                    actions = self.balancer.handle(self.core.now_us(), event)
                 except Exception:
                     log.exception("the balancer failed on %r", event)
-                    self.carrier.abandon(event)
+                    self.core.abandon(event)
                     continue
                 for action in actions:
                     try:
-                        self.carrier.carry_out(self, action)
+                        self.core.carry_out(self, action)
                     except Exception:
                         log.exception("carrying out %r failed", action)
-                        self.carrier.abandon(action)
+                        self.core.abandon(action)
         finally:
             self.feeding = False
 
 
 @dataclass(slots=True, eq=False)
-class Request:
+class ProxiedRequest:
     """A request that a client has sent, and what has become of it."""
 
-    desk: Desk
+    host: BalancerHost
     arrived: it.RequestArrived
     head: bytes
     """Request line and headers as they go to any server, without the blank line."""
@@ -91,33 +91,33 @@
     respond: Callable[[Answer], None]
     repeatable: bool = False
     """Its client may send it again though it may have run."""
-    asked: Asked = WHOLE_BODY
+    asked: RequestContext = WHOLE_BODY
     """Which answers to it are whole."""
     attempts: list[Attempt] = field(default_factory=list)
     out: int = 0
     finished: bool = False
     timer: asyncio.TimerHandle | None = None
-    last_ending: it.Ending | None = None
+    last_ending: it.AttemptOutcome | None = None
     last_answer: Answer | None = None
 
 
-class Carrier:
+class ProxyCore:
     """Requests between clients, balancers and the connections to servers. Programs derive from it."""
 
     def __init__(
         self,
-        dialect: Dialect,
+        dialect: ProtocolProfile,
         connect_timeout_us: int,
         idle_us: int,
         server_connections: int,
-        most_answer: int = MOST_ANSWER,
+        most_answer: int = MAX_ANSWER_BYTES,
         now_us: Callable[[], int] | None = None,
     ) -> None:
         """With another clock than the machine's, where one is given."""
         self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
-        self.dialect = dialect
+        self.profile = dialect
         self.now_us = now_us or Clock()
-        self.requests: dict[str, Request] = {}
+        self.requests: dict[str, ProxiedRequest] = {}
         self.upstream = Upstream(
             connect_timeout_us, idle_us, server_connections, self.now_us, self.attempt_ended, dialect, most_answer
         )
@@ -135,13 +135,13 @@
         """Headers of a refusal that tell the client when to come back."""
         return [(b"Retry-After", b"%.3f" % (retry_after_us / 1e6))] if retry_after_us > 0 else []
 
-    def refusal(self, request: Request, retry_after_us: int) -> Answer:
+    def refusal(self, request: ProxiedRequest, retry_after_us: int) -> Answer:
         """The answer to a request that may be sent again."""
         return Answer(503, self.advice(retry_after_us))
 
-    def failure(self, request: Request) -> Answer:
+    def failure(self, request: ProxiedRequest) -> Answer:
         """The answer to a request that has failed, and may have run."""
-        return Answer(504 if request.last_ending is it.Ending.TIMEOUT else 502)
+        return Answer(504 if request.last_ending is it.AttemptOutcome.TIMEOUT else 502)
 
     def list_wanted(self, whole: bool) -> None:
         """A balancer asks for the list, or for its changes."""
@@ -151,18 +151,18 @@
         request = self.requests.get(getattr(about, "request", ""))
         if request is not None:
             self.finish(request, Answer(500))
-            self.stop_attempts(request, Cause.CANCELLED)
+            self.stop_attempts(request, EndCause.CANCELLED)
 
     # -- requests ----------------------------------------------------------------------------------------
 
-    def take(self, request: Request) -> None:
+    def take(self, request: ProxiedRequest) -> None:
         """A client's request has come in; from here on it is owed one final answer."""
         arrived = request.arrived
         self.requests[arrived.request] = request
         # Timers go by whole milliseconds and may be early by one; the balancer must see the time as up.
         left_s = max(arrived.give_up_at_us - self.now_us(), 0) / 1e6 + 0.001
         request.timer = self.loop.call_later(left_s, self.time_is_up, request)
-        request.desk.feed(arrived)
+        request.host.handle(arrived)
 
     def knows(self, name: str) -> bool:
         return name in self.requests
@@ -171,69 +171,71 @@
         request = self.requests.get(name)
         if request is not None and not request.finished:
             self.close(request)
-            request.desk.feed(it.ClientGone(name))
+            request.host.handle(it.ClientGone(name))
 
-    def time_is_up(self, request: Request) -> None:
+    def time_is_up(self, request: ProxiedRequest) -> None:
         """The client is about to give up: attempts still out have timed out, and what is owed is given."""
-        self.stop_attempts(request, Cause.TIMED_OUT)
+        self.stop_attempts(request, EndCause.TIMED_OUT)
         if not request.finished:
             log.warning("request %s was left without an answer", request.arrived.request)
             self.finish(request, Answer(504))
-            request.desk.feed(it.ClientGone(request.arrived.request))
+            request.host.handle(it.ClientGone(request.arrived.request))
 
-    def finish(self, request: Request, answer: Answer) -> None:
+    def finish(self, request: ProxiedRequest, answer: Answer) -> None:
         """The one place where a final answer goes to a client; the first one stands."""
         if request.finished:
             return
-        if not may_tell(answer.status, request.repeatable, (attempt.may_have_run for attempt in request.attempts)):
+        if not may_answer_status(
+            answer.status, request.repeatable, (attempt.may_have_run for attempt in request.attempts)
+        ):
             log.error("request %s may have run: %d would be a false promise", request.arrived.request, answer.status)
             answer = Answer(502)
         self.close(request)
         request.respond(answer)
 
-    def close(self, request: Request) -> None:
+    def close(self, request: ProxiedRequest) -> None:
         request.finished = True
         if request.out == 0:
             self.forget(request)
 
-    def forget(self, request: Request) -> None:
+    def forget(self, request: ProxiedRequest) -> None:
         if request.timer is not None:
             request.timer.cancel()
         self.requests.pop(request.arrived.request, None)
 
-    def stop_attempts(self, request: Request, cause: Cause) -> None:
+    def stop_attempts(self, request: ProxiedRequest, cause: EndCause) -> None:
         for attempt in request.attempts:
             self.upstream.stop(attempt, cause)
 
     def attempt_ended(
-        self, attempt: Attempt, ending: it.Ending, answer: Answer | None, report: it.Report | None
+        self, attempt: Attempt, ending: it.AttemptOutcome, answer: Answer | None, report: it.Report | None
     ) -> None:
         request = self.requests[attempt.request]
         request.out -= 1
         request.last_ending, request.last_answer = ending, answer
         latency_us = self.now_us() - attempt.sent_us
-        if ending is it.Ending.OK and answer is not None and not request.finished:
-            self.finish(request, self.passed_back(answer))
+        if ending is it.AttemptOutcome.OK and answer is not None and not request.finished:
+            self.finish(request, self.forwarded_answer(answer))
         elif request.finished and request.out == 0:
             self.forget(request)
-        request.desk.feed(
+        request.host.handle(
             it.AttemptEnded(
                 attempt.request, attempt.number, attempt.server, ending, latency_us, request.finished, report
             )
         )
 
-    def passed_back(self, answer: Answer) -> Answer:
+    def forwarded_answer(self, answer: Answer) -> Answer:
         """A server's answer as its client gets it."""
-        headers = [(name, value) for name, value in answer.headers if name.lower() not in self.dialect.not_passed_back]
+        headers = [(name, value) for name, value in answer.headers if name.lower() not in self.profile.not_passed_back]
         return Answer(answer.status, headers, answer.body, answer.length)
 
     # -- actions -----------------------------------------------------------------------------------------
 
-    def carry_out(self, desk: Desk, action: it.Action) -> None:
+    def carry_out(self, desk: BalancerHost, action: it.Action) -> None:
         if isinstance(action, it.Send):
             self.send(action)
         elif isinstance(action, it.SetTimer):
-            self.loop.call_later(action.delay_us / 1e6, desk.feed, it.TimerFired(action.token))
+            self.loop.call_later(action.delay_us / 1e6, desk.handle, it.TimerFired(action.token))
         elif isinstance(action, it.Refuse):
             request = self.requests.get(action.request)
             if request is not None:
@@ -245,7 +247,7 @@
         elif isinstance(action, it.Cancel):
             request = self.requests.get(action.request)
             if request is not None and action.attempt < len(request.attempts):
-                self.upstream.stop(request.attempts[action.attempt], Cause.CANCELLED)
+                self.upstream.stop(request.attempts[action.attempt], EndCause.CANCELLED)
         elif isinstance(action, (it.Subscribe, it.FetchList)):
             self.list_wanted(whole=isinstance(action, it.FetchList))
         elif isinstance(action, it.Log):
@@ -261,7 +263,7 @@
             return
         left_us = max(request.arrived.give_up_at_us - now_us, 1000)
         wait_us = min(action.timeout_us, left_us) if action.timeout_us > 0 else left_us
-        lines = self.dialect.address(max(wait_us // 1000, 1), action.server)
+        lines = self.profile.address(max(wait_us // 1000, 1), action.server)
         message = b"%s%s\r\n%s" % (request.head, lines, request.body)
         attempt = Attempt(
             action.request,
@@ -275,7 +277,7 @@
         request.attempts.append(attempt)
         request.out += 1
         if wait_us < left_us:  # otherwise the request's own timer ends it
-            attempt.timer = self.loop.call_later(wait_us / 1e6, self.upstream.stop, attempt, Cause.TIMED_OUT)
+            attempt.timer = self.loop.call_later(wait_us / 1e6, self.upstream.stop, attempt, EndCause.TIMED_OUT)
         self.upstream.start(attempt)
 
     # -- upkeep ------------------------------------------------------------------------------------------
--- a/cypressbeam/proxy/response_validation.py
+++ b/cypressbeam/proxy/response_validation.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class RequestContext:
     """What a request asked for, as far as it decides which answers are whole."""
 
     no_body: bool = False
@@ -53,41 +53,41 @@
     return any(MARKS.search(head[0]) or BROKEN_LINE.fullmatch(body, head.end()) for head in HEAD.finditer(body))
 
 
-def lacks_one_stamp(answer: Answer, asked: Asked, behind: bytes) -> bool:
+def lacks_one_stamp(answer: Answer, asked: RequestContext, behind: bytes) -> bool:
     return len(answer.all_of(b"server-seal")) != 1
 
 
-def has_an_empty_stamp(answer: Answer, asked: Asked, behind: bytes) -> bool:
+def has_an_empty_stamp(answer: Answer, asked: RequestContext, behind: bytes) -> bool:
     return not all(stamp.strip() for stamp in answer.all_of(b"server-seal"))
 
 
-def is_encoded(answer: Answer, asked: Asked, behind: bytes) -> bool:
+def is_encoded(answer: Answer, asked: RequestContext, behind: bytes) -> bool:
     """Clients ask for bodies without an encoding, so one with any is not the server's."""
     return bool(answer.all_of(b"content-encoding"))
 
 
-def is_a_part(answer: Answer, asked: Asked, behind: bytes) -> bool:
+def is_a_part(answer: Answer, asked: RequestContext, behind: bytes) -> bool:
     return not asked.part and (answer.status == 206 or bool(answer.all_of(b"content-range")))
 
 
-def tells_of_no_body_and_of_one(answer: Answer, asked: Asked, behind: bytes) -> bool:
+def tells_of_no_body_and_of_one(answer: Answer, asked: RequestContext, behind: bytes) -> bool:
     """A 204 ends with its head, a 205 has nothing behind it: with a body it was another status once."""
     framed = answer.all_of(b"transfer-encoding") or answer.header(b"content-length") not in (None, b"0")
     return (answer.status == 204 and bool(framed)) or (answer.status == 205 and bool(answer.body))
 
 
-def has_an_answer_within(answer: Answer, asked: Asked, behind: bytes) -> bool:
+def has_an_answer_within(answer: Answer, asked: RequestContext, behind: bytes) -> bool:
     return holds_an_answer(answer.body)
 
 
-def has_more_behind(answer: Answer, asked: Asked, behind: bytes) -> bool:
+def has_more_behind(answer: Answer, asked: RequestContext, behind: bytes) -> bool:
     """Bytes at its end that begin no other answer: its length may be too short, and they its own; or its body lacks
     its end, and has the beginning of the answer in its place that they go on with."""
     return not asked.no_body and bool(behind) and not begins_an_answer(behind)
 
 
 #: All checks of a success, each by what the log says of an answer that fails it.
-CHECKS: dict[str, Callable[[Answer, Asked, bytes], bool]] = {
+CHECKS: dict[str, Callable[[Answer, RequestContext, bytes], bool]] = {
     "no Server-Seal, or more than one": lacks_one_stamp,
     "an empty Server-Seal": has_an_empty_stamp,
     "a Content-Encoding": is_encoded,
@@ -98,6 +98,6 @@
 }
 
 
-def flaw(answer: Answer, asked: Asked, behind: bytes = b"") -> str:
+def flaw(answer: Answer, asked: RequestContext, behind: bytes = b"") -> str:
     """The check that a success fails; empty where it counts. `behind`: the bytes that came with its end."""
     return next((name for name, fails in CHECKS.items() if fails(answer, asked, behind)), "")
--- a/cypressbeam/proxy/routing.py
+++ b/cypressbeam/proxy/routing.py
@@ -6,14 +6,14 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-from cypressbeam.protocol.configuration import Channel, Configuration, host_name
+from cypressbeam.protocol.configuration import Configuration, RouteConfiguration, host_name
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
     """A route as requests meet it."""
 
-    channel: Channel
+    configuration: RouteConfiguration
     kind: str
     """The class of its requests at a balancer: routes that ask for the same share one, and so what was learned."""
     services: tuple[str, ...]
@@ -27,8 +27,8 @@
         return chance.choices(self.services, cum_weights=self.weights)[0]
 
 
-def kind_of(channel: Channel) -> str:
-    return kind(channel.mode, channel.setpoint_ms, channel.cutoff_ms, channel.rank, channel.tries)
+def kind_of(channel: RouteConfiguration) -> str:
+    return kind(channel.mode, channel.latency_target_ms, channel.timeout_ms, channel.rank, channel.tries)
 
 
 @lru_cache(1024)
@@ -37,24 +37,24 @@
     return f"{mode}/{setpoint_ms:g}/{cutoff_ms:g}/{rank}/{tries}"
 
 
-def make_route(channel: Channel) -> Route:
-    shares = channel.shares()
+def make_route(channel: RouteConfiguration) -> Route:
+    shares = channel.weighted_services()
     total, weights = 0.0, []
     for share in shares:
-        total += share.gain
+        total += share.weight
         weights.append(total)
-    return Route(channel, kind_of(channel), tuple(share.plant for share in shares), tuple(weights))
+    return Route(channel, kind_of(channel), tuple(share.service for share in shares), tuple(weights))
 
 
-class Table:
+class RoutingTable:
     """All routes of one configuration. It never changes: a request ends under the table it came in with."""
 
     def __init__(self, configuration: Configuration) -> None:
         self.configuration = configuration
         self.routes: dict[str, dict[str, Route]] = {}
-        self.kinds: dict[str, dict[str, Channel]] = {}
+        self.kinds: dict[str, dict[str, RouteConfiguration]] = {}
         """By service: its kinds of requests, and a route of each."""
-        for channel in configuration.channels:
+        for channel in configuration.routes:
             route = make_route(channel)
             self.routes.setdefault(host_name(channel.host), {})[channel.prefix] = route
             for service in route.services:
--- a/cypressbeam/proxy/upstream.py
+++ b/cypressbeam/proxy/upstream.py
@@ -15,11 +15,11 @@
 
 import httptools
 
-from cypressbeam.balancing.interface import Ending, Report
-from cypressbeam.proxy.attempts import Cause, Outcome, Reply, Sent, outcome
-from cypressbeam.proxy.http_responses import MOST_ANSWER, Answer, ResponseReader, keep_alive_s, readable
-from cypressbeam.proxy.protocol_profile import NODE, Dialect
-from cypressbeam.proxy.response_validation import Asked, begun_at_the_end
+from cypressbeam.balancing.interface import AttemptOutcome, Report
+from cypressbeam.proxy.attempts import AttemptResult, EndCause, ReplyKind, SendProgress, result_of
+from cypressbeam.proxy.http_responses import MAX_ANSWER_BYTES, Answer, ResponseReader, keep_alive_s, readable
+from cypressbeam.proxy.protocol_profile import STANDALONE_PROFILE, ProtocolProfile
+from cypressbeam.proxy.response_validation import RequestContext, begun_at_the_end
 from cypressbeam.standalone.discovery import Address
 
 log = logging.getLogger(__name__)
@@ -36,7 +36,7 @@
 REMEMBERED = 32
 
 
-WHOLE_BODY = Asked()
+WHOLE_BODY = RequestContext()
 
 
 class Attempt:
@@ -64,7 +64,7 @@
         server: str,
         message: bytes,
         sent_us: int,
-        asked: Asked = WHOLE_BODY,
+        asked: RequestContext = WHOLE_BODY,
         again: bool = False,
     ) -> None:
         self.asked = asked
@@ -82,7 +82,7 @@
 
 
 @dataclass(slots=True)
-class Place:
+class EndpointPool:
     """Where a server is, and its idle connections, longest idle first."""
 
     address: Address
@@ -107,7 +107,7 @@
         self.doubt: asyncio.TimerHandle | None = None
         """Runs while a whole answer waits for what may come behind it."""
         self.idle_s = upstream.idle_s
-        dialect = upstream.dialect
+        dialect = upstream.profile
         self.reader = ResponseReader(upstream.most_answer, dialect.ident if dialect.names_answers else None)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -128,9 +128,9 @@
         unread would pass for the answer to the next request."""
         return not self.closed and not self.transport.is_closing() and not readable(self.transport)
 
-    def sent(self) -> Sent:
+    def sent(self) -> SendProgress:
         """How much of the request on this connection it was given."""
-        return Sent.PART if self.unwritten else Sent.WHOLE
+        return SendProgress.PART if self.unwritten else SendProgress.WHOLE
 
     def send(self, attempt: Attempt) -> None:
         self.attempt = attempt
@@ -153,7 +153,7 @@
             self.reader.feed(data)
         except (ValueError, httptools.HttpParserError) as err:
             log.warning("server %s: %s", self.server, err.__context__ or err)
-            self.end(Cause.MALFORMED)
+            self.end(EndCause.MALFORMED)
             return
         if self.reader.dropped > dropped:
             log.warning("server %s: an answer that belongs to no request is dropped", self.server)
@@ -170,9 +170,9 @@
         told_s = keep_alive_s(answer)
         if told_s is not None:
             self.idle_s = told_s * TOLD_SHARE
-        self.end(Cause.ANSWERED, answer)
+        self.end(EndCause.ANSWERED, answer)
 
-    def end(self, cause: Cause, answer: Answer | None = None) -> None:
+    def end(self, cause: EndCause, answer: Answer | None = None) -> None:
         """Take the attempt off; only a whole answer to a whole request leaves the connection fit for more."""
         if self.doubt is not None:
             self.doubt.cancel()
@@ -182,23 +182,23 @@
             self.close()
             return
         reply = None if answer is None else self.judge(attempt, answer)
-        known = outcome(self.sent(), cause, reply)
+        known = result_of(self.sent(), cause, reply)
         if known.reusable and self.reader.keep_alive and not self.closed:
             self.upstream.keep(self)
         else:
             self.close()
-        self.upstream.end(attempt, known, None if reply is Reply.SPOILT else answer)
+        self.upstream.end(attempt, known, None if reply is ReplyKind.SPOILT else answer)
 
-    def judge(self, attempt: Attempt, answer: Answer) -> Reply:
+    def judge(self, attempt: Attempt, answer: Answer) -> ReplyKind:
         """What an answer says of its request. A success must prove that it is the server's own and whole."""
-        reply = self.upstream.dialect.judge(answer)
-        if reply is Reply.SUCCESS:
-            flaw = self.upstream.dialect.flaw(answer, attempt.asked, self.reader.behind)
+        reply = self.upstream.profile.judge(answer)
+        if reply is ReplyKind.SUCCESS:
+            flaw = self.upstream.profile.flaw(answer, attempt.asked, self.reader.behind)
             if flaw:
                 log.warning(
                     "server %s: its answer %d to %s is not taken: %s", self.server, answer.status, attempt.request, flaw
                 )
-                return Reply.SPOILT
+                return ReplyKind.SPOILT
         return reply
 
     def close(self) -> None:
@@ -210,7 +210,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         # A close in order ends an answer without a length; a reset does not, nor one before the whole request was read.
-        in_order = exc is None and not self.closed and self.sent() is Sent.WHOLE
+        in_order = exc is None and not self.closed and self.sent() is SendProgress.WHOLE
         whole = self.doubt is not None or (in_order and self.attempt is not None and self.reader.ends_with_close())
         self.closed = True
         self.reader.close()
@@ -220,7 +220,7 @@
         if whole:
             self.answered()
         else:
-            self.end(Cause.CLOSED)
+            self.end(EndCause.CLOSED)
 
 
 class Upstream:
@@ -232,31 +232,31 @@
         idle_us: int,
         most: int,
         now_us: Callable[[], int],
-        on_end: Callable[[Attempt, Ending, Answer | None, Report | None], None],
-        dialect: Dialect = NODE,
-        most_answer: int = MOST_ANSWER,
+        on_end: Callable[[Attempt, AttemptOutcome, Answer | None, Report | None], None],
+        dialect: ProtocolProfile = STANDALONE_PROFILE,
+        most_answer: int = MAX_ANSWER_BYTES,
     ) -> None:
-        self.dialect = dialect
+        self.profile = dialect
         self.most_answer = most_answer
         self.loop = asyncio.get_running_loop()
         self.connect_timeout_s = connect_timeout_us / 1e6
         self.idle_s = idle_us / 1e6 * IDLE_SHARE
-        self.most = most
+        self.max_connections = most
         self.now_us = now_us
         self.on_end = on_end
-        self.places: dict[str, Place] = {}
+        self.pools: dict[str, EndpointPool] = {}
         self.connections: set[ServerConnection] = set()
         self.stale: list[ServerConnection] = []
         self.connecting = 0
 
     # -- servers -----------------------------------------------------------------------------------------
 
-    def place(self, server: str, address: Address, started_us: int, open_to_new: bool) -> None:
+    def pool(self, server: str, address: Address, started_us: int, open_to_new: bool) -> None:
         """Take up what the list says of a server. Attempts with a process that is no more are left for
         `end_stale`, to be ended once the balancer knows of the change."""
-        place = self.places.get(server)
+        place = self.pools.get(server)
         if place is None:
-            self.places[server] = Place(address, started_us, open_to_new, deque())
+            self.pools[server] = EndpointPool(address, started_us, open_to_new, deque())
             return
         moved = place.address != address
         restarted = started_us > place.started_us
@@ -271,40 +271,40 @@
         any more. Connections opened since it started again belong to the new process."""
         stale, self.stale = self.stale, []
         for connection in stale:
-            connection.end(Cause.SERVER_GONE)
+            connection.end(EndCause.SERVER_GONE)
 
     def shut(self, server: str) -> None:
         """The server has left the list. What is out on its connections goes on; nothing else of it is kept,
         and one that comes to its address under a new id starts with nothing."""
-        place = self.places.pop(server, None)
+        place = self.pools.pop(server, None)
         if place is not None:
             self.drop_idle(place)
 
-    def drop_idle(self, place: Place) -> None:
+    def drop_idle(self, place: EndpointPool) -> None:
         while place.idle:
             place.idle.pop().close()
 
     # -- attempts ----------------------------------------------------------------------------------------
 
     def start(self, attempt: Attempt) -> None:
-        place = self.places.get(attempt.server)
+        place = self.pools.get(attempt.server)
         if place is None or not place.open_to_new:
-            self.end(attempt, outcome(Sent.NOTHING, Cause.NO_CONNECTION))
+            self.end(attempt, result_of(SendProgress.NOTHING, EndCause.NO_CONNECTION))
             return
         connection = None if attempt.again else self.idle(place, attempt.request)
         if connection is not None:
             connection.send(attempt)
             return
-        if not self.room():
-            log.warning("server %s: no connection, all %d are in use", attempt.server, self.most)
-            self.end(attempt, outcome(Sent.NOTHING, Cause.NO_CONNECTION))
+        if not self.has_capacity():
+            log.warning("server %s: no connection, all %d are in use", attempt.server, self.max_connections)
+            self.end(attempt, result_of(SendProgress.NOTHING, EndCause.NO_CONNECTION))
             return
         self.connecting += 1
         attempt.connecting = self.loop.create_task(self.connect(attempt, place.address))
         # Counted here and not in the task, for one that is cancelled early never runs.
         attempt.connecting.add_done_callback(self.connected)
 
-    def idle(self, place: Place, request: str) -> ServerConnection | None:
+    def idle(self, place: EndpointPool, request: str) -> ServerConnection | None:
         """The connection that was idle for the shortest time, of those fit for the request; unfit ones are closed."""
         now_s = self.loop.time()
         found, had_it = None, []
@@ -312,18 +312,18 @@
             connection = place.idle.pop()
             if now_s - connection.idle_since_s > connection.idle_s or not connection.quiet():
                 connection.close()
-            elif self.dialect.names_answers and request in connection.carried:
+            elif self.profile.names_answers and request in connection.carried:
                 had_it.append(connection)
             else:
                 found = connection
         place.idle.extend(reversed(had_it))
         return found
 
-    def room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Room for one more connection, by closing the one that has been idle longest if need be."""
-        if len(self.connections) + self.connecting < self.most:
+        if len(self.connections) + self.connecting < self.max_connections:
             return True
-        idle = [place.idle[0] for place in self.places.values() if place.idle]
+        idle = [place.idle[0] for place in self.pools.values() if place.idle]
         if not idle:
             return False
         min(idle, key=lambda connection: connection.idle_since_s).close()
@@ -337,12 +337,12 @@
                     lambda: ServerConnection(self, attempt.server, address, opened_us), *address
                 )
         except (OSError, TimeoutError):
-            self.end(attempt, outcome(Sent.NOTHING, Cause.NO_CONNECTION))
+            self.end(attempt, result_of(SendProgress.NOTHING, EndCause.NO_CONNECTION))
             return
         attempt.connecting = None
         # While it came up the request may have ended, the list told of a drain or of another address, or the server
         # have closed it again, as one does that has too many: nothing is written then.
-        place = self.places.get(attempt.server)
+        place = self.pools.get(attempt.server)
         if (
             attempt.ended
             or place is None
@@ -351,7 +351,7 @@
             or not connection.quiet()
         ):
             connection.close()
-            self.end(attempt, outcome(Sent.NOTHING, Cause.NO_CONNECTION))
+            self.end(attempt, result_of(SendProgress.NOTHING, EndCause.NO_CONNECTION))
         else:
             connection.send(attempt)
 
@@ -360,7 +360,7 @@
         if not task.cancelled() and task.exception() is not None:
             log.error("connecting failed unexpectedly", exc_info=task.exception())
 
-    def stop(self, attempt: Attempt, cause: Cause) -> None:
+    def stop(self, attempt: Attempt, cause: EndCause) -> None:
         """End an attempt from this side: its connection closes and nothing of it is written any more."""
         if attempt.ended:
             return
@@ -369,9 +369,9 @@
             return
         if attempt.connecting is not None:
             attempt.connecting.cancel()
-        self.end(attempt, outcome(Sent.NOTHING, cause))
+        self.end(attempt, result_of(SendProgress.NOTHING, cause))
 
-    def end(self, attempt: Attempt, known: Outcome, answer: Answer | None = None) -> None:
+    def end(self, attempt: Attempt, known: AttemptResult, answer: Answer | None = None) -> None:
         if attempt.ended:
             return
         attempt.ended = True
@@ -379,13 +379,13 @@
         attempt.connection = None
         if attempt.timer is not None:
             attempt.timer.cancel()
-        report = None if answer is None else self.dialect.read_load(answer.header(self.dialect.load))
+        report = None if answer is None else self.profile.read_load(answer.header(self.profile.load))
         self.on_end(attempt, known.ending, answer, report)
 
     # -- pool --------------------------------------------------------------------------------------------
 
     def keep(self, connection: ServerConnection) -> None:
-        place = self.places.get(connection.server)
+        place = self.pools.get(connection.server)
         if place is None or not place.open_to_new or connection.address != place.address:
             connection.close()
             return
@@ -395,14 +395,14 @@
     def drop(self, connection: ServerConnection) -> None:
         # At once, not when its loss is told: until then it would take the room of another.
         self.connections.discard(connection)
-        place = self.places.get(connection.server)
+        place = self.pools.get(connection.server)
         if place is not None and connection in place.idle:
             place.idle.remove(connection)
 
     def sweep(self) -> None:
         """Retire connections that have been idle for long."""
         now_s = self.loop.time()
-        for place in self.places.values():
+        for place in self.pools.values():
             while place.idle and now_s - place.idle[0].idle_since_s > place.idle[0].idle_s:
                 place.idle[0].close()
 
--- a/cypressbeam/standalone/__main__.py
+++ b/cypressbeam/standalone/__main__.py
@@ -13,7 +13,7 @@
 
 from cypressbeam.proxy.frontend import Frontend
 from cypressbeam.standalone.config import OVERFLOW, Config, ConfigError, load, reload
-from cypressbeam.standalone.node import Node
+from cypressbeam.standalone.node import StandaloneNode
 
 log = logging.getLogger(__name__)
 
@@ -28,23 +28,23 @@
 LINES_WITHIN_S = 10.0
 
 
-class Sparing(logging.Filter):
+class LogRateLimiter(logging.Filter):
     """Lets only so many lines from one place in the code through at once; the next one tells how many it left
     out. A peer that fails hundreds of times a second must not cost the node its time."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.places: dict[tuple[str, int], list[float]] = {}  # since when, lines in that time
+        self.counts: dict[tuple[str, int], list[float]] = {}  # since when, lines in that time
 
     def filter(self, record: logging.LogRecord) -> bool:
         place = (record.pathname, record.lineno)
-        since_s, lines = self.places.get(place, (0.0, 0.0))
+        since_s, lines = self.counts.get(place, (0.0, 0.0))
         if record.created - since_s >= LINES_WITHIN_S:
             if lines > LINES_AT_ONCE:
                 record.msg = f"{record.getMessage()} ({lines - LINES_AT_ONCE:.0f} lines like it left out)"
                 record.args = None
             since_s, lines = record.created, 0.0
-        self.places[place] = [since_s, lines + 1]
+        self.counts[place] = [since_s, lines + 1]
         return lines < LINES_AT_ONCE
 
 
@@ -53,7 +53,7 @@
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    node = Node(config)
+    node = StandaloneNode(config)
     loop.add_signal_handler(signal.SIGHUP, take_up, node)
     frontend = Frontend(node, config.client_connections, OVERFLOW)
     await frontend.listen(*config.listen)
@@ -76,7 +76,7 @@
     log.info("stopped: %d requests in hand", len(node.requests))
 
 
-def take_up(node: Node) -> None:
+def take_up(node: StandaloneNode) -> None:
     """Read the configuration again on SIGHUP. A bad one changes nothing: the node serves on as it was."""
     try:
         node.config = reload(node.config, os.environ)
@@ -92,7 +92,7 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     logging.basicConfig(level=logging.INFO, format="%(levelname)s %(name)s: %(message)s", stream=sys.stderr)
     for handler in logging.getLogger().handlers:
-        handler.addFilter(Sparing())
+        handler.addFilter(LogRateLimiter())
     try:
         config = load(os.environ)
         uvloop.run(serve(config))
--- a/cypressbeam/standalone/discovery.py
+++ b/cypressbeam/standalone/discovery.py
@@ -153,7 +153,7 @@
         this = asyncio.current_task()
         while True:
             await self.wanted.wait()
-            connection = ListConnection(address)
+            connection = HttpClient(address)
             try:
                 await connection.open()
                 while self.wanted.is_set():
@@ -173,7 +173,7 @@
             if self.pushed:
                 await asyncio.sleep(random.uniform(RETRY_LEAST_S, RETRY_MOST_S))
 
-    async def call(self, connection: ListConnection) -> None:
+    async def call(self, connection: HttpClient) -> None:
         wait_ms = FIRST_WAIT_MS if self.old is not None else PUSHED_WAIT_MS if self.pushed else ASKED_WAIT_MS
         whole = self.whole_wanted
         path = LIST_PATH if whole else f"{LIST_PATH}?after={self.version}&wait_ms={wait_ms}"
@@ -191,7 +191,7 @@
         self.on_list(news)
 
 
-class ListConnection:
+class HttpClient:
     """A kept connection to discovery, one call at a time."""
 
     def __init__(self, address: Address) -> None:
--- a/cypressbeam/standalone/node.py
+++ b/cypressbeam/standalone/node.py
@@ -6,26 +6,26 @@
 
 from cypressbeam.balancing import interface as it
 from cypressbeam.balancing.balancer import Balancer
-from cypressbeam.proxy.attempts import repeatable
+from cypressbeam.proxy.attempts import is_idempotent
 from cypressbeam.proxy.frontend import ClientConnection, readiness
-from cypressbeam.proxy.http_requests import BadRequest, Message, read_request
+from cypressbeam.proxy.http_requests import BadRequestError, RequestMessage, read_request
 from cypressbeam.proxy.http_responses import Answer
-from cypressbeam.proxy.protocol_profile import NODE
-from cypressbeam.proxy.proxy_core import ANSWER_MARGIN_US, Carrier, Desk, Request
+from cypressbeam.proxy.protocol_profile import STANDALONE_PROFILE
+from cypressbeam.proxy.proxy_core import ANSWER_MARGIN_US, BalancerHost, ProxiedRequest, ProxyCore
 from cypressbeam.standalone.config import Config
 from cypressbeam.standalone.discovery import Discovery, ServerList
 
 log = logging.getLogger(__name__)
 
 
-class Node(Carrier):
+class StandaloneNode(ProxyCore):
     def __init__(self, config: Config) -> None:
-        super().__init__(NODE, config.connect_timeout_us, config.idle_us, config.server_connections)
+        super().__init__(STANDALONE_PROFILE, config.connect_timeout_us, config.idle_us, config.server_connections)
         self.config = config
         self.settings = config.settings
         self.kinds = {kind.name: kind for kind in config.settings.classes}
         self.balancer = Balancer(config.settings, config.seed)
-        self.desk = Desk(self, self.balancer)
+        self.host = BalancerHost(self, self.balancer)
         self.live: set[str] = set()
         self.discovery = Discovery(
             config.discovery, config.known.version, config.pushed, self.take_list, self.list_failed
@@ -36,7 +36,7 @@
     def can_serve(self) -> bool:
         return bool(self.live)
 
-    def serve(self, message: Message, connection: ClientConnection) -> Answer | None:
+    def serve(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
         if message.target.partition(b"?")[0] == b"/ready":
             return readiness(connection, message.method)
         if not connection.admitted:
@@ -44,11 +44,16 @@
             return Answer(503)
         arrived, head = read_request(message, self.kinds, ANSWER_MARGIN_US)
         if self.knows(arrived.request):
-            raise BadRequest(400, f"Request-Id: {arrived.request} is still in hand")
+            raise BadRequestError(400, f"Request-Id: {arrived.request} is still in hand")
         connection.request = arrived.request
         self.take(
-            Request(
-                self.desk, arrived, head, message.body, connection.respond, repeatable(self.kinds[arrived.class_name])
+            ProxiedRequest(
+                self.host,
+                arrived,
+                head,
+                message.body,
+                connection.respond,
+                is_idempotent(self.kinds[arrived.class_name]),
             )
         )
         return None
@@ -56,7 +61,7 @@
     def take_list(self, news: ServerList, saved: bool = False) -> None:
         if news.whole:
             named = {listed.entry.server for listed in news.servers}
-            for server in self.upstream.places.keys() - named:
+            for server in self.upstream.pools.keys() - named:
                 self.upstream.shut(server)
             self.live &= named
         for listed in news.servers:
@@ -65,15 +70,15 @@
             if listed.address is None or entry.state is it.ServerState.GONE:
                 self.upstream.shut(entry.server)
             else:
-                self.upstream.place(entry.server, listed.address, entry.started_us, active)
+                self.upstream.pool(entry.server, listed.address, entry.started_us, active)
             (self.live.add if active else self.live.discard)(entry.server)
         scope = it.ListScope.SAVED if saved else it.ListScope.WHOLE if news.whole else it.ListScope.CHANGES
-        self.desk.feed(it.ListChanged(news.version, scope, tuple(listed.entry for listed in news.servers)))
+        self.host.handle(it.ListChanged(news.version, scope, tuple(listed.entry for listed in news.servers)))
         self.upstream.end_stale()
 
     def list_failed(self) -> None:
         if self.settings.must_subscribe:  # elsewhere the balancer has asked for nothing that could fail
-            self.desk.feed(it.ListChanged(self.discovery.version, it.ListScope.FAILED))
+            self.host.handle(it.ListChanged(self.discovery.version, it.ListScope.FAILED))
 
     def list_wanted(self, whole: bool) -> None:
         if whole:
--- a/cypressbeam/standalone/profile.py
+++ b/cypressbeam/standalone/profile.py
@@ -93,14 +93,14 @@
                 it.RequestClass(
                     name=self.text(at + "name", str(i)),
                     repeat=self.choice(at + "semantics", REPEATS, it.Repeat.UNSAFE),
-                    aim_us=self.integer(at + "objectiveUs", 0),
+                    latency_target_us=self.integer(at + "objectiveUs", 0),
                     deadline_us=self.integer(at + "deadlineUs", 0),
                     group=self.choice(at + "group", GROUPS, it.Group.ALL),
                     window_us=self.integer(at + "dedupWindowUs", 0),
-                    worth=self.number(at + "value", 1.0),
-                    late_worth=self.number(at + "lateWorth", 0.0),
+                    value=self.number(at + "value", 1.0),
+                    late_value=self.number(at + "lateWorth", 0.0),
                     streamed=self.choice(at + "streamed", BOOLS, False),
-                    aim_stretch=self.number(at + "aimStretch", 0.0),
+                    latency_target_stretch=self.number(at + "aimStretch", 0.0),
                 )
             )
         tenants = {}
@@ -119,7 +119,7 @@
         return it.Settings(
             classes=tuple(classes),
             proxies=self.integer("siblings", 1),
-            me=self.integer("me", 0),
+            own_name=self.integer("me", 0),
             zone=self.text("myZone", ""),
             must_subscribe=self.choice("membershipMode", MODES, False),
             may_cancel=self.choice("bounds.cancelling", BOOLS, False),
--- a/cypressbeam/standalone/simulator.py
+++ b/cypressbeam/standalone/simulator.py
@@ -16,14 +16,14 @@
 T = TypeVar("T")
 
 ENDINGS = {
-    "100": it.Ending.OK,
-    "301": it.Ending.ERROR,
-    "302": it.Ending.FULL,
-    "303": it.Ending.TIMEOUT,
-    "304": it.Ending.CONNECT_FAILED,
-    "305": it.Ending.RESET,
-    "306": it.Ending.CANCELLED,
-    "307": it.Ending.MOOT,
+    "100": it.AttemptOutcome.OK,
+    "301": it.AttemptOutcome.ERROR,
+    "302": it.AttemptOutcome.FULL,
+    "303": it.AttemptOutcome.TIMEOUT,
+    "304": it.AttemptOutcome.CONNECT_FAILED,
+    "305": it.AttemptOutcome.RESET,
+    "306": it.AttemptOutcome.CANCELLED,
+    "307": it.AttemptOutcome.MOOT,
 }
 STATES = {"active": it.ServerState.ACTIVE, "leaving": it.ServerState.DRAINING, "left": it.ServerState.GONE}
 SCOPES = {
--- a/cypressbeam/storage/files.py
+++ b/cypressbeam/storage/files.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 
-def rename(old: Path, new: Path) -> None:
+def replace_file(old: Path, new: Path) -> None:
     """In place of what has the new name; for good once the folder is synced."""
     old.replace(new)
 
@@ -21,7 +21,7 @@
         os.close(handle)
 
 
-def write_whole(file: Path, data: bytes) -> None:
+def write_atomically(file: Path, data: bytes) -> None:
     """The file holds all of it, or what it held before, whatever happens in between; all of it once this returns."""
     fresh = file.with_name(f"{file.name}.part")
     try:
@@ -29,7 +29,7 @@
             out.write(data)
             out.flush()
             os.fsync(out.fileno())
-        rename(fresh, file)
+        replace_file(fresh, file)
     except OSError:
         fresh.unlink(missing_ok=True)
         raise
--- a/cypressbeam/storage/store.py
+++ b/cypressbeam/storage/store.py
@@ -25,19 +25,19 @@
 
 log = logging.getLogger(__name__)
 
-FORMAT = 2
+FORMAT_VERSION = 2
 #: Entries whose bodies are kept; of older ones the newest digests stay, by which a repeated order is known.
 BODIES_KEPT = 3
-FILE = "state.db"
+FILE_NAME = "state.db"
 #: What belongs to the database file: its log, and the journal that there is while it is made.
-BESIDE = ("-wal", "-journal")
+COMPANION_SUFFIXES = ("-wal", "-journal")
 #: Files that can't be read are kept under a name of their own, so many at most: the last one is the newest then.
-MOST_ASIDE = 8
+MAX_SET_ASIDE = 8
 #: Codes of sqlite for a database whose bytes are wrong, as against a disk that refuses.
-TORN = (sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB)
-DRAW_BITS = 62
+CORRUPTION_CODES = (sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB)
+INCARNATION_ID_BITS = 62
 #: Bytes that the log is cut back to once all of it is in the database.
-LOG_LIMIT = 4 * 1024 * 1024
+WAL_LIMIT_BYTES = 4 * 1024 * 1024
 CLOSE_TICK_S = 0.002
 T = TypeVar("T")
 
@@ -46,35 +46,35 @@
     """The state can't be read or written: one line on why."""
 
 
-class TornError(StoreError):
+class CorruptStateError(StoreError):
     """The disk gives bytes, and they are no state: the disk has lost what it held."""
 
 
-class FormatError(StoreError):
+class UnsupportedFormatError(StoreError):
     """The state of a later program: it is left alone."""
 
 
 @dataclass(frozen=True, slots=True)
-class Loaded:
+class LoadedState:
     """What was on disk. The identity is drawn when the disk is first used: one that was lost had another."""
 
     identity: str
     promised: int
     view: View | None
-    last: Entry | None
-    taken: dict[int, bytes]
-    own: HighWaterMarks = NO_MARKS
+    entry: Entry | None
+    applied_digests: dict[int, bytes]
+    durable_marks: HighWaterMarks = NO_MARKS
     """The incarnation that is on disk, and nothing else."""
-    raised: HighWaterMarks = NO_MARKS
+    pending_marks: HighWaterMarks = NO_MARKS
     """That of this start, which the first write puts on disk."""
-    marks: dict[str, HighWaterMarks] = field(default_factory=dict)
+    reported_marks: dict[str, HighWaterMarks] = field(default_factory=dict)
     """The most that other members have told."""
 
 
 class Storage(Protocol):
     """Durable state of a machine: what a call has returned for outlives a loss of power. Each raises StoreError."""
 
-    async def load(self, anew: bool = False) -> Loaded:
+    async def load(self, anew: bool = False) -> LoadedState:
         """Anew: as from an empty disk; what was there is kept under another name."""
 
     async def save_promise(self, epoch: int) -> None: ...
@@ -83,9 +83,9 @@
 
     async def save_entry(self, entry: Entry) -> None: ...
 
-    async def try_disk(self) -> None: ...
+    async def probe(self) -> None: ...
 
-    def note(self, marks: dict[str, HighWaterMarks]) -> bool:
+    def stage_marks(self, marks: dict[str, HighWaterMarks]) -> bool:
         """What others have told goes to disk with the next write, as does the incarnation of this start. Whether one
         should be made for that: not for numbers of entries, which each member's own entry tells near enough."""
 
@@ -99,22 +99,22 @@
     return sqlite3.connect(path, check_same_thread=False)
 
 
-class Store:
+class SqliteStore:
     """The database file in a folder. Calls wait on the disk, so they run on the store's own thread. The thread is a
     daemon: a process that ends doesn't wait for a disk that hangs."""
 
     def __init__(self, folder: Path, opened: Callable[[Path], Any] = connect) -> None:
         """`opened` gives the connection; another one may note what is done to the files."""
-        self.path = folder / FILE
+        self.path = folder / FILE_NAME
         self.opened = opened
         self.work: queue.SimpleQueue[Callable[[], None] | None] = queue.SimpleQueue()
         self.thread = threading.Thread(target=self._work, name="store", daemon=True)
         self.thread.start()
         self.database: Any = None
-        self.raised: HighWaterMarks | None = None
+        self.pending_marks: HighWaterMarks | None = None
         """The incarnation that the next write puts on disk."""
-        self.noted: dict[str, HighWaterMarks] = {}
-        self.stored: dict[str, HighWaterMarks] = {}
+        self.staged_marks: dict[str, HighWaterMarks] = {}
+        self.stored_marks: dict[str, HighWaterMarks] = {}
         """The marks that were on disk when the loop last heard of it: the thread may be further on."""
 
     def _work(self) -> None:
@@ -154,11 +154,11 @@
                 self.database = self._open()
             with self.database:
                 return what(self.database)
-        except (sqlite3.Error, OSError, TornError) as err:
+        except (sqlite3.Error, OSError, CorruptStateError) as err:
             # Opened anew the next time: after a refused write nothing that is in memory of it can be trusted.
             self._shut()
-            if isinstance(err, TornError) or getattr(err, "sqlite_errorcode", 0) & 0xFF in TORN:
-                raise TornError(f"{self.path.name}: {err}") from None
+            if isinstance(err, CorruptStateError) or getattr(err, "sqlite_errorcode", 0) & 0xFF in CORRUPTION_CODES:
+                raise CorruptStateError(f"{self.path.name}: {err}") from None
             raise StoreError(f"{self.path.name}: {err}") from None
 
     def _shut(self) -> None:
@@ -184,12 +184,12 @@
             "locking_mode=exclusive",
             "journal_mode=wal",
             "synchronous=full",
-            f"journal_size_limit={LOG_LIMIT}",
+            f"journal_size_limit={WAL_LIMIT_BYTES}",
         ):
             database.execute(f"pragma {line}")
         (version,) = database.execute("pragma user_version").fetchone()
-        if version not in (0, FORMAT):
-            raise FormatError(f"{self.path.name} has format {version}; this program reads {FORMAT}")
+        if version not in (0, FORMAT_VERSION):
+            raise UnsupportedFormatError(f"{self.path.name} has format {version}; this program reads {FORMAT_VERSION}")
         if version == 0:
             database.executescript(
                 "begin; create table meta (key text primary key, value) without rowid;"
@@ -199,21 +199,21 @@
                 " base integer not null, digest blob not null, body blob not null);"
                 "create table taken (revision integer primary key, digest blob not null);"
                 f"insert into meta values ('identity', '{secrets.token_hex(6)}'), ('promised', 0),"
-                f" ('incarnation', 1), ('draw', {secrets.randbits(DRAW_BITS)});"
-                f"pragma user_version={FORMAT}; commit;"
+                f" ('incarnation', 1), ('draw', {secrets.randbits(INCARNATION_ID_BITS)});"
+                f"pragma user_version={FORMAT_VERSION}; commit;"
             )
 
     # -- files that can't be read ---------------------------------------------------------------------------
 
     def _asides(self) -> list[Path]:
-        return [self.path.with_name(f"{FILE}.aside-{number}") for number in range(1, MOST_ASIDE + 1)]
+        return [self.path.with_name(f"{FILE_NAME}.aside-{number}") for number in range(1, MAX_SET_ASIDE + 1)]
 
     def _move_beside(self, aside: Path) -> None:
         """The log of a database that was set aside follows it."""
-        for suffix in BESIDE:
-            beside = self.path.with_name(FILE + suffix)
+        for suffix in COMPANION_SUFFIXES:
+            beside = self.path.with_name(FILE_NAME + suffix)
             if beside.exists():
-                files.rename(beside, aside.with_name(aside.name + suffix))
+                files.replace_file(beside, aside.with_name(aside.name + suffix))
                 files.sync_folder(self.path.parent)
 
     def _set_aside(self) -> None:
@@ -223,29 +223,31 @@
         if self.path.exists():
             names = self._asides()
             aside = next((name for name in names if not name.exists()), names[-1])
-            files.rename(self.path, aside)
+            files.replace_file(self.path, aside)
             files.sync_folder(self.path.parent)
             self._move_beside(aside)
             log.error("%s is kept as %s; this machine goes on as a new one", self.path.name, aside.name)
 
-    async def load(self, anew: bool = False) -> Loaded:
+    async def load(self, anew: bool = False) -> LoadedState:
         """Files that are torn are set aside too."""
         try:
             found = await self.run(read_all, anew)
-        except TornError as err:
+        except CorruptStateError as err:
             log.error("the state is torn: %s", err)
             found = await self.run(read_all, anew=True)
-        self.stored, self.noted = dict(found.marks), dict(found.marks)
-        self.raised = found.raised if found.raised != found.own else None
+        self.stored_marks, self.staged_marks = dict(found.reported_marks), dict(found.reported_marks)
+        self.pending_marks = found.pending_marks if found.pending_marks != found.durable_marks else None
         return found
 
-    def note(self, marks: dict[str, HighWaterMarks]) -> bool:
-        self.noted = dict(marks)
-        return self.raised is not None or rises(self.noted) != rises(self.stored)
+    def stage_marks(self, marks: dict[str, HighWaterMarks]) -> bool:
+        self.staged_marks = dict(marks)
+        return self.pending_marks is not None or without_numbers(self.staged_marks) != without_numbers(
+            self.stored_marks
+        )
 
     async def write(self, what: Callable[[Any], None]) -> None:
         """Do it, with the incarnation of this start and what others have told in the same transaction."""
-        marks, raised = self.noted, self.raised
+        marks, raised = self.staged_marks, self.pending_marks
 
         def save(database: Any) -> None:
             what(database)
@@ -257,9 +259,9 @@
             write_marks(database, marks)
 
         await self.run(save)
-        self.stored = marks
+        self.stored_marks = marks
         if raised is not None:
-            self.raised = None
+            self.pending_marks = None
 
     async def save_promise(self, epoch: int) -> None:
         await self.write(lambda database: write_promise(database, epoch))
@@ -276,7 +278,7 @@
                 (view.epoch, ",".join(view.chain), ",".join(view.group), view.initial_number),
             )
             database.execute("delete from entry")
-            write_taken(database, taken)
+            write_digests(database, taken)
             if entry is not None:
                 write_entry(database, entry)
 
@@ -291,7 +293,7 @@
 
         await self.write(save)
 
-    async def try_disk(self) -> None:
+    async def probe(self) -> None:
         """Write and sync something that says nothing."""
 
         def save(database: Any) -> None:
@@ -310,7 +312,7 @@
         return not self.thread.is_alive()
 
 
-def rises(marks: dict[str, HighWaterMarks]) -> dict[str, HighWaterMarks]:
+def without_numbers(marks: dict[str, HighWaterMarks]) -> dict[str, HighWaterMarks]:
     """Without the numbers of entries."""
     return {name: replace(mark, number=0) for name, mark in marks.items()}
 
@@ -327,7 +329,7 @@
         database.execute("insert or replace into meta values ('marks', ?)", (packed,))
 
 
-def write_taken(database: Any, taken: dict[int, bytes]) -> None:
+def write_digests(database: Any, taken: dict[int, bytes]) -> None:
     """These and no others; as a rule nearly all stand there already."""
     known = dict(database.execute("select revision, digest from taken"))
     database.executemany(
@@ -355,18 +357,18 @@
     )
 
 
-def read_all(database: Any) -> Loaded:
+def read_all(database: Any) -> LoadedState:
     """Raises TornError if a body is not what its digest says, or something is missing."""
     (told,) = database.execute("pragma quick_check(1)").fetchone()
     if told != "ok":
-        raise TornError(told.splitlines()[0])
+        raise CorruptStateError(told.splitlines()[0])
     try:
         return read_rows(database)
     except (KeyError, TypeError, ValueError) as err:
-        raise TornError(f"{type(err).__name__}: {err}") from None
+        raise CorruptStateError(f"{type(err).__name__}: {err}") from None
 
 
-def read_rows(database: Any) -> Loaded:
+def read_rows(database: Any) -> LoadedState:
     meta = dict(database.execute("select key, value from meta where key != 'tried'"))
     row = database.execute("select epoch, chain, members, began from view").fetchone()
     view = View(row[0], tuple(row[1].split(",")), tuple(row[2].split(",")), row[3]) if row else None
@@ -378,17 +380,17 @@
     ):
         last = Entry(number, epoch, revision, base, body)
         if digest(body) != mark:
-            raise TornError(f"entry {last.number} does not match its digest")
+            raise CorruptStateError(f"entry {last.number} does not match its digest")
     if last is not None and taken[last.revision] != mark:
-        raise TornError(f"entry {last.number} does not match the digest that was taken")
+        raise CorruptStateError(f"entry {last.number} does not match the digest that was taken")
     own = HighWaterMarks(meta.get("incarnation", 0), meta.get("draw", 0))
     # The first start of a disk has its incarnation on it already.
     raised = (
         own
         if view is None and last is None and own.incarnation == 1
-        else HighWaterMarks(own.incarnation + 1, secrets.randbits(DRAW_BITS))
+        else HighWaterMarks(own.incarnation + 1, secrets.randbits(INCARNATION_ID_BITS))
     )
-    return Loaded(
+    return LoadedState(
         str(meta["identity"]),
         int(meta["promised"]),
         view,
--- a/cypressbeam/transport/blobs/fetcher.py
+++ b/cypressbeam/transport/blobs/fetcher.py
@@ -86,10 +86,10 @@
         self.fetched_bytes = 0
         self.on_progress: Callable[[str], None] = lambda ip: None
         """Gets the address of a node that has just sent a part of a body."""
-        self.others: Callable[[], list[str]] = list
+        self.other_sources: Callable[[], list[str]] = list
         """Whom to turn to for what nobody sends who has named it, the best first."""
 
-    def need(self, mark: bytes, source: str, then: Callable[[bytes], None], key: object = None) -> None:
+    def fetch(self, mark: bytes, source: str, then: Callable[[bytes], None], key: object = None) -> None:
         """Get a body: `then` is called with it, at once if it is here; of several with one key the last counts. A body
         that can't be got is given up without a word, for whoever has named it names it again."""
         body = self.store.get(mark)
@@ -100,12 +100,12 @@
         if fetch is None:
             now_s = self.loop.time()
             fetch = self.fetches[mark] = Fetch([source], now_s, now_s, now_s, self.window)
-            self.ask(mark, fetch)
+            self.request(mark, fetch)
         elif source not in fetch.sources:
             fetch.spent.discard(source)
             fetch.sources.insert(0, source)
             if self.loop.time() - max(fetch.moved_s, fetch.asked_s) > QUIET_S:
-                self.ask(mark, fetch)
+                self.request(mark, fetch)
             else:
                 fetch.sources.append(fetch.sources.pop(0))
         fetch.then[key if key is not None else then] = then
@@ -113,23 +113,23 @@
             self.ticking = True
             self.loop.call_later(TICK_S, self.tick)
 
-    def comes(self, mark: bytes) -> bool:
+    def is_arriving(self, mark: bytes) -> bool:
         """Whether a body is on its way here, and has moved lately; that it was asked for again says nothing."""
         fetch = self.fetches.get(mark)
         return fetch is not None and self.loop.time() - fetch.moved_s <= QUIET_S
 
-    def sought(self, mark: bytes) -> bool:
+    def is_pending(self, mark: bytes) -> bool:
         """Whether a body is asked for, though nothing may come."""
         return mark in self.fetches
 
-    def drop(self, mark: bytes, key: object) -> None:
+    def cancel(self, mark: bytes, key: object) -> None:
         """Whoever has waited for a body under this key does not any more."""
         fetch = self.fetches.get(mark)
         if fetch is not None and fetch.then.pop(key, None) is not None and not fetch.then:
             del self.fetches[mark]
             self.on_moved()
 
-    def how(self, mark: bytes) -> str:
+    def describe(self, mark: bytes) -> str:
         """How a fetch stands, for the log."""
         fetch = self.fetches.get(mark)
         if fetch is None:
@@ -141,29 +141,29 @@
             f" {' '.join(fetch.sources)}"
         )
 
-    def ask(self, mark: bytes, fetch: Fetch) -> None:
+    def request(self, mark: bytes, fetch: Fetch) -> None:
         """Ask the first source for the next window."""
         now_s = fetch.asked_s = self.loop.time()
         waits_s = STALL_S if fetch.asked_again < 2 else STALL_S * PATIENCE
         fetch.due_s = now_s + waits_s * self.chance.uniform(1.0, 1.0 + JITTER)
-        link = self.connections.bulk(fetch.sources[0])
+        link = self.connections.bulk_link_to(fetch.sources[0])
         at = len(fetch.got)
         if link is fetch.link and link.transport is None and fetch.wanted == at + fetch.window:
             return  # what is asked of it already waits for its connection
         fetch.link, fetch.wanted = link, at + fetch.window
         bases = fetch.base
         if fetch.total < 0 and not fetch.whole:
-            bases = b"".join(self.store.held)
+            bases = b"".join(self.store.blobs)
         link.send(frames.ChunkRequest(mark, bases, at, fetch.window))
 
-    def ask_elsewhere(self, mark: bytes, fetch: Fetch) -> None:
+    def request_elsewhere(self, mark: bytes, fetch: Fetch) -> None:
         """Ask the next source, and for more: each window takes long now. What the one before still sends is taken as
         well."""
         fetch.asked_again += 1
         fetch.window = min(2 * fetch.window, MOST_WINDOWS * self.window)
-        fetch.sources += [ip for ip in self.others() if ip not in fetch.sources and ip not in fetch.spent]
+        fetch.sources += [ip for ip in self.other_sources() if ip not in fetch.sources and ip not in fetch.spent]
         fetch.sources.append(fetch.sources.pop(0))
-        self.ask(mark, fetch)
+        self.request(mark, fetch)
 
     def tick(self) -> None:
         """Look after all fetches, every `TICK_S` while there are any."""
@@ -177,22 +177,22 @@
                 log.warning("body %s: nobody sends it", mark.hex()[:8])
                 del self.fetches[mark]
             elif now_s >= fetch.due_s:
-                self.ask_elsewhere(mark, fetch)
+                self.request_elsewhere(mark, fetch)
 
-    def on_slice(self, link: Connection, frame: frames.Chunk) -> None:
+    def on_chunk(self, link: Connection, frame: frames.Chunk) -> None:
         """A chunk has come."""
         fetch = self.fetches.get(frame.digest)
         if fetch is None:
             return
         if (frame.base_digest, frame.total) != (fetch.base, fetch.total):
-            if frame.offset or (fetch.got and self.comes(frame.digest)):
+            if frame.offset or (fetch.got and self.is_arriving(frame.digest)):
                 return  # of another packed form: not its beginning, or not needed while the first one moves
-            if frame.base_digest and frame.base_digest not in self.store.held:
+            if frame.base_digest and frame.base_digest not in self.store.blobs:
                 return  # it has gone from here since it was named
             fetch.base, fetch.total, fetch.base_body = (
                 frame.base_digest,
                 frame.total,
-                self.store.held.get(frame.base_digest, b""),
+                self.store.blobs.get(frame.base_digest, b""),
             )
             fetch.got.clear()
         if frame.offset != len(fetch.got):
@@ -208,10 +208,10 @@
             self.finish(frame.digest, fetch)
             return
         if len(fetch.got) >= fetch.wanted - fetch.window // 2:
-            self.ask_on(link, frame.digest, fetch)
+            self.request_more(link, frame.digest, fetch)
         self.on_moved()
 
-    def ask_on(self, link: Connection, mark: bytes, fetch: Fetch) -> None:
+    def request_more(self, link: Connection, mark: bytes, fetch: Fetch) -> None:
         """Half of what was asked for has come. At a full link, where a window takes long, there may be more of it on
         the way."""
         if fetch.way_s > MOST_WAYS * WINDOW_S:
@@ -223,9 +223,9 @@
         elif link.ip in fetch.sources:  # it was slow, another was asked, and it is before that one: it goes on
             fetch.sources.remove(link.ip)
             fetch.sources.insert(0, link.ip)
-            self.ask(mark, fetch)
+            self.request(mark, fetch)
 
-    def on_lacking(self, link: Connection, frame: frames.BlobNotFound) -> None:
+    def on_not_found(self, link: Connection, frame: frames.BlobNotFound) -> None:
         """A source does not have it; the next one may. Where there is none the fetch is over: a version that was
         followed by others has gone from those who had it, and must not hold up the newest."""
         fetch = self.fetches.get(frame.digest)
@@ -235,24 +235,24 @@
         fetch.sources.remove(link.ip)
         fetch.spent.add(link.ip)
         if not fetch.sources:
-            fetch.sources += [ip for ip in self.others() if ip not in fetch.spent]
+            fetch.sources += [ip for ip in self.other_sources() if ip not in fetch.spent]
         if not fetch.sources:
             del self.fetches[frame.digest]
         elif first:
             fetch.begin_anew()
-            self.ask(frame.digest, fetch)
+            self.request(frame.digest, fetch)
 
     def finish(self, mark: bytes, fetch: Fetch) -> None:
         """All bytes have come: unpack them, and compare the digest."""
         try:
             body = delta.unpack(bytes(fetch.got), fetch.base_body)
             if digest(body) != mark:
-                raise delta.Broken("it is not what its digest says")
-        except delta.Broken as err:
+                raise delta.DeltaError("it is not what its digest says")
+        except delta.DeltaError as err:
             log.error("body %s from %s: %s", mark.hex()[:8], fetch.sources[0], err)
             fetch.begin_anew()
             fetch.whole = True
-            self.ask_elsewhere(mark, fetch)
+            self.request_elsewhere(mark, fetch)
             return
         self.store.keep_packed((mark, fetch.base), bytes(fetch.got))
         self.arrived(mark, body)
@@ -268,13 +268,13 @@
     def open_brief(self, mark: bytes, base: bytes, data: bytes) -> bytes | None:
         """The body that a frame brought packed; None where its base is not here, or where it is not what its digest
         says: it is to be fetched then."""
-        if base not in self.store.held:
+        if base not in self.store.blobs:
             return None
         try:
-            body = delta.unpack(data, self.store.held[base])
+            body = delta.unpack(data, self.store.blobs[base])
             if digest(body) != mark:
-                raise delta.Broken("it is not what its digest says")
-        except delta.Broken as err:
+                raise delta.DeltaError("it is not what its digest says")
+        except delta.DeltaError as err:
             log.error("body %s, brief: %s", mark.hex()[:8], err)
             return None
         self.store.keep_packed((mark, base), data)
--- a/cypressbeam/transport/blobs/link.py
+++ b/cypressbeam/transport/blobs/link.py
@@ -9,8 +9,8 @@
 
 #: Slices and windows are what the node's own link carries in so long, within bounds: a frame waits behind one slice of
 #: each transfer, and a window covers the way there and back.
-SLICE_S, WINDOW_S = 0.01, 0.06
-SLICE_BYTES = (2 * 1024, 32 * 1024)
+CHUNK_S, WINDOW_S = 0.01, 0.06
+CHUNK_BYTES = (2 * 1024, 32 * 1024)
 WINDOW_BYTES = (8 * 1024, 256 * 1024)
 #: Slices take at most this share of the link; requests have the rest, where a node carries any.
 LINK_SHARE, FREE_SHARE = 0.5, 0.9
@@ -20,7 +20,7 @@
 class LinkRate:
     """How the transfer uses a link."""
 
-    slice_bytes: int
+    chunk_bytes: int
     """Bytes of a chunk that is sent at once."""
     window_bytes: int
     """Bytes that a fetch asks for at once."""
@@ -32,7 +32,7 @@
         """Of a link that carries so many Mbit/s; `shared`: also clients' requests."""
         per_s = link_mbps * 1e6 / 8
         return cls(
-            int(min(max(per_s * SLICE_S, SLICE_BYTES[0]), SLICE_BYTES[1])),
+            int(min(max(per_s * CHUNK_S, CHUNK_BYTES[0]), CHUNK_BYTES[1])),
             int(min(max(per_s * WINDOW_S, WINDOW_BYTES[0]), WINDOW_BYTES[1])),
             per_s * (LINK_SHARE if shared else FREE_SHARE),
         )
@@ -57,5 +57,5 @@
     @property
     def ip(self) -> str: ...
 
-    def bulk(self, ip: str) -> Connection:
+    def bulk_link_to(self, ip: str) -> Connection:
         """The connection out for slices."""
--- a/cypressbeam/transport/blobs/server.py
+++ b/cypressbeam/transport/blobs/server.py
@@ -40,7 +40,7 @@
         self.pumping = False
         self.handed_bytes = 0
 
-    def on_want(self, link: Connection, frame: frames.ChunkRequest) -> None:
+    def on_chunk_request(self, link: Connection, frame: frames.ChunkRequest) -> None:
         """A node wants a part of a body, and names what it has that might serve as a base."""
         bases = [
             frame.base_digests[at : at + frames.DIGEST_BYTES]
@@ -59,8 +59,8 @@
         be handed on as it comes. One that goes on names only the base that it has begun with; where that is not here
         it begins anew."""
         fetch = self.fetcher.fetches.get(mark)
-        if mark in self.store.held:
-            both_have = (base for base in reversed(serving.bases) if base in self.store.held and base != mark)
+        if mark in self.store.blobs:
+            both_have = (base for base in reversed(serving.bases) if base in self.store.blobs and base != mark)
             serving.base = next(both_have, b"")
         elif fetch is not None and fetch.total >= 0 and (not fetch.base or fetch.base in serving.bases):
             serving.base = fetch.base
@@ -120,7 +120,7 @@
                     key[0].send(frames.BlobNotFound(key[1]))
                 continue
             data, total = found
-            part = bytes(data[serving.at : min(serving.end, serving.at + self.rate.slice_bytes)])
+            part = bytes(data[serving.at : min(serving.end, serving.at + self.rate.chunk_bytes)])
             if part:
                 return key, serving, part, total
         return None
--- a/cypressbeam/transport/blobs/store.py
+++ b/cypressbeam/transport/blobs/store.py
@@ -6,57 +6,57 @@
 
 from cypressbeam.protocol import delta
 from cypressbeam.protocol.configuration import digest
-from cypressbeam.transport.blobs.link import SLICE_BYTES
+from cypressbeam.transport.blobs.link import CHUNK_BYTES
 
 #: Bodies that are held, the newest (more where a machine has no clients: the core sees those of lost races too); and
 #: packed forms, of which children ask for one or two.
-KEPT, KEPT_CORE, PACKED_KEPT = 4, 12, 8
+MAX_BLOBS, MAX_BLOBS_CORE, MAX_PACKED = 4, 12, 8
 #: A packed body of so many bytes goes with the frame that names it: no larger than the smallest slice.
-BRIEF_BYTES = SLICE_BYTES[0]
+MAX_INLINE_DELTA_BYTES = CHUNK_BYTES[0]
 
 
 class BlobStore:
     """The newest bodies, and the newest packed forms."""
 
     def __init__(self, kept: int) -> None:
-        self.kept = kept
-        self.held: OrderedDict[bytes, bytes] = OrderedDict()
+        self.max_blobs = kept
+        self.blobs: OrderedDict[bytes, bytes] = OrderedDict()
         self.packed: OrderedDict[tuple[bytes, bytes], bytes] = OrderedDict()
         """By the digests of the body and of the base that it is packed on."""
 
     def put(self, body: bytes) -> bytes:
         """Hold a body, so that those who are told of it find it here; returns its digest."""
         mark = digest(body)
-        self.held[mark] = body
-        self.held.move_to_end(mark)
-        while len(self.held) > self.kept:
-            self.held.popitem(last=False)
+        self.blobs[mark] = body
+        self.blobs.move_to_end(mark)
+        while len(self.blobs) > self.max_blobs:
+            self.blobs.popitem(last=False)
         return mark
 
     def get(self, mark: bytes) -> bytes | None:
         """A held body; it counts as new then."""
-        body = self.held.get(mark)
+        body = self.blobs.get(mark)
         if body is not None:
-            self.held.move_to_end(mark)
+            self.blobs.move_to_end(mark)
         return body
 
     def keep_packed(self, key: tuple[bytes, bytes], data: bytes) -> bytes:
         """Hold a packed form, by the digests of body and base."""
         self.packed[key] = data
         self.packed.move_to_end(key)
-        while len(self.packed) > PACKED_KEPT:
+        while len(self.packed) > MAX_PACKED:
             self.packed.popitem(last=False)
         return data
 
     def packed_on(self, mark: bytes, base: bytes) -> bytes | None:
         """A held body, packed on a base that is held or on none (b""); None if either is not here."""
         data = self.packed.get((mark, base))
-        if data is None and mark in self.held and (not base or base in self.held):
-            data = self.keep_packed((mark, base), delta.pack(self.held[mark], self.held[base] if base else b""))
+        if data is None and mark in self.blobs and (not base or base in self.blobs):
+            data = self.keep_packed((mark, base), delta.pack(self.blobs[mark], self.blobs[base] if base else b""))
         return data
 
-    def brief(self, mark: bytes, base: bytes) -> bytes:
+    def inline_delta(self, mark: bytes, base: bytes) -> bytes:
         """A held body packed on another one, if that is little; else nothing."""
-        both = base in self.held and mark in self.held and mark != base
+        both = base in self.blobs and mark in self.blobs and mark != base
         data = self.packed_on(mark, base) if both else None
-        return data if data is not None and len(data) <= BRIEF_BYTES else b""
+        return data if data is not None and len(data) <= MAX_INLINE_DELTA_BYTES else b""
--- a/cypressbeam/transport/blobs/transfer.py
+++ b/cypressbeam/transport/blobs/transfer.py
@@ -9,7 +9,7 @@
 from cypressbeam.transport.blobs.fetcher import Fetcher
 from cypressbeam.transport.blobs.link import Connection, Connections, LinkRate
 from cypressbeam.transport.blobs.server import ChunkServer
-from cypressbeam.transport.blobs.store import KEPT, KEPT_CORE, BlobStore
+from cypressbeam.transport.blobs.store import MAX_BLOBS, MAX_BLOBS_CORE, BlobStore
 
 
 class BlobTransfer:
@@ -18,13 +18,13 @@
     def __init__(self, connections: Connections, link_mbps: float, shared: bool) -> None:
         """`shared`: the link also carries clients' requests."""
         rate = LinkRate.of(link_mbps, shared)
-        self.store = BlobStore(KEPT if shared else KEPT_CORE)
+        self.store = BlobStore(MAX_BLOBS if shared else MAX_BLOBS_CORE)
         self.fetcher = Fetcher(connections, self.store, rate.window_bytes, lambda: self.server.pump())
         self.server = ChunkServer(self.store, self.fetcher, rate)
         self.handlers: dict[type[frames.Frame], Callable[[Connection, Any], None]] = {
-            frames.Chunk: lambda link, frame: self.fetcher.on_slice(link, frame),
-            frames.ChunkRequest: lambda link, frame: self.server.on_want(link, frame),
-            frames.BlobNotFound: lambda link, frame: self.fetcher.on_lacking(link, frame),
+            frames.Chunk: lambda link, frame: self.fetcher.on_chunk(link, frame),
+            frames.ChunkRequest: lambda link, frame: self.server.on_chunk_request(link, frame),
+            frames.BlobNotFound: lambda link, frame: self.fetcher.on_not_found(link, frame),
         }
 
     def link_lost(self, link: Connection) -> None:
--- a/lab/adversarial_servers.py
+++ b/lab/adversarial_servers.py
@@ -12,11 +12,11 @@
 from typing import Any
 
 from cypressbeam.distribution import endpoint_list
-from cypressbeam.protocol.configuration import Channel, Configuration, Plant
+from cypressbeam.protocol.configuration import Configuration, RouteConfiguration, ServiceConfiguration
 from cypressbeam.protocol.settings import parse
 from cypressbeam.proxy.attempts import PROMISES
 from cypressbeam.proxy.frontend import ClientConnection, Frontend
-from cypressbeam.proxy.gateway import Gate
+from cypressbeam.proxy.gateway import Gateway
 from cypressbeam.proxy.upstream import Attempt, ServerConnection
 from lab.simulation import Loop, Net
 
@@ -237,17 +237,17 @@
         self.room = float("inf")
         self.clients: list[Client] = []
         self.wires: list[ServerWire] = []
-        self.gate = Gate(parse(SETTINGS, "boot.conf"), lambda: int(loop.time() * 1e6))
+        self.gate = Gateway(parse(SETTINGS, "boot.conf"), lambda: int(loop.time() * 1e6))
         self.gate.chance.seed(1)
         self.frontend = Frontend(self.gate, 100, 0, self.gate.limits)
         self.gate.take_configuration(
             Configuration(
                 1,
                 tuple(
-                    Channel(kind, "h.example", f"/{kind}/", mode, CUTOFF_MS, 500, tries=3, plant="p")  # type: ignore[arg-type]
+                    RouteConfiguration(kind, "h.example", f"/{kind}/", mode, CUTOFF_MS, 500, tries=3, service="p")  # type: ignore[arg-type]
                     for kind, mode in (("read", "idempotent"), ("book", "effectful"))
                 ),
-                (Plant("p"),),
+                (ServiceConfiguration("p"),),
             )
         )
         self.states = {f"s{number}": endpoint_list.IN_SERVICE for number in range(SERVERS)}
@@ -257,7 +257,7 @@
         """The list as it is now."""
         self.gate.take_servers(
             {
-                ident: endpoint_list.Server(ident, "p", ("10.9.0.1", 8000 + int(ident[1:])), "a", 4, state, 0)
+                ident: endpoint_list.Endpoint(ident, "p", ("10.9.0.1", 8000 + int(ident[1:])), "a", 4, state, 0)
                 for ident, state in self.states.items()
             }
         )
@@ -283,7 +283,7 @@
             await asyncio.sleep(0)
 
     def pooled(self, wire: ServerWire) -> bool:
-        return any(wire.protocol in place.idle for place in self.gate.upstream.places.values()) and not wire.closing
+        return any(wire.protocol in place.idle for place in self.gate.upstream.pools.values()) and not wire.closing
 
     # -- what must hold ------------------------------------------------------------------------------------
 
--- a/lab/attempt_faults.py
+++ b/lab/attempt_faults.py
@@ -17,9 +17,9 @@
     response_validation,
     upstream,
 )
-from cypressbeam.proxy.attempts import Cause, Outcome, Reply, Sent
+from cypressbeam.proxy.attempts import AttemptResult, EndCause, ReplyKind, SendProgress
 from cypressbeam.proxy.http_responses import Answer, ResponseReader
-from cypressbeam.proxy.proxy_core import Carrier, Request
+from cypressbeam.proxy.proxy_core import ProxiedRequest, ProxyCore
 from lab.adversarial_servers import SOON_S
 
 Patch = Callable[[Any, str, Any], None]
@@ -39,7 +39,7 @@
     """A connection with bytes behind its last answer goes back to the pool, and they are read with the next answer."""
     end, send = upstream.ServerConnection.end, upstream.ServerConnection.send
 
-    def keep(self: upstream.ServerConnection, cause: Cause, answer: Answer | None = None) -> None:
+    def keep(self: upstream.ServerConnection, cause: EndCause, answer: Answer | None = None) -> None:
         self.reader.keep_alive = True
         end(self, cause, answer)
 
@@ -66,28 +66,28 @@
 
 def take_part_for_nothing(patch: Patch) -> None:
     """A request of which a part was written counts as one that never left."""
-    known = attempts.outcome
+    known = attempts.result_of
 
-    def told(sent: Sent, cause: Cause, reply: Reply | None = None) -> Outcome:
-        return known(Sent.NOTHING if sent is Sent.PART and reply is None else sent, cause, reply)
+    def told(sent: SendProgress, cause: EndCause, reply: ReplyKind | None = None) -> AttemptResult:
+        return known(SendProgress.NOTHING if sent is SendProgress.PART and reply is None else sent, cause, reply)
 
-    patch(upstream, "outcome", told)
+    patch(upstream, "result_of", told)
 
 
 def take_a_close_for_a_refusal(patch: Patch) -> None:
-    known = attempts.outcome
+    known = attempts.result_of
 
-    def told(sent: Sent, cause: Cause, reply: Reply | None = None) -> Outcome:
-        return attempts.UNSENT if cause is Cause.CLOSED else known(sent, cause, reply)
+    def told(sent: SendProgress, cause: EndCause, reply: ReplyKind | None = None) -> AttemptResult:
+        return attempts.UNSENT if cause is EndCause.CLOSED else known(sent, cause, reply)
 
-    patch(upstream, "outcome", told)
+    patch(upstream, "result_of", told)
 
 
 def believe_any_503(patch: Patch) -> None:
-    def judge(answer: Answer) -> Reply:
-        return Reply.NOT_EXECUTED if answer.status == 503 else protocol_profile.judge_gate(answer)
+    def judge(answer: Answer) -> ReplyKind:
+        return ReplyKind.NOT_EXECUTED if answer.status == 503 else protocol_profile.classify_gateway(answer)
 
-    patch(gateway, "GATE", replace(protocol_profile.GATE, judge=judge))
+    patch(gateway, "GATEWAY_PROFILE", replace(protocol_profile.GATEWAY_PROFILE, judge=judge))
 
 
 def take_what_has_come(patch: Patch) -> None:
@@ -99,30 +99,30 @@
         if self.attempt is not None:
             parser, found = self.reader.parser, self.reader
             if found.headers_done and parser is not None:
-                self.end(Cause.ANSWERED, Answer(parser.get_status_code(), found.headers, bytes(found.body)))
+                self.end(EndCause.ANSWERED, Answer(parser.get_status_code(), found.headers, bytes(found.body)))
             else:
-                self.end(Cause.CLOSED)
+                self.end(EndCause.CLOSED)
 
     patch(upstream.ServerConnection, "connection_lost", connection_lost)
 
 
 def answer_twice(patch: Patch) -> None:
     """A time-out leaves the attempt, and what comes then is written to whoever waits on that connection."""
-    time_is_up = Carrier.time_is_up
+    time_is_up = ProxyCore.time_is_up
 
-    def told(self: Carrier, request: Request) -> None:
+    def told(self: ProxyCore, request: ProxiedRequest) -> None:
         if request.timer is not None and not request.finished:
             request.respond(Answer(504))
             request.timer = self.loop.call_later(SOON_S * 4, time_is_up, self, request)
 
-    patch(Carrier, "time_is_up", told)
+    patch(ProxyCore, "time_is_up", told)
 
 
 def promise_at_the_end(patch: Patch) -> None:
     """Whoever fails is told to come again."""
-    patch(Carrier, "failure", lambda self, request: Answer(503))
-    patch(gateway.Gate, "failure", lambda self, request: Answer(503))
-    patch(proxy_core, "may_tell", lambda *_: True)
+    patch(ProxyCore, "failure", lambda self, request: Answer(503))
+    patch(gateway.Gateway, "failure", lambda self, request: Answer(503))
+    patch(proxy_core, "may_answer_status", lambda *_: True)
 
 
 def leave_out(check: str) -> Callable[[Patch], None]:
--- a/lab/attempts.py
+++ b/lab/attempts.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from cypressbeam.distribution import endpoint_list
-from cypressbeam.proxy.attempts import Sent
+from cypressbeam.proxy.attempts import SendProgress
 from lab.adversarial_servers import SOON_S, TO_THE_END_S, Asked, Sending, World, answer, hold, play
 
 #: How much of an answer has come when the event does.
@@ -22,7 +22,7 @@
 class State:
     kind: str
     origin: str
-    sent: Sent
+    sent: SendProgress
     progress: str
     event: str
 
@@ -124,13 +124,13 @@
 
 def states() -> Iterator[State]:
     for kind, event in itertools.product(("read", "book"), UNSENT):
-        yield State(kind, "connecting", Sent.NOTHING, "none", event)
+        yield State(kind, "connecting", SendProgress.NOTHING, "none", event)
     for kind, event in itertools.product(("read", "book"), IDLE):
-        yield State(kind, "reused", Sent.WHOLE, "none", event)
+        yield State(kind, "reused", SendProgress.WHOLE, "none", event)
     for kind, origin, sent, progress in itertools.product(
-        ("read", "book"), ("fresh", "reused"), (Sent.PART, Sent.WHOLE), PROGRESS
+        ("read", "book"), ("fresh", "reused"), (SendProgress.PART, SendProgress.WHOLE), PROGRESS
     ):
-        if kind == "read" and sent is Sent.PART:
+        if kind == "read" and sent is SendProgress.PART:
             continue  # has no body: it is never that long
         whole = [event for event in ANSWERS if progress in ("none", "interim") or event != "another's before"]
         spoils = [event for event in SPOILS if progress == "none" or event == "garbage"]
@@ -146,18 +146,23 @@
     if event in IDLE:
         return Expected(True, True, (200,))
     if state.event == "client gone":
-        return Expected(state.sent is not Sent.NOTHING, False, ())
-    if state.sent is Sent.NOTHING:
+        return Expected(state.sent is not SendProgress.NOTHING, False, ())
+    if state.sent is SendProgress.NOTHING:
         return Expected(False, False, {"silence": (503,), "stop": (503, 504)}.get(event, (200,)))
     if event in PROVEN:
-        return Expected(False, state.sent is Sent.WHOLE and event != "misdirected", (200,))
+        return Expected(False, state.sent is SendProgress.WHOLE and event != "misdirected", (200,))
     if event in ANSWERS:
         status = REPLIES.get(event, (200,))[0]
-        clean = state.sent is Sent.WHOLE and event not in ("last", "surplus", "part of a surplus", "late surplus")
+        clean = state.sent is SendProgress.WHOLE and event not in (
+            "last",
+            "surplus",
+            "part of a surplus",
+            "late surplus",
+        )
         if status >= 400 and again:
             return Expected(True, clean, (200,))
         return Expected(True, clean, (502 if status in (503, 429, 408) else status,))
-    if event == "unframed" and state.sent is Sent.WHOLE:
+    if event == "unframed" and state.sent is SendProgress.WHOLE:
         return Expected(True, False, (200,))
     if event == "drain":  # what is out goes on, and nothing new comes behind it
         return Expected(True, False, (200,))
@@ -182,7 +187,7 @@
                 await world.settle()
                 serve(world, world.fresh.pop())
                 await world.settle()
-        room = 30.0 if state.sent is Sent.PART else float("inf")
+        room = 30.0 if state.sent is SendProgress.PART else float("inf")
         world.room = room
         for wire in world.wires:
             wire.room = room
@@ -193,7 +198,7 @@
                 wire.arrive(IDLE[state.event])
         self.client.ask(Asked("r", state.kind))
         await world.settle()
-        if state.sent is Sent.NOTHING:
+        if state.sent is SendProgress.NOTHING:
             self.attempt = world.gate.requests["r"].attempts[0]
             return None
         sending = world.fresh.pop()
@@ -242,7 +247,7 @@
         elif event in ("drain", "restart"):
             world.states[self.attempt.server] = endpoint_list.DRAINING
             if event == "restart":
-                world.gate.upstream.place(
+                world.gate.upstream.pool(
                     self.attempt.server,
                     ("10.9.0.1", 8000 + int(self.attempt.server[1:])),
                     world.gate.now_us() + 1,
--- a/lab/calls.py
+++ b/lab/calls.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from cypressbeam.proxy.http_requests import Message
+from cypressbeam.proxy.http_requests import RequestMessage
 from cypressbeam.standalone.discovery import Address
 from lab.clients import Population
 from lab.day import Kind
@@ -36,7 +36,7 @@
         self.begun: set[str] = set()
         """Requests at which a server has been at work."""
 
-    def of(self, server: Server, message: Message) -> Coroutine[Any, Any, None] | None:
+    def of(self, server: Server, message: RequestMessage) -> Coroutine[Any, Any, None] | None:
         """The call that belongs to a server's work on a request."""
         path = message.target[: message.target.find(b"/", 1) + 1]
         if path not in self.called:
--- a/lab/chaos.py
+++ b/lab/chaos.py
@@ -81,7 +81,7 @@
     return (
         len(cores) == CORES
         and len(views) == 1
-        and sum(node.relay.position.is_root for node in cluster.nodes.values()) == 1
+        and sum(node.tree.position.is_root for node in cluster.nodes.values()) == 1
         and all(
             core.replica is not None and core.replica.state.chain is not None and core.replica.state.chain.active
             for core in cores
@@ -94,12 +94,12 @@
     root = cluster.root
     if root is None:
         return False
-    if not root.relay.servers.listing.seq:  # one that has just become the root asks the platform
+    if not root.tree.endpoints.endpoints.sequence:  # one that has just become the root asks the platform
         cluster.poll(cluster.revision)
-    wanted = root.relay.servers.listing.life, root.relay.servers.listing.seq
+    wanted = root.tree.endpoints.endpoints.term, root.tree.endpoints.endpoints.sequence
     return all(
-        node.relay.configuration.revision >= cluster.revision
-        and (node.relay.servers.listing.life, node.relay.servers.listing.seq) == wanted
+        node.tree.configuration.revision >= cluster.revision
+        and (node.tree.endpoints.endpoints.term, node.tree.endpoints.endpoints.sequence) == wanted
         for node in cluster.edges
     )
 
@@ -112,7 +112,7 @@
         disk.copies.append(disk.kept)
     cluster.revision += 1
     ends_s = cluster.loop.time() + TAKEN_S
-    while (root := cluster.root) is None or root.relay.configuration.revision < cluster.revision:
+    while (root := cluster.root) is None or root.tree.configuration.revision < cluster.revision:
         if cluster.loop.time() > ends_s:
             raise Broken(f"after {after}: an order is not taken")
         if root is not None and core_is_whole(cluster):
--- a/lab/disk_growth.py
+++ b/lab/disk_growth.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from cypressbeam.consensus.views import Entry, View
-from cypressbeam.storage.store import FILE, Store
+from cypressbeam.storage.store import FILE_NAME, SqliteStore
 
 NAMES = ("10.0.0.1/a", "10.0.0.2/b", "10.0.0.3/c")
 
@@ -38,7 +38,7 @@
 
 
 async def grow(folder: Path, changes: int, size: int, steps: int) -> list[Size]:
-    store, chance, found = Store(folder), random.Random(size), []
+    store, chance, found = SqliteStore(folder), random.Random(size), []
     body = bytearray(chance.randbytes(size))
     await store.load()
     await store.save_view(View(256, NAMES, NAMES), None, {})
@@ -49,7 +49,13 @@
         if number % (changes // steps) == 0:
             took_ms = (time.perf_counter() - began_s) * 1e3 / (changes // steps)
             found.append(
-                Size(number, kilobytes(folder / FILE), kilobytes(folder / f"{FILE}-wal"), resident_mb(), took_ms)
+                Size(
+                    number,
+                    kilobytes(folder / FILE_NAME),
+                    kilobytes(folder / f"{FILE_NAME}-wal"),
+                    resident_mb(),
+                    took_ms,
+                )
             )
             began_s = time.perf_counter()
     store.close()
--- a/lab/disk_power_loss.py
+++ b/lab/disk_power_loss.py
@@ -30,7 +30,7 @@
 from cypressbeam.consensus.views import Entry, View
 from cypressbeam.storage import files
 from cypressbeam.storage import store as stores
-from cypressbeam.storage.store import Loaded, Store, StoreError
+from cypressbeam.storage.store import LoadedState, SqliteStore, StoreError
 
 #: A disk writes this much at once, or not.
 SECTOR = 512
@@ -236,13 +236,13 @@
     return {name: left_of(held, chance, share) for name, held in sorted(safe.items())}
 
 
-async def read_back(found: dict[str, bytes]) -> Loaded:
+async def read_back(found: dict[str, bytes]) -> LoadedState:
     """What a node that starts from these files takes up. Raises StoreError."""
     folder = Path(tempfile.mkdtemp(prefix="cypressbeam-image-"))
     try:
         for name, data in found.items():
             (folder / name).write_bytes(data)
-        store = Store(folder)
+        store = SqliteStore(folder)
         try:
             return await store.load()
         finally:
@@ -268,11 +268,11 @@
     view: View | None = None
     last: Entry | None = None
 
-    def fits(self, found: Loaded) -> bool:
+    def fits(self, found: LoadedState) -> bool:
         return self.identity in ("", found.identity) and (self.promised, self.view, self.last) == (
             found.promised,
             found.view,
-            found.last,
+            found.entry,
         )
 
 
@@ -297,7 +297,7 @@
             self.may.append(self.may[-1])
         else:
             self.may.append(frozenset(map(after, now)))
-            if isinstance(done, Loaded):
+            if isinstance(done, LoadedState):
                 self.may[-1] = frozenset({replace(kept, identity=done.identity) for kept in self.may[-1]})
         self.notes.add("done")
 
@@ -308,25 +308,25 @@
         told = asyncio.run(read_back(found))
         may = self.may[sum(op.kind == "done" for op in ops[:point])]
         if not any(kept.fits(told) for kept in may):
-            held = (told.identity, told.promised, told.view and told.view.epoch, told.last and told.last.number)
+            held = (told.identity, told.promised, told.view and told.view.epoch, told.entry and told.entry.number)
             raise Lost(f"after {point} operations, seed {seed}: the disk holds {held} of {sorted(found)}")
 
 
 @contextmanager
 def noting(notes: Notes) -> Iterator[None]:
     """Names that the store changes by itself are noted too."""
-    rename, sync_folder = files.rename, files.sync_folder
+    rename, sync_folder = files.replace_file, files.sync_folder
 
     def noted_rename(old: Path, new: Path) -> None:
         rename(old, new)
         notes.add("rename", old, to=new)
 
-    files.rename = noted_rename
+    files.replace_file = noted_rename
     files.sync_folder = lambda folder: notes.add("folder")
     try:
         yield
     finally:
-        files.rename, files.sync_folder = rename, sync_folder
+        files.replace_file, files.sync_folder = rename, sync_folder
 
 
 def entry(number: int, epoch: int) -> Entry:
@@ -340,7 +340,7 @@
 
 async def live(life: Life, folder: Path) -> None:
     """A disk is first used, checkpointed, full at each of a commit's writes, closed, used again, and set aside."""
-    store = Store(folder, life.notes.opened)
+    store = SqliteStore(folder, life.notes.opened)
 
     async def promise(epoch: int) -> None:
         await life.call(store.save_promise(epoch), lambda kept: replace(kept, promised=max(kept.promised, epoch)))
@@ -369,7 +369,7 @@
         await put(6 + room, 512)
     store.close()
     store.thread.join()
-    store = Store(folder, life.notes.opened)
+    store = SqliteStore(folder, life.notes.opened)
     await life.call(store.load(), lambda kept: kept)
     await promise(768)
     await put(18, 512)
@@ -381,13 +381,13 @@
 
 
 def lived(folder: Path) -> Life:
-    life, limit = Life(), stores.LOG_LIMIT
-    stores.LOG_LIMIT = 16384
+    life, limit = Life(), stores.WAL_LIMIT_BYTES
+    stores.WAL_LIMIT_BYTES = 16384
     try:
         with noting(life.notes):
             asyncio.run(live(life, folder))
     finally:
-        stores.LOG_LIMIT = limit
+        stores.WAL_LIMIT_BYTES = limit
     return life
 
 
--- a/lab/emulator.py
+++ b/lab/emulator.py
@@ -23,8 +23,8 @@
 
 from cypressbeam.node.gateway_node import GatewayNode
 from cypressbeam.protocol.settings import Envelope, Settings
-from cypressbeam.proxy.gateway import Gate
-from cypressbeam.standalone.discovery import Address, ListConnection
+from cypressbeam.proxy.gateway import Gateway
+from cypressbeam.standalone.discovery import Address, HttpClient
 from lab import fault_injection
 from lab.calls import Calls
 from lab.clients import Population
@@ -57,8 +57,8 @@
 class Emulated(GatewayNode):
     """A node with its data plane, on the simulated clock."""
 
-    def make_gate(self) -> Gate | None:
-        return Gate(self.settings, now_us) if self.settings.front else None
+    def make_gateway(self) -> Gateway | None:
+        return Gateway(self.settings, now_us) if self.settings.front_listener else None
 
 
 def now_us() -> int:
@@ -115,9 +115,9 @@
         )
         return replace(
             super().settings_of(name, ip, zone, core),
-            control=(ip, CONTROL),
+            control_listener=(ip, CONTROL),
             platform=PLATFORM,
-            readiness=None if core else (ip, READY),
+            readiness_listener=None if core else (ip, READY),
             memory_mb=day.memory_mb,
             file_handles=4100,
             envelope=envelope,
@@ -130,12 +130,12 @@
         self.machines[-1][0].work_s = lambda size: (READ_S + size * BYTE_S) / share
 
     def make_node(self, host: Host, settings: Settings, disk: Disk | None) -> GatewayNode:
-        early = EarlySocket(host, FRONT) if settings.front else None
+        early = EarlySocket(host, FRONT) if settings.front_listener else None
         node = Emulated(settings, disk, early)  # type: ignore[arg-type]  # a stand-in for a socket
         seed = f"{self.seed} {settings.node} {host.life}"
-        node.control.chance = node.survey.chance = random.Random(f"{seed} calls")  # type: ignore[assignment]
-        if node.gate is not None:
-            node.gate.chance.seed(f"{seed} gate")
+        node.control.chance = node.state_query.chance = random.Random(f"{seed} calls")  # type: ignore[assignment]
+        if node.gateway is not None:
+            node.gateway.chance.seed(f"{seed} gate")
         return node
 
     async def add_server(self, service: Service, zone: str, new: bool = False, host: Host | None = None) -> Server:
@@ -196,7 +196,7 @@
             platform = Platform(delay_s=self.day.list_delay_s, servers=self.servers)
             await platform.listen(*PLATFORM)
             for machine, settings in self.machines:
-                if settings.readiness is not None:
+                if settings.readiness_listener is not None:
                     self.misses[settings.node] = MISSES
                     self.loop.create_task(self.watch(machine, settings), context=host.context)
             return platform
@@ -205,11 +205,11 @@
 
     async def watch(self, machine: Host, settings: Settings) -> None:
         """Ask one node again and again whether it is ready."""
-        assert settings.readiness is not None
+        assert settings.readiness_listener is not None
         await asyncio.sleep(self.chance.uniform(0.0, READY_EVERY_S))
         while True:
             ready = False
-            connection = ListConnection(settings.readiness)
+            connection = HttpClient(settings.readiness_listener)
             try:
                 async with asyncio.timeout(READY_TIMEOUT_S):
                     await connection.open()
@@ -222,7 +222,7 @@
 
     def nodes_of(self, zone: str) -> dict[str, Address]:
         """Where the platform passes the connections of a zone's clients."""
-        edges = [(host.zone, settings) for host, settings in self.machines if settings.front is not None]
+        edges = [(host.zone, settings) for host, settings in self.machines if settings.front_listener is not None]
         ready = [(at, settings) for at, settings in edges if self.misses[settings.node] < MISSES]
         here = [settings for at, settings in ready if at == zone]
         local = [settings for at, settings in edges if at == zone]
@@ -301,8 +301,8 @@
             self.revision = max(won, default=base)
 
     async def post(self, settings: Settings, body: bytes, base: int) -> int:
-        assert settings.control is not None
-        connection = ListConnection(settings.control)
+        assert settings.control_listener is not None
+        connection = HttpClient(settings.control_listener)
         async with asyncio.timeout(PATIENCE_S):
             await connection.open()
             try:
@@ -339,7 +339,7 @@
             one = self.ledger.tries[ident] = Try(
                 ident, name, True, settings.node, (b"GET", target, b""), self.loop.time()
             )
-            connection = ListConnection((settings.ip, FRONT))
+            connection = HttpClient((settings.ip, FRONT))
             try:
                 async with asyncio.timeout(PATIENCE_S):
                     await connection.open()
@@ -412,7 +412,7 @@
     @contextlib.contextmanager
     def out_of_touch(self, machines: Iterable[tuple[Host, Settings]], planned: bool = False) -> Iterator[None]:
         """While trouble is on these machines, and until `contact_s` after; the core's is everybody's."""
-        names = {EVERYBODY if settings.front is None else settings.node for _, settings in machines}
+        names = {EVERYBODY if settings.front_listener is None else settings.node for _, settings in machines}
         from_s = self.loop.time()
         spans = [self.ledger.out] if planned else [self.ledger.out, self.ledger.troubled]
         for name, by_name in itertools.product(sorted(names), spans):
@@ -440,7 +440,7 @@
             ),
         )
         found += [Breach("FAULT", 0.0, text) for text in self.net.faults]
-        edges = [host for host, settings in self.machines if settings.front is not None]
+        edges = [host for host, settings in self.machines if settings.front_listener is not None]
         figures = {"worth": ledger.worth(), "worst windows": ledger.worst_windows(), "served": ledger.served()}
         figures |= {f"worth of {kind}": worth for kind, worth in ledger.by_kind().items()}
         figures |= {f"p{100 * share:g} ms": ledger.took_ms(share) for share in (0.5, 0.99, 0.999)}
--- a/lab/experiment.py
+++ b/lab/experiment.py
@@ -16,7 +16,7 @@
 from types import ModuleType
 
 from cypressbeam.balancing import balancer
-from cypressbeam.balancing.balancer import Balancer, Request, Server
+from cypressbeam.balancing.balancer import Balancer, Request, ServerView
 from cypressbeam.proxy import gateway
 from lab.day import Day
 from lab.emulator import Outcome, play
@@ -62,22 +62,22 @@
     """One line on what can't be changed."""
 
 
-def usable(made: Balancer, request: Request) -> list[Server]:
-    return [server for server in made.pool if made.guard(request, server) and not made.left_out(request, server)]
+def usable(made: Balancer, request: Request) -> list[ServerView]:
+    return [server for server in made.pool if made.may_send(request, server) and not made.left_out(request, server)]
 
 
-def by_chance(made: Balancer, request: Request) -> Server | None:
+def by_chance(made: Balancer, request: Request) -> ServerView | None:
     servers = usable(made, request)
     return made.chance.choice(servers) if servers else None
 
 
-def in_turn(made: Balancer, request: Request) -> Server | None:
+def in_turn(made: Balancer, request: Request) -> ServerView | None:
     """The one that was sent to longest ago."""
-    return min(usable(made, request), key=lambda server: server.trial_us, default=None)
+    return min(usable(made, request), key=lambda server: server.trial_at_us, default=None)
 
 
 #: Other ways to choose a server, for comparison; the program's own is C3's rank.
-CHOICES: dict[str, Callable[[Balancer, Request], Server | None]] = {"random": by_chance, "round-robin": in_turn}
+CHOICES: dict[str, Callable[[Balancer, Request], ServerView | None]] = {"random": by_chance, "round-robin": in_turn}
 
 
 @dataclass(frozen=True, slots=True)
--- a/lab/fault_injection.py
+++ b/lab/fault_injection.py
@@ -138,7 +138,9 @@
 
 
 def machines(world: World, on: str) -> list[tuple[Host, Settings]]:
-    return [machine for machine in world.machines if machine[0].up and (machine[1].front is None) == (on == "core")]
+    return [
+        machine for machine in world.machines if machine[0].up and (machine[1].front_listener is None) == (on == "core")
+    ]
 
 
 async def killed(world: World, machine: tuple[Host, Settings], away_s: float) -> None:
@@ -236,7 +238,7 @@
         if machine.up and node is not None:
             world.ledger.planned.hups[settings.node].append(world.loop.time())
             seeds = tuple(world.net.chance.sample(settings.seeds, len(settings.seeds)))
-            world.at(node, node.take_up, replace(node.settings, seeds=seeds))
+            world.at(node, node.take_settings, replace(node.settings, seeds=seeds))
         await asyncio.sleep(trouble.gap_s)
 
 
--- a/lab/fetches.py
+++ b/lab/fetches.py
@@ -83,7 +83,7 @@
 
     async def fill(self) -> None:
         """Uploads: a part of the links, now these and now those, has so much waiting."""
-        hosts = [host for host, settings in self.cluster.machines if settings.front is not None]
+        hosts = [host for host, settings in self.cluster.machines if settings.front_listener is not None]
         self.filling = True
         while self.filling:
             if not self.full or self.chance.random() < FULL_TICK_S:
@@ -99,7 +99,7 @@
 
     def relays(self) -> list[GatewayNode]:
         """Those that feed others, without the root."""
-        return [node for node in self.cluster.nodes.values() if node.relay.children and not node.relay.position.is_root]
+        return [node for node in self.cluster.nodes.values() if node.tree.children and not node.tree.position.is_root]
 
     def hold_still(self) -> None:
         """Half of the relays hand nothing to edge nodes, though their beats go on: as where connections hang. Of the
@@ -117,11 +117,11 @@
                     usual(link, frame)
 
             server = node.peers.blobs.server
-            server.on_want = functools.partial(on_want, usual=server.on_want)  # type: ignore[method-assign]
+            server.on_chunk_request = functools.partial(on_want, usual=server.on_chunk_request)  # type: ignore[method-assign]
 
     def lose_a_relay(self) -> None:
         """The one that feeds the most loses its power."""
-        node = max(self.relays(), key=lambda node: len(node.relay.children))
+        node = max(self.relays(), key=lambda node: len(node.tree.children))
         self.cluster.stop(*next(machine for machine in self.cluster.machines if machine[1] is node.settings))
 
     # -- one case ------------------------------------------------------------------------------------------
@@ -162,12 +162,12 @@
         last, ends_s = cluster.revision + STORM, cluster.loop.time() + COMMIT_S
         while cluster.loop.time() < ends_s:
             now_s = cluster.loop.time()
-            came_s.setdefault(root.relay.configuration.revision, now_s)
+            came_s.setdefault(root.tree.configuration.revision, now_s)
             for node in cluster.edges:
-                newer_s = [at_s for revision, at_s in came_s.items() if revision > node.relay.configuration.revision]
+                newer_s = [at_s for revision, at_s in came_s.items() if revision > node.tree.configuration.revision]
                 if newer_s:
                     most_s[node.settings.node] = max(most_s[node.settings.node], now_s - min(newer_s))
-            if all(node.relay.configuration.revision >= last for node in cluster.edges):
+            if all(node.tree.configuration.revision >= last for node in cluster.edges):
                 break
             await asyncio.sleep(0.02)
         found.behind_s += most_s.values()
@@ -178,12 +178,12 @@
         root = cluster.root
         assert root is not None
         wanted = cluster.revision
-        await cluster.until(lambda: root.relay.configuration.revision >= wanted, COMMIT_S)
+        await cluster.until(lambda: root.tree.configuration.revision >= wanted, COMMIT_S)
         began_s = cluster.loop.time()
         waiting = {node.settings.node: node for node in cluster.edges}  # without those that lose their power
         found.bound_s = max(found.bound_s, self.bound_s())
         while waiting and (took_s := cluster.loop.time() - began_s) < MOST_S:
-            there = [name for name, node in waiting.items() if node.relay.configuration.revision >= wanted]
+            there = [name for name, node in waiting.items() if node.tree.configuration.revision >= wanted]
             found.behind_s += [took_s for name in there if waiting.pop(name)]
             await asyncio.sleep(0.01)
         found.behind_s += [MOST_S] * len(waiting)
@@ -194,7 +194,7 @@
         self.ways = ("full links" in case) * (2 if "storm" in case else 1)
         await self.settle()
         self.before = cluster.configuration(cluster.revision)
-        cores = {host: host.bytes for host, settings in cluster.machines if settings.front is None}
+        cores = {host: host.bytes for host, settings in cluster.machines if settings.front_listener is None}
         if "full links" in case:
             filling = cluster.loop.create_task(self.fill())
             await asyncio.sleep(1.0)
@@ -250,13 +250,13 @@
 @contextlib.contextmanager
 def fault(name: str) -> Iterator[None]:
     """With what bounds a fetch left out: it is asked of its first source alone. None for any other name."""
-    saved = Fetcher.ask_elsewhere
+    saved = Fetcher.request_elsewhere
     try:
         if name == FAULT:
-            Fetcher.ask_elsewhere = Fetcher.ask  # type: ignore[method-assign]
+            Fetcher.request_elsewhere = Fetcher.request  # type: ignore[method-assign]
         yield
     finally:
-        Fetcher.ask_elsewhere = saved  # type: ignore[method-assign]
+        Fetcher.request_elsewhere = saved  # type: ignore[method-assign]
 
 
 def table(seeds: int) -> tuple[str, bool]:
--- a/lab/footprint.py
+++ b/lab/footprint.py
@@ -23,13 +23,13 @@
 
 import cbor2
 
-from cypressbeam.balancing.balancer import HOUSEKEEPING_US, Percentile
+from cypressbeam.balancing.balancer import HOUSEKEEPING_US, LatencyPercentile
 from cypressbeam.distribution import endpoint_list
-from cypressbeam.distribution.node_registry import RENEW_S, Roster
+from cypressbeam.distribution.node_registry import RENEWAL_INTERVAL_S, NodeRegistry
 from cypressbeam.protocol import configuration, delta, frames
 from cypressbeam.proxy.frontend import Frontend
-from cypressbeam.proxy.gateway import Gate
-from cypressbeam.proxy.routing import Table, make_route
+from cypressbeam.proxy.gateway import Gateway
+from cypressbeam.proxy.routing import RoutingTable, make_route
 from lab import packed_blobs
 from lab.hollow import seen
 from lab.hollow_nodes import Task, rss_kb, settings_of
@@ -91,7 +91,7 @@
     body = many_routes(size // 2, size, services=services)
     before_kb, before_peak_kb = rss_kb(), peak_kb()
     read, read_ms = timed(lambda: configuration.read_committed(body))
-    table, table_ms = timed(lambda: Table(read))
+    table, table_ms = timed(lambda: RoutingTable(read))
     found = {
         "body_kb": len(body) / 1000,
         "read_ms": read_ms,
@@ -103,9 +103,9 @@
     found["check_ms"] = timed(lambda: configuration.check(read))[1]
     found["digest_ms"] = timed(lambda: configuration.digest(body))[1]
     found["read_kb"] = held(lambda: configuration.read_committed(body))[1]
-    found["table_kb"] = held(lambda: Table(read))[1]
+    found["table_kb"] = held(lambda: RoutingTable(read))[1]
     found |= changed(base, body)
-    found["find_us"] = find_us(table, [(channel.host, channel.prefix + "x") for channel in read.channels])
+    found["find_us"] = find_us(table, [(channel.host, channel.prefix + "x") for channel in read.routes])
     return found | trial_routes(read, table)
 
 
@@ -135,10 +135,10 @@
     return 1000 * timed(look)[1] / LOOKUPS
 
 
-def trial_routes(read: configuration.Configuration, table: Table) -> Found:
+def trial_routes(read: configuration.Configuration, table: RoutingTable) -> Found:
     made, build_ms = timed(lambda: packed_blobs.Routes(read))
-    wanted = [(channel.host, channel.prefix + "x") for channel in read.channels]
-    one = read.channels[len(read.channels) // 2]
+    wanted = [(channel.host, channel.prefix + "x") for channel in read.routes]
+    one = read.routes[len(read.routes) // 2]
 
     def patch() -> dict[str, Any]:
         routes = dict(table.routes)
@@ -158,12 +158,12 @@
     """So many routes, each on a host of its own, against as many on 60 hosts."""
     own = configuration.read_committed(many_routes(1, size, hosts=size))
     few = configuration.read_committed(many_routes(1, size))
-    own_kb, few_kb = held(lambda: Table(own))[1], held(lambda: Table(few))[1]
+    own_kb, few_kb = held(lambda: RoutingTable(own))[1], held(lambda: RoutingTable(few))[1]
     limits_kb = held(lambda: {f"tenant-{number}": [0.0, 0.0] for number in range(size)})[1]
     return {
         "table_kb": own_kb,
         "hosts_kb": own_kb - few_kb,
-        "find_us": find_us(Table(own), [(channel.host, channel.prefix) for channel in own.channels]),
+        "find_us": find_us(RoutingTable(own), [(channel.host, channel.prefix) for channel in own.routes]),
         "trial_limits_kb": limits_kb,
         "trial_limits_packed_kb": held(lambda: packed_blobs.Buckets(size))[1],
         "trial_packed_kb": held(lambda: packed_blobs.Routes(own))[1],
@@ -173,9 +173,9 @@
 # -- servers and services ----------------------------------------------------------------------------------
 
 
-def server(number: int, services: int, state: int = endpoint_list.IN_SERVICE) -> endpoint_list.Server:
+def server(number: int, services: int, state: int = endpoint_list.IN_SERVICE) -> endpoint_list.Endpoint:
     host = (f"10.{number // 62_500}.{number // 250 % 250}.{1 + number % 250}", 8080)
-    return endpoint_list.Server(
+    return endpoint_list.Endpoint(
         f"i-{number:08x}", f"service-{number % services}", host, f"zone-{number // services % ZONES}", 8, state, 0
     )
 
@@ -184,21 +184,21 @@
     """So many servers in a 25th as many services: the list at the root and at a node, and the data plane's part."""
     services = max(size // EACH, 1)
     rows = [server(number, services) for number in range(size)]
-    root = endpoint_list.Listing(1)
-    root.poll(rows)
-    whole, pack_ms = timed(root.whole)
-    node = endpoint_list.Listing()
+    root = endpoint_list.EndpointList(1)
+    root.update_from_platform(rows)
+    whole, pack_ms = timed(root.snapshot)
+    node = endpoint_list.EndpointList()
     _, apply_ms = timed(lambda: node.apply(whole))
     drained = [server(0, services, endpoint_list.DRAINING), *rows[1:]]
-    change, poll_ms = timed(lambda: root.poll(drained))
+    change, poll_ms = timed(lambda: root.update_from_platform(drained))
     assert change is not None and node.apply(change)
     pages = [
         cbor2.dumps(
             {
                 "servers": [
                     {
-                        "id": row.ident,
-                        "plant": row.plant,
+                        "id": row.instance_id,
+                        "plant": row.service,
                         "zone": row.zone,
                         "revision": "v1",
                         "capacity": row.capacity,
@@ -239,15 +239,15 @@
     )
 
 
-async def planes(rows: Sequence[endpoint_list.Server], services: int) -> Found:
+async def planes(rows: Sequence[endpoint_list.Endpoint], services: int) -> Found:
     """A data plane with those servers and a route to each service: what it holds, and what its timers do while it is
     idle, as a share of a core: one after another, so less than in a process that wakes for each (`lab hollow`)."""
     body = many_routes(1, services, services=services)
-    known = {row.ident: row for row in rows}
-    drained = known | {rows[0].ident: server(0, services, endpoint_list.DRAINING)}
+    known = {row.instance_id: row for row in rows}
+    drained = known | {rows[0].instance_id: server(0, services, endpoint_list.DRAINING)}
 
-    def make() -> Gate:
-        gate = Gate(settings_of("edge-1", "127.0.0.1", "zone-0", Task([], [], [1, 2])))
+    def make() -> Gateway:
+        gate = Gateway(settings_of("edge-1", "127.0.0.1", "zone-0", Task([], [], [1, 2])))
         gate.take_fleet(2700, 1)
         gate.take_configuration(configuration.read_committed(body))
         gate.take_servers(known)
@@ -256,7 +256,7 @@
     gate, make_ms = timed(make)
 
     def upkeep() -> None:
-        for desk in gate.desks.values():
+        for desk in gate.hosts.values():
             desk.balancer.now_us = gate.now_us()
             desk.balancer.refresh_all()
 
@@ -277,8 +277,10 @@
     """So many services of one server each."""
     rows = [server(number, size) for number in range(size)]
     found = asyncio.run(planes(rows, size))
-    usual = Percentile.above
-    with mock.patch.object(Percentile, "above", lambda seen, share: usual(seen, share) if seen.total else 0.0):
+    usual = LatencyPercentile.exceeding
+    with mock.patch.object(
+        LatencyPercentile, "exceeding", lambda seen, share: usual(seen, share) if seen.total else 0.0
+    ):
         trial = asyncio.run(planes(rows, size))
     return {name: found[name] for name in ("plane_kb", "plane_make_ms", "plane_upkeep_share")} | {
         "trial_no_empty_walks_upkeep_share": trial["plane_upkeep_share"]
@@ -288,8 +290,8 @@
 def samples(size: int) -> Found:
     """So many answers in one class's percentiles; and as many classes with a thousand answers each."""
 
-    def fill() -> Percentile:
-        made = Percentile()
+    def fill() -> LatencyPercentile:
+        made = LatencyPercentile()
         for number in range(size):
             made.add(1000.0 + number * 7919 % 400_000)
         return made
@@ -313,23 +315,23 @@
 
 def nodes(size: int) -> Found:
     """The root's roster of so many nodes: all join, renew, and one goes and comes back amid renewals."""
-    found = roster_costs(Roster, size)
+    found = roster_costs(NodeRegistry, size)
     trial = roster_costs(packed_blobs.RingRoster, size)
     return found | {
         f"trial_ring_{name}": trial[name] for name in ("all_join_ms", "renew_us", "root_renewals_share", "churn_ms")
     }
 
 
-def roster_costs(kind: type[Roster], size: int) -> Found:
+def roster_costs(kind: type[NodeRegistry], size: int) -> Found:
     roster = kind("edge-0")
 
     def tell(number: int, at_s: float) -> frames.ParentAssignment:
-        roster.join(join_of(number), at_s)
-        return roster.place(f"edge-{number}", 1, ("10.0.0.1",) * 5, "10.0.0.1", size)
+        roster.register(join_of(number), at_s)
+        return roster.assignment(f"edge-{number}", 1, ("10.0.0.1",) * 5, "10.0.0.1", size)
 
     def churn() -> None:
         for number in range(1, 6):
-            roster.drop(f"edge-{number}")
+            roster.remove(f"edge-{number}")
             tell(0, 2.0)
             tell(number, 2.0)
 
@@ -342,7 +344,7 @@
         "roster_kb": grown_kb,
         "all_join_ms": start_ms,
         "renew_us": 1000 * renew_ms / size,
-        "root_renewals_share": renew_ms / 1000 / RENEW_S,
+        "root_renewals_share": renew_ms / 1000 / RENEWAL_INTERVAL_S,
         "churn_ms": churn_ms / 5,
         "join_bytes": float(len(join_of(1).pack())),
         "place_bytes": float(len(tell(1, 3.0).pack())),
@@ -364,7 +366,7 @@
 
 
 async def resting(size: int) -> Found:
-    gate = Gate(settings_of("edge-1", "127.0.0.1", "zone-0", Task([], [], [1, 2])))
+    gate = Gateway(settings_of("edge-1", "127.0.0.1", "zone-0", Task([], [], [1, 2])))
     frontend = Frontend(gate, size + 10, 0, gate.limits)
     await frontend.listen("127.0.0.1", 0)
     assert frontend.server is not None
--- a/lab/growth.py
+++ b/lab/growth.py
@@ -83,7 +83,7 @@
     finally:
         world.close()
     assert not found.breaches, found.breaches[:3]
-    figures, cores = found.figures, [host for host, settings in world.machines if settings.front is None]
+    figures, cores = found.figures, [host for host, settings in world.machines if settings.front_listener is None]
     return Traffic(
         edges,
         1.0 - figures["worth"],
--- a/lab/hollow_nodes.py
+++ b/lab/hollow_nodes.py
@@ -20,7 +20,7 @@
 
 import uvloop
 
-from cypressbeam.distribution.failure_detector import PACKET, Watch
+from cypressbeam.distribution.failure_detector import PACKET, UdpFailureDetector
 from cypressbeam.protocol.settings import Envelope, Settings
 from cypressbeam.standalone.__main__ import GC_THRESHOLDS
 from cypressbeam.standalone.discovery import Address
@@ -93,13 +93,13 @@
         COUNTS[self.peers.ip].bytes_in += len(data)
         super().data_received(data)
 
-    def take(self, kind: int, body: bytes) -> None:
+    def receive(self, kind: int, body: bytes) -> None:
         COUNTS[self.peers.ip].frames_in += 1
-        super().take(kind, body)
+        super().receive(kind, body)
 
 
-class CountedWatch(Watch):
-    def __init__(self, watch: Watch, ip: str) -> None:
+class CountedWatch(UdpFailureDetector):
+    def __init__(self, watch: UdpFailureDetector, ip: str) -> None:
         super().__init__(watch.port, watch.on_silent)
         self.counts = COUNTS[ip]
 
@@ -117,7 +117,7 @@
 
     def __init__(self, settings: Settings) -> None:
         super().__init__(settings)
-        self.watch = CountedWatch(self.watch, settings.ip)
+        self.failure_detector = CountedWatch(self.failure_detector, settings.ip)
         self.versions: dict[int, float] = {}
         self.lists: dict[int, float] = {}
 
@@ -125,7 +125,7 @@
         self.versions[revision] = time.monotonic()
 
     def take_servers(self) -> None:
-        self.lists[self.relay.servers.listing.seq] = time.monotonic()
+        self.lists[self.tree.endpoints.endpoints.sequence] = time.monotonic()
 
 
 def settings_of(name: str, ip: str, zone: str, task: Task) -> Settings:
@@ -135,9 +135,9 @@
         ip=ip,
         zone=zone,
         seeds=seeds,
-        front=(ip, 1),
-        readiness=None,
-        control=None,
+        front_listener=(ip, 1),
+        readiness_listener=None,
+        control_listener=None,
         internal_ports=(task.ports[0], task.ports[1]),
         bootstrap=False,
         quorum_member=False,
@@ -175,7 +175,7 @@
 
 
 def look(nodes: list[HollowNode], base_kb: int) -> Look:
-    placed = sum(node.relay.subscription.parent is not None and node.relay.configuration.revision > 0 for node in nodes)
+    placed = sum(node.tree.subscription.parent is not None and node.tree.configuration.revision > 0 for node in nodes)
     return Look(
         time.monotonic(),
         time.process_time(),
--- a/lab/local_cluster.py
+++ b/lab/local_cluster.py
@@ -8,7 +8,7 @@
 
 import cbor2
 
-from cypressbeam.standalone.discovery import ListConnection
+from cypressbeam.standalone.discovery import HttpClient
 from lab.standins import Platform, Server
 from lab.system import Machine, System
 
@@ -55,7 +55,7 @@
 
 async def push(machine: Machine, body: bytes, base: int) -> tuple[int, bytes]:
     """Send a configuration to a node; the status and text of its answer."""
-    connection = ListConnection(machine.control)
+    connection = HttpClient(machine.control)
     await connection.open()
     try:
         answer = await connection.call(
--- a/lab/membership.py
+++ b/lab/membership.py
@@ -17,7 +17,7 @@
 from cypressbeam.node.gateway_node import GatewayNode
 from cypressbeam.protocol import frames
 from cypressbeam.protocol.settings import Envelope, Settings
-from cypressbeam.proxy.gateway import Gate
+from cypressbeam.proxy.gateway import Gateway
 from lab.local_cluster import demo_configuration
 from lab.simulation import Disk, Host, Net
 
@@ -55,7 +55,7 @@
 class SimulatedNode(GatewayNode):
     """A node that carries no traffic of its own here: the data plane stays away."""
 
-    def make_gate(self) -> Gate | None:
+    def make_gateway(self) -> Gateway | None:
         return None
 
 
@@ -100,9 +100,9 @@
             ip=ip,
             zone=zone,
             seeds=seeds,
-            front=None if core else (ip, 8641),
-            readiness=None,
-            control=None,
+            front_listener=None if core else (ip, 8641),
+            readiness_listener=None,
+            control_listener=None,
             internal_ports=PORTS,
             bootstrap=True,
             quorum_member=core,
@@ -137,7 +137,7 @@
     async def life(self, host: Host, settings: Settings) -> None:
         disk = self.disks.setdefault(settings.node, Disk(f"{len(self.disks):012x}")) if settings.state_dir else None
         node = self.nodes[settings.node] = self.make_node(host, settings, disk)
-        node.relay.context.chance = random.Random(f"{self.seed} {settings.node} {host.life}")
+        node.tree.context.chance = random.Random(f"{self.seed} {settings.node} {host.life}")
         if node.core is not None:
             node.core.chance = random.Random(f"{self.seed} core {settings.node} {host.life}")
         await node.start()
@@ -153,11 +153,11 @@
 
     @property
     def edges(self) -> list[GatewayNode]:
-        return [node for node in self.nodes.values() if node.settings.front is not None]
+        return [node for node in self.nodes.values() if node.settings.front_listener is not None]
 
     @property
     def root(self) -> GatewayNode | None:
-        return next((node for node in self.nodes.values() if node.relay.position.is_root), None)
+        return next((node for node in self.nodes.values() if node.tree.position.is_root), None)
 
     def at(self, node: GatewayNode, what: Callable[..., object], *args: object) -> None:
         """Do something as that node's machine, so that what it sets up lives there."""
@@ -189,7 +189,7 @@
             root,
             root.core.take_list,
             [
-                endpoint_list.Server(
+                endpoint_list.Endpoint(
                     f"i-{number}",
                     "finder",
                     (f"10.9.{number // 250}.{number % 250}", 80),
@@ -201,7 +201,7 @@
                 for number in range(servers)
             ],
         )
-        return root.relay.servers.listing.life, root.relay.servers.listing.seq
+        return root.tree.endpoints.endpoints.term, root.tree.endpoints.endpoints.sequence
 
     def depths(self) -> dict[str, int]:
         """How many relays each edge node's news passes; those whose parents lead nowhere, or in a circle, are left
@@ -211,11 +211,11 @@
         for node in self.edges:
             at: GatewayNode | None = node
             steps = 0
-            while at is not None and not at.relay.position.is_root and steps <= len(by_ip):
-                parent = at.relay.subscription.parent
+            while at is not None and not at.tree.position.is_root and steps <= len(by_ip):
+                parent = at.tree.subscription.parent
                 at = by_ip.get(parent.ip) if parent is not None else None
                 steps += 1
-            if at is not None and at.relay.position.is_root:
+            if at is not None and at.tree.position.is_root:
                 found[node.settings.node] = steps
         return found
 
@@ -234,7 +234,7 @@
         return self.loop.time() - began_s
 
     async def known_by_all(self) -> float:
-        return await self.until(lambda: all(node.relay.configuration.revision >= self.revision for node in self.edges))
+        return await self.until(lambda: all(node.tree.configuration.revision >= self.revision for node in self.edges))
 
     def close(self) -> None:
         for task in asyncio.all_tasks(self.loop):
@@ -267,7 +267,7 @@
 async def play(cluster: Cluster, all_figures: dict[str, Figures]) -> None:
     """One history through every step."""
     net, loop = cluster.net, cluster.loop
-    edges = [machine for machine in cluster.machines if machine[1].front is not None]
+    edges = [machine for machine in cluster.machines if machine[1].front_listener is not None]
     some = max(1, int(len(edges) * SOME))
     late, early = edges[:some], edges[some:]
     for machine in [*cluster.machines[:CORES], *early]:
@@ -308,12 +308,13 @@
     """Wait until all know the newest configuration and list, and look at the tree once it has settled."""
     root = cluster.root
     assert root is not None
-    wanted = root.relay.servers.listing
+    wanted = root.tree.endpoints.endpoints
 
     async def listed() -> float:
         return await cluster.until(
             lambda: all(
-                (node.relay.servers.listing.life, node.relay.servers.listing.seq) == (wanted.life, wanted.seq)
+                (node.tree.endpoints.endpoints.term, node.tree.endpoints.endpoints.sequence)
+                == (wanted.term, wanted.sequence)
                 for node in cluster.edges
             )
         )
--- a/lab/packed_blobs.py
+++ b/lab/packed_blobs.py
@@ -8,8 +8,8 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable
 
-from cypressbeam.distribution.endpoint_list import Server
-from cypressbeam.distribution.node_registry import WATCHED, Known, Roster, feeders, weight
+from cypressbeam.distribution.endpoint_list import Endpoint
+from cypressbeam.distribution.node_registry import PROBED_PEERS, NodeRecord, NodeRegistry, assign_parents, weight
 from cypressbeam.protocol import frames
 from cypressbeam.protocol.configuration import Configuration
 from cypressbeam.proxy.routing import kind_of
@@ -32,12 +32,12 @@
         self.what = array("H")
         known: dict[tuple[str, tuple[tuple[str, float], ...]], int] = {}
         parts, end = [], 0
-        for channel in configuration.channels:
+        for channel in configuration.routes:
             key = self.key(channel.host.lower(), channel.prefix)
             parts.append(key)
             end += len(key)
             self.ends.append(end)
-            same = kind_of(channel), tuple((share.plant, share.gain) for share in channel.shares())
+            same = kind_of(channel), tuple((share.service, share.weight) for share in channel.weighted_services())
             if same not in known:
                 known[same] = len(self.shared)
                 self.shared.append(same)
@@ -87,19 +87,19 @@
         self.at_s = array("f", [0.0]) * tenants
 
 
-def subset(node: str, servers: Iterable[Server], each: int) -> list[Server]:
+def subset(node: str, servers: Iterable[Endpoint], each: int) -> list[Endpoint]:
     """Of each service the servers that weigh most for a node, by rendezvous hashing."""
-    of_service: defaultdict[str, list[Server]] = defaultdict(list)
+    of_service: defaultdict[str, list[Endpoint]] = defaultdict(list)
     for server in servers:
-        of_service[server.plant].append(server)
+        of_service[server.service].append(server)
     return [
         server
         for found in of_service.values()
-        for server in heapq.nlargest(each, found, key=lambda server: weight(node, server.ident))
+        for server in heapq.nlargest(each, found, key=lambda server: weight(node, server.instance_id))
     ]
 
 
-class RingRoster(Roster):
+class RingRoster(NodeRegistry):
     """The roster without work that grows with all nodes for each join: numbers are counted as nodes come and go, a
     zone's order keeps each node's rank, and a node watches those that follow it on a ring of hashes.
 
@@ -114,45 +114,45 @@
         self.sorted: defaultdict[str, list[tuple[tuple[bool, bool, int, int], str]]] = defaultdict(list)
         self.ranks: dict[str, tuple[tuple[bool, bool, int, int], str]] = {}
 
-    def rank(self, known: Known) -> tuple[tuple[bool, bool, int, int], str]:
-        slow = known.doubtful() or bool(known.flags & frames.IS_OVERLOADED)
-        return (known.name != self.me, slow, -known.kbps, weight("tree", known.name)), known.name
+    def rank(self, known: NodeRecord) -> tuple[tuple[bool, bool, int, int], str]:
+        slow = known.is_doubtful() or bool(known.flags & frames.IS_OVERLOADED)
+        return (known.name != self.own_name, slow, -known.kbps, weight("tree", known.name)), known.name
 
-    def join(self, frame: frames.JoinRequest, now_s: float, epoch: int = 0) -> None:
+    def register(self, frame: frames.JoinRequest, now_s: float, epoch: int = 0) -> None:
         known = self.nodes.get(frame.name)
-        doubted = bool(frame.lost_parent) or (known is not None and known.doubtful())
+        doubted = bool(frame.lost_parent) or (known is not None and known.is_doubtful())
         if (
             known is None
             or doubted
             or (known.ip, known.zone, known.flags, known.kbps) != (frame.ip, frame.zone, frame.flags, frame.kbps)
         ):
-            super().join(frame, now_s, epoch)
+            super().register(frame, now_s, epoch)
             for other in self.nodes.values() if doubted else ():
                 self.enlist(other)
         else:
-            known.listen(frame.acknowledged_epoch, now_s)
+            known.note_acknowledgement(frame.acknowledged_epoch, now_s)
             known.seen_s = now_s
             self.enlist(known)
-            if known.doubtful():
+            if known.is_doubtful():
                 self.enlist(known)
 
-    def enlist(self, known: Known) -> None:
+    def enlist(self, known: NodeRecord) -> None:
         """Where it stands in its zone's order, now that it is new or its rank may be another."""
         rank = self.rank(known)
         if self.ranks.get(known.name) != rank:
             self.delist(known)
             insort(self.sorted[known.zone], rank)
             self.ranks[known.name] = rank
-            self.feeders.pop(known.zone, None)
+            self.parents_by_zone.pop(known.zone, None)
 
-    def delist(self, known: Known) -> None:
+    def delist(self, known: NodeRecord) -> None:
         rank = self.ranks.pop(known.name, None)
         if rank is not None:
             order = self.sorted[known.zone]
             del order[bisect_left(order, rank)]
-            self.feeders.pop(known.zone, None)
+            self.parents_by_zone.pop(known.zone, None)
 
-    def enter(self, known: Known) -> None:
+    def add(self, known: NodeRecord) -> None:
         self.nodes[known.name] = known
         self.enlist(known)
         insort(self.ring, (weight("ring", known.name), known.name))
@@ -160,7 +160,7 @@
             insort(self.names, known.name)
             self.counts.update((known.zone, ""))
 
-    def drop(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         known = self.nodes.pop(name, None)
         if known is not None:
             self.delist(known)
@@ -169,20 +169,22 @@
                 del self.names[bisect_left(self.names, name)]
                 self.counts.subtract((known.zone, ""))
 
-    def fronts(self, zone: str | None = None) -> int:
+    def edge_count(self, zone: str | None = None) -> int:
         return self.counts[zone or ""]
 
-    def order(self, zone: str) -> list[Known]:
+    def order(self, zone: str) -> list[NodeRecord]:
         return [self.nodes[name] for _, name in self.sorted[zone]]
 
-    def parents(self, known: Known, root: str) -> tuple[str, ...]:
-        if known.zone not in self.feeders:
-            self.feeders[known.zone] = feeders(self.order(known.zone))
+    def parents(self, known: NodeRecord, root: str) -> tuple[str, ...]:
+        if known.zone not in self.parents_by_zone:
+            self.parents_by_zone[known.zone] = assign_parents(self.order(known.zone))
         at = bisect_left(self.sorted[known.zone], self.ranks[known.name])
-        feeder = self.feeders[known.zone][at]
-        return (root,) if feeder is None or feeder.doubtful() or feeder.ip == root else (feeder.ip, root)
+        feeder = self.parents_by_zone[known.zone][at]
+        return (root,) if feeder is None or feeder.is_doubtful() or feeder.ip == root else (feeder.ip, root)
 
-    def watches(self, known: Known) -> list[Known]:
+    def probed_peers(self, known: NodeRecord) -> list[NodeRecord]:
         at = bisect_right(self.ring, (weight("ring", known.name), known.name))
-        following = [self.ring[(at + step) % len(self.ring)][1] for step in range(min(WATCHED, len(self.ring) - 1))]
+        following = [
+            self.ring[(at + step) % len(self.ring)][1] for step in range(min(PROBED_PEERS, len(self.ring) - 1))
+        ]
         return [self.nodes[name] for name in following]
--- a/lab/partitions.py
+++ b/lab/partitions.py
@@ -17,7 +17,7 @@
 
 from cypressbeam.consensus.failure_detection import FAILURE_TIMEOUT_S
 from cypressbeam.distribution.fencing import EpochFence
-from cypressbeam.distribution.subscription import HOLD_S
+from cypressbeam.distribution.subscription import HEARTBEAT_TIMEOUT_S
 from cypressbeam.node import core_machine
 from cypressbeam.node.gateway_node import GatewayNode
 from cypressbeam.protocol import frames
@@ -104,11 +104,11 @@
 
     def state(self) -> Any:
         """What a word of the root's may change."""
-        at = self.relay
+        at = self.tree
         return (
             at.configuration.newest,
-            at.servers.listing.life,
-            at.servers.listing.seq,
+            at.endpoints.endpoints.term,
+            at.endpoints.endpoints.sequence,
             sum(at.heartbeats.numbers.values()),
             at.registration.assignment,
         )
@@ -176,7 +176,7 @@
         if root is None or root.core is None or root.core.view is None:
             return False
         if isinstance(frame, (frames.RootHeartbeat, frames.EndpointUpdate)):
-            return frame.term == root.relay.servers.listing.life
+            return frame.term == root.tree.endpoints.endpoints.term
         return (
             isinstance(frame, (frames.ConfigurationAnnouncement, frames.ConfigurationDelta, frames.OutlierEjection))
             and getattr(frame, "epoch", 0) == root.core.view.epoch
@@ -190,7 +190,7 @@
             if (core := node.core) is not None
             and core.view is not None
             and core.replica is not None
-            and node.relay.position.is_root
+            and node.tree.position.is_root
             and core.replica.leadership.leads(self.now_s)
             and not (self.cut_s and self.is_struck(node.settings.ip))
         ]
@@ -201,22 +201,22 @@
         by_ip = {other.settings.ip: other for other in self.cluster.nodes.values()}
         at: GatewayNode | None = node
         for _ in range(len(by_ip)):
-            if at is None or at is root or at.relay.subscription.parent is None:
+            if at is None or at is root or at.tree.subscription.parent is None:
                 break
-            at = by_ip.get(at.relay.subscription.parent.ip)
-        return at is root and self.now_s - node.relay.subscription.beat_s < HOLD_S
+            at = by_ip.get(at.tree.subscription.parent.ip)
+        return at is root and self.now_s - node.tree.subscription.heartbeat_s < HEARTBEAT_TIMEOUT_S
 
     def look(self) -> None:
         """One instant: bounds, and that nobody goes back to a list of an earlier root's."""
         root = self.leader()
-        now = (root.settings.ip, root.relay.servers.listing.life) if root is not None else None
+        now = (root.settings.ip, root.tree.endpoints.endpoints.term) if root is not None else None
         if now != self.led:
             self.led, self.led_s = now, self.now_s
         if root is None:
             return
         assert root.core is not None and root.core.view is not None
-        self.lives.setdefault(root.relay.servers.listing.life, root.core.view.epoch)
-        if root.relay.configuration.revision == self.cluster.revision:
+        self.lives.setdefault(root.tree.endpoints.endpoints.term, root.core.view.epoch)
+        if root.tree.configuration.revision == self.cluster.revision:
             self.acked.setdefault(self.cluster.revision, self.now_s)
         for node in self.cluster.edges:
             if self.under(node, root):
@@ -225,7 +225,7 @@
                 self.breach(f"{node.settings.node} not under {root.settings.node} for {UNDER_S} s")
         due = [revision for revision, at_s in self.acked.items() if self.now_s - max(at_s, self.calm_s) > NEWEST_S]
         behind = [
-            node.settings.node for node in self.cluster.edges if due and node.relay.configuration.revision < max(due)
+            node.settings.node for node in self.cluster.edges if due and node.tree.configuration.revision < max(due)
         ]
         if behind:
             self.breach(f"{' '.join(behind)} without version {max(due)} after {NEWEST_S} s")
@@ -285,7 +285,7 @@
         while True:
             root = self.leader()
             if root is not None:
-                if root.relay.configuration.revision < self.cluster.revision:
+                if root.tree.configuration.revision < self.cluster.revision:
                     self.cluster.revision -= 1
                 with contextlib.suppress(StopIteration):  # the head is just restarting
                     self.cluster.order_at(root.members()[0])
@@ -303,7 +303,7 @@
         found.under_s.append(await until(lambda: all(self.under(node, root) for node in self.cluster.edges)))
         await until(lambda: any(revision >= first for revision in self.acked))
         number, at_s = min((one, at) for one, at in self.acked.items() if one >= first)
-        await until(lambda: all(node.relay.configuration.revision >= number for node in self.cluster.edges))
+        await until(lambda: all(node.tree.configuration.revision >= number for node in self.cluster.edges))
         found.newest_s.append(self.now_s - at_s)
         found.cut_newest_s.append(self.now_s - self.cut_s)
 
@@ -358,7 +358,7 @@
     """Nobody looks at the epoch of what it is told."""
     with (
         mock.patch.object(EpochFence, "rejects", lambda self, link, epoch: False),
-        mock.patch.object(EpochFence, "see", lambda self, epoch: setattr(self, "epoch", max(self.epoch, epoch))),
+        mock.patch.object(EpochFence, "observe", lambda self, epoch: setattr(self, "epoch", max(self.epoch, epoch))),
     ):
         yield
 
--- a/lab/power_loss_recovery.py
+++ b/lab/power_loss_recovery.py
@@ -88,16 +88,16 @@
         cluster = self.cluster
         root = cluster.root
         assert root is not None
-        cluster.revision = root.relay.configuration.revision
+        cluster.revision = root.tree.configuration.revision
         cluster.order_at(root.members()[0])
-        assert await cluster.until(lambda: root.relay.configuration.revision >= cluster.revision) < math.inf
+        assert await cluster.until(lambda: root.tree.configuration.revision >= cluster.revision) < math.inf
         return cluster.revision
 
     def cut_edges_off(self) -> None:
         """A third of the edge nodes reach no machine of the core."""
-        edges = [host.ip for host, settings in self.cluster.machines if settings.front is not None]
+        edges = [host.ip for host, settings in self.cluster.machines if settings.front_listener is not None]
         lost = set(self.chance.sample(edges, EDGES // 3))
-        cores = {host.ip for host, settings in self.cluster.machines if settings.front is None}
+        cores = {host.ip for host, settings in self.cluster.machines if settings.front_listener is None}
         self.cluster.net.cut = lambda one, other: (
             (one.ip in lost and other.ip in cores) or (other.ip in lost and one.ip in cores)
         )
@@ -125,7 +125,7 @@
         cluster, found = self.cluster, self.found
 
         def held() -> bool:
-            told = {node.settings.node: node.relay.configuration.revision for node in cluster.edges}
+            told = {node.settings.node: node.tree.configuration.revision for node in cluster.edges}
             older = [name for name, revision in told.items() if 0 < revision < confirmed]
             found.older = found.older or " ".join(older)
             return len(told) == EDGES and all(revision >= confirmed for revision in told.values())
--- a/lab/repair.py
+++ b/lab/repair.py
@@ -112,7 +112,7 @@
         await cluster.until(
             lambda: (
                 cluster.root is not None
-                and cluster.stands(settings.ip for _, settings in cluster.machines if settings.front is None)
+                and cluster.stands(settings.ip for _, settings in cluster.machines if settings.front_listener is None)
             )
         )
         < math.inf
@@ -120,7 +120,7 @@
     cluster.order()
     assert (
         await cluster.until(
-            lambda: all(node.relay.configuration.revision >= cluster.revision for node in cluster.cores_up())
+            lambda: all(node.tree.configuration.revision >= cluster.revision for node in cluster.cores_up())
         )
         < math.inf
     )
--- a/lab/replacements.py
+++ b/lab/replacements.py
@@ -209,7 +209,7 @@
     async def storm(self) -> None:
         while True:
             root = self.cluster.root
-            if root is not None and root.relay.configuration.revision >= self.cluster.revision:
+            if root is not None and root.tree.configuration.revision >= self.cluster.revision:
                 with contextlib.suppress(StopIteration):
                     self.cluster.order_at(root.members()[0])
             await asyncio.sleep(STORM_S)
@@ -229,25 +229,25 @@
 
     def newest_confirmed(self) -> bool:
         root = self.cluster.root
-        return root is not None and root.relay.configuration.revision >= self.cluster.revision
+        return root is not None and root.tree.configuration.revision >= self.cluster.revision
 
     async def lose_another(self) -> None:
         """The first machine of the chain that is left dies, and nothing of its disk comes back."""
         cluster = self.cluster
         victim = self.machine_at(cluster.newest().members()[0])
-        confirmed = max(node.relay.configuration.revision for node in cluster.cores_up())
+        confirmed = max(node.tree.configuration.revision for node in cluster.cores_up())
         cluster.stop(*victim)
         cluster.disks[victim[1].node] = Disk("f" * 12)
         began_s = self.now_s
         while self.now_s - began_s < NEXT_CHANGE_S:
             root = cluster.root
             if root is not None and root.settings.ip != victim[1].ip:
-                if root.relay.configuration.revision < confirmed:
+                if root.tree.configuration.revision < confirmed:
                     self.found.lost = (
-                        f"version {confirmed} was confirmed, the core has {root.relay.configuration.revision}"
+                        f"version {confirmed} was confirmed, the core has {root.tree.configuration.revision}"
                     )
                     return
-                cluster.revision = root.relay.configuration.revision
+                cluster.revision = root.tree.configuration.revision
                 with contextlib.suppress(StopIteration):
                     cluster.order_at(root.members()[0])
                 if await cluster.until(self.newest_confirmed, 0.5) < math.inf:
@@ -312,7 +312,7 @@
     """The replacement is asked for once the connections to the others are closed."""
 
     async def stop(self: nodes.GatewayNode) -> None:
-        self.relay.leave()
+        self.tree.drain()
         self.peers.close()
         await self.hand_over(self.loop.time() + GRACE_S)
 
