--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -15,7 +15,7 @@
 import pytest
 
 from cypressbeam.proxy.http_responses import Answer
-from cypressbeam.standalone.__main__ import Sparing
+from cypressbeam.standalone.__main__ import LogRateLimiter
 from cypressbeam.standalone.config import OVERFLOW, ConfigError, flatten, read_config
 from lab.loopback_network import LoopbackNetwork
 from tests.loopback import SETTINGS, SOON_S, Client, StubServer, configuration, listing, row, run, soon
@@ -94,7 +94,7 @@
 
 def test_log_lines_of_one_place_are_rationed() -> None:
     """A bad peer used to cost a line for each failure, hundreds a second."""
-    spare = Sparing()
+    spare = LogRateLimiter()
 
     def passes(line: int, at_s: float) -> str | None:
         record = logging.LogRecord("n", logging.WARNING, "f.py", line, "server %s", ("s1",), None)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -20,7 +20,7 @@
 from cypressbeam.consensus.high_water_marks import HighWaterMarks
 from cypressbeam.consensus.views import Entry, View
 from cypressbeam.storage import store as stores
-from cypressbeam.storage.store import FILE, Loaded, Store, StoreError
+from cypressbeam.storage.store import FILE_NAME, LoadedState, SqliteStore, StoreError
 
 VIEW = View(256, ("10.0.0.1/a", "10.0.0.2/b"), ("10.0.0.1/a", "10.0.0.2/b", "10.0.0.3/c"))
 Files = dict[str, bytes]
@@ -36,7 +36,7 @@
 
 async def written(folder: Path, entries: int) -> list[Files]:
     """The files after each of some writes, as they are while the node runs."""
-    store, states = Store(folder), []
+    store, states = SqliteStore(folder), []
     await store.load()
     await store.save_view(VIEW, None, {})
     for number in range(1, entries + 1):
@@ -46,21 +46,21 @@
     return states
 
 
-def close(store: Store) -> None:
+def close(store: SqliteStore) -> None:
     """And wait until the files are left alone."""
     store.close()
     store.thread.join()
 
 
-def load(found: Files) -> Loaded:
+def load(found: Files) -> LoadedState:
     """What a node that starts from these files reads. Raises StoreError."""
     folder = Path(tempfile.mkdtemp(prefix="cypressbeam-store-"))
     try:
         for name, data in found.items():
             (folder / name).write_bytes(data)
 
-        async def read() -> Loaded:
-            store = Store(folder)
+        async def read() -> LoadedState:
+            store = SqliteStore(folder)
             try:
                 return await store.load()
             finally:
@@ -83,21 +83,21 @@
 ) -> None:
     """Of the bytes that one more write added, some are there, and some of those are wrong."""
     before, after = states[at], states[at + 1]
-    wal = f"{FILE}-wal"
-    assert before[FILE] == after[FILE] and after[wal].startswith(before[wal])
+    wal = f"{FILE_NAME}-wal"
+    assert before[FILE_NAME] == after[FILE_NAME] and after[wal].startswith(before[wal])
     added = bytearray(after[wal][len(before[wal]) :])
     added = added[: int(len(added) * kept)]
     chance = random.Random(seed)
     for _ in range(spoilt if added else 0):
         added[chance.randrange(len(added))] ^= 1 << chance.randrange(8)
     found = load(before | {wal: before[wal] + bytes(added)})
-    assert found.view == VIEW and found.last in (entry(at + 1), entry(at + 2))
-    assert found.last == entry(at + 1) or not spoilt
+    assert found.view == VIEW and found.entry in (entry(at + 1), entry(at + 2))
+    assert found.entry == entry(at + 1) or not spoilt
 
 
 def test_what_was_synced_is_read_back_whole(states: list[Files]) -> None:
     found = load(states[-1])
-    assert (found.view, found.last, set(found.taken)) == (VIEW, entry(6), {10, 20, 30, 40, 50, 60})
+    assert (found.view, found.entry, set(found.applied_digests)) == (VIEW, entry(6), {10, 20, 30, 40, 50, 60})
 
 
 def spoil_a_body(data: bytes) -> bytes:
@@ -127,20 +127,25 @@
     """It used to end the process, at each start anew."""
 
     async def scenario() -> None:
-        store = Store(tmp_path)
+        store = SqliteStore(tmp_path)
         old = (await store.load()).identity
         await store.save_view(VIEW, entry(6), {})
         close(store)
-        torn = spoil((tmp_path / FILE).read_bytes())
-        (tmp_path / FILE).write_bytes(torn)
-        store = Store(tmp_path)
+        torn = spoil((tmp_path / FILE_NAME).read_bytes())
+        (tmp_path / FILE_NAME).write_bytes(torn)
+        store = SqliteStore(tmp_path)
         found = await store.load()
-        assert found.identity != old and (found.promised, found.view, found.last, found.taken) == (0, None, None, {})
+        assert found.identity != old and (found.promised, found.view, found.entry, found.applied_digests) == (
+            0,
+            None,
+            None,
+            {},
+        )
         await store.save_promise(512)
         close(store)
-        assert (tmp_path / f"{FILE}.aside-1").read_bytes() == torn
+        assert (tmp_path / f"{FILE_NAME}.aside-1").read_bytes() == torn
         assert "state.db is kept as state.db.aside-1" in caplog.text
-        store = Store(tmp_path)
+        store = SqliteStore(tmp_path)
         again = await store.load()
         assert (again.identity, again.promised) == (found.identity, 512)
         close(store)
@@ -150,7 +155,7 @@
 
 def test_a_machine_that_starts_anew_keeps_its_old_files(tmp_path: Path) -> None:
     async def scenario() -> None:
-        store = Store(tmp_path)
+        store = SqliteStore(tmp_path)
         names = set()
         for number in range(11):
             found = await store.load(anew=number > 0)
@@ -161,11 +166,13 @@
         close(store)
 
     asyncio.run(scenario())
-    with sqlite3.connect(tmp_path / f"{FILE}.aside-1") as database:  # as docs/operations/recovery.md brings it back
+    with sqlite3.connect(
+        tmp_path / f"{FILE_NAME}.aside-1"
+    ) as database:  # as docs/operations/recovery.md brings it back
         assert database.execute("select body from entry order by number desc limit 1").fetchone() == (entry(1).body,)
     database.close()
     kept = sorted(path.name for path in tmp_path.iterdir())
-    assert kept == [FILE, *(f"{FILE}.aside-{number}" for number in range(1, 9))]
+    assert kept == [FILE_NAME, *(f"{FILE_NAME}.aside-{number}" for number in range(1, 9))]
 
 
 def test_a_start_is_counted_with_the_first_write_and_what_others_told_is_kept(tmp_path: Path) -> None:
@@ -173,13 +180,15 @@
         told = {"10.0.0.2/b": HighWaterMarks(3, 4, 512, 512, 7)}
         seen = []
         for _ in range(3):
-            store = Store(tmp_path)
+            store = SqliteStore(tmp_path)
             found = await store.load()
-            seen.append((found.own, found.raised, found.marks))
-            assert store.note(told)
+            seen.append((found.durable_marks, found.pending_marks, found.reported_marks))
+            assert store.stage_marks(told)
             await store.save_view(VIEW, None, {})
-            assert not store.note(told) and not store.note({"10.0.0.2/b": HighWaterMarks(3, 4, 512, 512, 8)})
-            assert store.note({"10.0.0.2/b": HighWaterMarks(4, 5, 512, 512, 8)})
+            assert not store.stage_marks(told) and not store.stage_marks(
+                {"10.0.0.2/b": HighWaterMarks(3, 4, 512, 512, 8)}
+            )
+            assert store.stage_marks({"10.0.0.2/b": HighWaterMarks(4, 5, 512, 512, 8)})
             close(store)
         assert [(own.incarnation, raised.incarnation) for own, raised, _ in seen] == [(1, 1), (1, 2), (2, 3)]
         assert [own.incarnation_id for own, _, _ in seen[1:]] == [raised.incarnation_id for _, raised, _ in seen[:-1]]
@@ -192,19 +201,19 @@
     monkeypatch.setattr(stores, "MAX_DIGESTS", 4)
 
     async def scenario() -> None:
-        store = Store(tmp_path)
+        store = SqliteStore(tmp_path)
         await store.load()
         await store.save_view(VIEW, entry(1), {number: bytes(32) for number in range(-20, 0)})
         for number in range(2, 7):
             await store.save_entry(entry(number))
-        assert set((await store.load()).taken) == {30, 40, 50, 60}
+        assert set((await store.load()).applied_digests) == {30, 40, 50, 60}
         close(store)
 
     asyncio.run(scenario())
 
 
 def test_the_state_of_a_later_program_is_left_alone(tmp_path: Path) -> None:
-    with sqlite3.connect(tmp_path / FILE) as database:
+    with sqlite3.connect(tmp_path / FILE_NAME) as database:
         database.execute("pragma user_version=99")
     database.close()
     with pytest.raises(StoreError, match="format 99"):
@@ -218,10 +227,10 @@
     """A store whose thread stands still until it is let go; then it does all that waits before the loop goes on."""
 
     def __init__(self, folder: Path) -> None:
-        self.store = Store(folder)
+        self.store = SqliteStore(folder)
         self.may_go_on = threading.Event()
 
-    async def begin(self) -> Loaded:
+    async def begin(self) -> LoadedState:
         found = await self.store.load()
         await self.store.save_view(VIEW, None, {})
         self.store.work.put(self.stand_still)
@@ -247,9 +256,9 @@
     async def scenario() -> None:
         held = Held(tmp_path)
         await held.begin()
-        held.store.note({"10.0.0.9/x": HighWaterMarks(1, 2, 300)})
+        held.store.stage_marks({"10.0.0.9/x": HighWaterMarks(1, 2, 300)})
         one = await begun(held.store.save_promise(300))
-        held.store.note({})  # a view has let that member go
+        held.store.stage_marks({})  # a view has let that member go
         other = await begun(held.store.save_promise(301))
         held.let_go()
         await asyncio.gather(one, other)
@@ -257,7 +266,7 @@
 
     asyncio.run(scenario())
     found = load(files(tmp_path))
-    assert found.promised == 301 and found.marks == {}
+    assert found.promised == 301 and found.reported_marks == {}
 
 
 def test_a_write_is_of_what_its_caller_had_when_it_was_begun(tmp_path: Path) -> None:
@@ -269,25 +278,27 @@
         taken[20] = b"twenty"
         held.let_go()
         await write
-        found.marks["10.0.0.2/b"] = HighWaterMarks(1, 2)
-        assert held.store.note(found.marks)  # what the caller does with what it was given is not on disk
+        found.reported_marks["10.0.0.2/b"] = HighWaterMarks(1, 2)
+        assert held.store.stage_marks(
+            found.reported_marks
+        )  # what the caller does with what it was given is not on disk
         close(held.store)
 
     asyncio.run(scenario())
-    assert load(files(tmp_path)).taken == {10: b"ten"}
+    assert load(files(tmp_path)).applied_digests == {10: b"ten"}
 
 
 def test_the_loop_and_the_thread_may_take_turns_after_each_step(tmp_path: Path) -> None:
     async def scenario() -> dict[str, HighWaterMarks]:
         store, marks, taken = (
-            Store(tmp_path),
+            SqliteStore(tmp_path),
             {"10.0.0.2/b": HighWaterMarks(1, 2)},
             dict.fromkeys(range(1, 400), b"mark"),
         )
         await store.load()
         writes = []
         for number in range(1, 60):
-            store.note(marks)
+            store.stage_marks(marks)
             writes.append(
                 await begun(
                     store.save_entry(entry(number)) if number % 3 else store.save_view(VIEW, entry(number), taken)
@@ -298,7 +309,7 @@
             marks.pop(f"10.0.1.{number - 2}/n", None)
             if number % 10 == 0:
                 await asyncio.gather(*writes)
-        store.note(marks)
+        store.stage_marks(marks)
         await asyncio.gather(*writes, store.save_promise(400))
         close(store)
         return marks
@@ -310,4 +321,4 @@
     finally:
         sys.setswitchinterval(usual_s)
     found = load(files(tmp_path))
-    assert found.marks == marks and found.last == entry(59)
+    assert found.reported_marks == marks and found.entry == entry(59)
--- a/tests/test_thin_links.py
+++ b/tests/test_thin_links.py
@@ -43,11 +43,11 @@
         return zlib.compress(delta.RANGE.pack(0, 0, len(body)) + body, 0)
 
     def on_the_same(self: Peers, ip: str) -> Link:
-        return self.to(ip)
+        return self.link_to(ip)
 
     monkeypatch.setattr(delta, "pack", whole)
-    monkeypatch.setattr(Peers, "bulk", on_the_same)
-    monkeypatch.setattr(link, "SLICE_BYTES", (1 << 24, 1 << 24))
+    monkeypatch.setattr(Peers, "bulk_link_to", on_the_same)
+    monkeypatch.setattr(link, "CHUNK_BYTES", (1 << 24, 1 << 24))
     monkeypatch.setattr(link, "WINDOW_BYTES", (1 << 24, 1 << 24))
     monkeypatch.setattr(link, "LINK_SHARE", 1e9)
     monkeypatch.setattr(link, "FREE_SHARE", 1e9)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from cypressbeam.balancing.interface import Ending, Report
-from cypressbeam.proxy.http_responses import MOST_ANSWER, Answer
+from cypressbeam.balancing.interface import AttemptOutcome, Report
+from cypressbeam.proxy.http_responses import MAX_ANSWER_BYTES, Answer
 from cypressbeam.proxy.protocol_profile import read_report
 from cypressbeam.proxy.upstream import Attempt, Upstream
 from cypressbeam.standalone.discovery import read_list
@@ -237,12 +237,12 @@
             client = await made.client()
             client.send("order")
             got = await made.servers[0].next()
-            got.reply(body=b"a" * (MOST_ANSWER + 1))
+            got.reply(body=b"a" * (MAX_ANSWER_BYTES + 1))
             assert (await client.answer()).status == 502
             await soon(got.peer.lost.wait())
             client.send("order")
-            (await made.servers[0].next()).reply(body=b"a" * MOST_ANSWER)
-            assert len((await client.answer()).body) == MOST_ANSWER
+            (await made.servers[0].next()).reply(body=b"a" * MAX_ANSWER_BYTES)
+            assert len((await client.answer()).body) == MAX_ANSWER_BYTES
 
     run(scenario())
 
@@ -412,7 +412,7 @@
             for number in range(1, 20):
                 left = row(number - 1, port, lifecycle="left")
                 told(made, 1 + number, left, row(number, port), whole=False)
-            assert list(made.node.upstream.places) == ["s19"]
+            assert list(made.node.upstream.pools) == ["s19"]
             assert made.node.balancer.servers["s19"].success == 1.0
             client.send("order")
             got = await made.servers[0].next()
@@ -425,7 +425,7 @@
             while len(made.node.balancer.servers) > 1:
                 await asyncio.sleep(0.01)
             told(made, 30, row(7, port))
-            assert list(made.node.upstream.places) == ["s7"] and made.node.live == {"s7"}
+            assert list(made.node.upstream.pools) == ["s7"] and made.node.live == {"s7"}
 
     run(scenario())
 
@@ -519,13 +519,13 @@
     async def scenario() -> None:
         server = StubServer()
         await server.start()
-        ended: asyncio.Queue[Ending] = asyncio.Queue()
+        ended: asyncio.Queue[AttemptOutcome] = asyncio.Queue()
 
-        def on_end(attempt: Attempt, ending: Ending, answer: Answer | None, report: Report | None) -> None:
+        def on_end(attempt: Attempt, ending: AttemptOutcome, answer: Answer | None, report: Report | None) -> None:
             ended.put_nowait(ending)
 
         upstream = Upstream(5_000_000, 60_000_000, 4, lambda: 0, on_end)
-        upstream.place("s", ("127.0.0.1", server.port), LONG_AGO_MS, True)
+        upstream.pool("s", ("127.0.0.1", server.port), LONG_AGO_MS, True)
         message = b"POST /order HTTP/1.1\r\nContent-Length: 50000000\r\n\r\n" + b"a" * 50_000_000
         upstream.start(Attempt("r1", 0, "s", message, 0))
         peer = await soon(server.opened.get())
@@ -533,7 +533,7 @@
         while not any(connection.unwritten for connection in upstream.connections):
             await asyncio.sleep(0.001)
         peer.transport.abort()
-        assert await soon(ended.get()) is Ending.RESET
+        assert await soon(ended.get()) is AttemptOutcome.RESET
         upstream.close()
         server.stop()
 
--- a/tests/test_validity.py
+++ b/tests/test_validity.py
@@ -12,11 +12,11 @@
 from cypressbeam.consensus.chain import MAX_RESULT_TEXT, ChainReplica
 from cypressbeam.consensus.effects import PersistEntry, SendMessage
 from cypressbeam.consensus.views import View
-from cypressbeam.node.control_api import Control
+from cypressbeam.node.control_api import ControlApi
 from cypressbeam.node.core_machine import revision_of
 from cypressbeam.protocol import configuration, frames
-from cypressbeam.proxy.http_requests import BadRequest, Message
-from cypressbeam.proxy.routing import Table
+from cypressbeam.proxy.http_requests import BadRequestError, RequestMessage
+from cypressbeam.proxy.routing import RoutingTable
 from lab.local_cluster import HOST, demo_configuration
 from tests.loopback import run
 
@@ -156,7 +156,7 @@
     ids=lambda value: str(value)[:30],
 )
 def test_odd_bytes_are_refused(body: bytes, told: str) -> None:
-    with pytest.raises(configuration.Invalid, match=told):
+    with pytest.raises(configuration.InvalidConfigurationError, match=told):
         configuration.read(body)
 
 
@@ -178,11 +178,11 @@
 def test_what_an_earlier_program_has_committed_is_served_though_this_one_would_refuse_it() -> None:
     """Else edge nodes of two programs would have different configurations in force."""
     for body in (pairs(*ITEMS, ("revision", NEXT + 1)), cbor2.dumps(another_route(host=f"{HOST}:80"))):
-        assert Table(configuration.read_committed(body)).find(HOST, "/find/1") is not None
+        assert RoutingTable(configuration.read_committed(body)).find(HOST, "/find/1") is not None
 
 
 def test_a_route_whose_host_has_a_port_is_served() -> None:
-    table = Table(configuration.read(cbor2.dumps(another_route(host="Shop.example:8443"))))
+    table = RoutingTable(configuration.read(cbor2.dumps(another_route(host="Shop.example:8443"))))
     assert all(table.find(host, "/find/1") for host in ("shop.example", "shop.example:80", "SHOP.example:8443"))
 
 
@@ -212,9 +212,9 @@
 @pytest.mark.parametrize(
     ("base", "taken"),
     [
-        (str(configuration.MOST_REVISION), True),
+        (str(configuration.MAX_REVISION), True),
         ("0", True),
-        (str(configuration.MOST_REVISION + 1), False),
+        (str(configuration.MAX_REVISION + 1), False),
         ("9" * 5000, False),
         ("-1", False),
         ("1.0", False),
@@ -224,12 +224,12 @@
 )
 def test_any_version_that_may_be_in_force_can_be_built_on(base: str, taken: bool) -> None:
     passed: list[frames.Frame] = []
-    message = Message(
+    message = RequestMessage(
         b"POST", b"/-/Configuration.Replace", [(b"base-revision", b"Base-Revision", base.encode())], b"x", True, 0
     )
 
     async def scenario() -> None:
-        control = Control("10.0.0.1", lambda: ("10.0.0.2",), lambda ip, frame: passed.append(frame), Mock())
+        control = ControlApi("10.0.0.1", lambda: ("10.0.0.2",), lambda ip, frame: passed.append(frame), Mock())
         control.replace(message, Mock())
         control.client_gone(next(iter(control.calls)))
 
@@ -238,5 +238,5 @@
         assert isinstance(passed[0], frames.WriteRequest) and passed[0].base == int(base)
         assert passed[0].pack()  # it has room for that
     else:
-        with pytest.raises(BadRequest):
+        with pytest.raises(BadRequestError):
             run(scenario())
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -7,7 +7,7 @@
 
 from cypressbeam import balancing as pr
 from cypressbeam.balancing.balancer import TRIAL_US, Balancer
-from cypressbeam.distribution.outlier_detection import REST_S, WINDOW_S, Verdicts
+from cypressbeam.distribution.outlier_detection import EJECTION_S, WINDOW_S, OutlierDetector
 from lab.day import Day, Kind, Service, Trouble
 from lab.emulator import World
 
@@ -17,31 +17,31 @@
 
 
 def test_two_nodes_of_a_zone_make_a_verdict_for_it_once_in_a_rest() -> None:
-    verdicts = Verdicts()
+    verdicts = OutlierDetector()
     assert verdicts.report("n1", "a", ["s1"], LISTED, 10.0) == []
     assert verdicts.report("n1", "a", ["s1"], LISTED, 10.1) == []  # the same one again
     assert verdicts.report("n2", "b", ["s1"], LISTED, 10.2) == []  # of another zone: it may fail for one alone
     assert verdicts.report("n3", "a", ["s1", "s2", "s1"], LISTED, 10.3) == ["s1"]
     assert verdicts.report("n4", "a", ["s1"], LISTED, 10.4) == []  # told of just now
-    assert verdicts.report("n4", "a", ["s1"], LISTED, 10.3 + REST_S) == ["s1"]
+    assert verdicts.report("n4", "a", ["s1"], LISTED, 10.3 + EJECTION_S) == ["s1"]
 
 
 def test_reports_fade_and_leave_nothing_behind() -> None:
-    verdicts = Verdicts()
+    verdicts = OutlierDetector()
     verdicts.report("n1", "a", ["s1"], LISTED, 10.0)
     assert verdicts.report("n2", "a", ["s1"], LISTED, 10.1 + WINDOW_S) == []
     verdicts.report("n2", "a", ["s1"], LISTED, 11.0 + WINDOW_S)
     verdicts.forget(100.0)
-    assert not verdicts.reports and not verdicts.told
+    assert not verdicts.reports and not verdicts.ejected
 
 
 def test_a_node_that_is_ill_itself_and_a_day_on_which_all_fails_empty_no_zone() -> None:
-    verdicts = Verdicts()
+    verdicts = OutlierDetector()
     everything = [f"s{number}" for number in range(LISTED)]
     assert verdicts.report("ill", "a", everything, LISTED, 10.0) == []
     assert verdicts.report("well", "a", ["s1"], LISTED, 10.1) == []  # the other reporter does not count
     assert verdicts.report("well-too", "a", ["s1"], LISTED, 10.2) == ["s1"]
-    busy = Verdicts()
+    busy = OutlierDetector()
     told = []
     for number in range(LISTED):  # a few of each node, so that none looks ill
         for node in range(2):
@@ -51,8 +51,8 @@
 
 def balancer() -> Balancer:
     kinds = (
-        pr.RequestClass("read", pr.Repeat.SAFE, aim_us=10**6, deadline_us=10**7),
-        pr.RequestClass("order", pr.Repeat.UNSAFE, aim_us=10**6, deadline_us=10**7),
+        pr.RequestClass("read", pr.Repeat.SAFE, latency_target_us=10**6, deadline_us=10**7),
+        pr.RequestClass("order", pr.Repeat.UNSAFE, latency_target_us=10**6, deadline_us=10**7),
     )
     made = Balancer(pr.Settings(classes=kinds, proxies=40), seed=1)
     made.handle(0, pr.ListChanged(1, pr.ListScope.WHOLE, tuple(pr.ServerEntry(f"s{i}") for i in range(2))))
@@ -62,18 +62,18 @@
 def sent_to(made: Balancer, now_us: int, ident: str, kind: str) -> str:
     actions = made.handle(now_us, pr.RequestArrived(ident, kind, now_us + 10**7))
     (send,) = [action for action in actions if isinstance(action, pr.Send)]
-    made.handle(now_us + 10, pr.AttemptEnded(ident, 0, send.server, pr.Ending.OK, 10, True))
+    made.handle(now_us + 10, pr.AttemptEnded(ident, 0, send.server, pr.AttemptOutcome.OK, 10, True))
     return send.server
 
 
 def test_a_verdict_rests_a_server_as_a_fault_of_ones_own_and_no_longer() -> None:
     made = balancer()
-    made.handle(1, pr.ServerAils("s0"))
-    made.handle(1, pr.ServerAils("unknown"))
-    rest_us = made.servers["s0"].rest_us
+    made.handle(1, pr.ServerUnhealthy("s0"))
+    made.handle(1, pr.ServerUnhealthy("unknown"))
+    rest_us = made.servers["s0"].ejected_until_us
     assert 0.75 * TRIAL_US <= rest_us <= 1.25 * TRIAL_US
-    made.handle(2, pr.ServerAils("s0"))  # it rests already
-    assert made.servers["s0"].rest_us == rest_us and made.servers["s0"].faults == 1
+    made.handle(2, pr.ServerUnhealthy("s0"))  # it rests already
+    assert made.servers["s0"].ejected_until_us == rest_us and made.servers["s0"].consecutive_faults == 1
     assert {sent_to(made, 100 + i, f"r{i}", "read") for i in range(30)} == {"s1"}
     later = 2 * TRIAL_US
     assert {sent_to(made, later + i, f"o{i}", "order") for i in range(30)} == {"s1"}  # tried with what may be repeated
--- a/tests/test_word_rules.py
+++ b/tests/test_word_rules.py
@@ -13,12 +13,12 @@
 from cypressbeam.consensus.state import ReplicaState
 from cypressbeam.consensus.views import View
 from cypressbeam.distribution.outlier_reports import OutlierReports
-from cypressbeam.node.control_api import Control
+from cypressbeam.node.control_api import ControlApi
 from cypressbeam.node.core_machine import HIGHER_EPOCH_S, CoreMachine
-from cypressbeam.node.gateway_node import ALONE_S, GatewayNode
+from cypressbeam.node.gateway_node import ISOLATED_AFTER_S, GatewayNode
 from cypressbeam.node.leader_role import INTRODUCTION_INTERVAL_S
 from cypressbeam.protocol import configuration, frames
-from cypressbeam.storage.store import Loaded
+from cypressbeam.storage.store import LoadedState
 from cypressbeam.transport.peers import Link
 from tests.loopback import run
 from tests.parts import FIRST, ME, OTHER, ROOT, SECOND, SETTINGS, THIRD, Part, Wire
@@ -77,7 +77,7 @@
         elif why == "a later promise":
             machine.replica.voter.promised = THIRD
         elif why == "a higher epoch":
-            machine.relay.fence.see(THIRD)
+            machine.relay.fence.observe(THIRD)
         assert machine.core.vouched_leader() == named
 
     run(scenario())
@@ -111,7 +111,7 @@
     async def scenario() -> None:
         machine = Machine().as_root()
         link = machine.child(SECOND)
-        machine.relay.fence.see(THIRD)
+        machine.relay.fence.observe(THIRD)
         assert not machine.relay.position.is_root and link.kinds()[-1] == "Unsubscribed"
         machine.core.set_leadership(True)
         assert not machine.relay.position.is_root
@@ -124,7 +124,7 @@
         machine = Machine().as_root()
         link = machine.child(SECOND)
         machine.state.view = replace(VIEW, epoch=THIRD)
-        machine.relay.fence.see(THIRD)
+        machine.relay.fence.observe(THIRD)
         assert machine.relay.position.is_root and link in machine.relay.children.links
         assert isinstance(link.sent[-1], frames.RootHeartbeat) and link.sent[-1].epoch == THIRD
 
@@ -134,7 +134,7 @@
 def test_a_tail_below_what_nodes_have_seen_is_no_root_and_proposes_a_view_above_that() -> None:
     async def scenario() -> None:
         machine = Machine()
-        machine.relay.fence.see(THIRD)
+        machine.relay.fence.observe(THIRD)
         machine.core.follow_leadership(machine.replica, machine.now_s)
         assert not machine.relay.position.is_root
         machine.now_s += HIGHER_EPOCH_S - 0.1
@@ -182,7 +182,7 @@
         machine = Machine().as_root()
         link = machine.child(SECOND)
         reports = OutlierReports(machine.relay.context, machine.relay, lambda servers: None)
-        reports.verdicts = cast(Any, SimpleNamespace(report=lambda *_: ["s"]))
+        reports.detector = cast(Any, SimpleNamespace(report=lambda *_: ["s"]))
         reports.pass_up(frames.OutlierReport(0, "x", "a", ("s",)))
         assert link.sent[-1] == frames.OutlierEjection("a", ("s",), SECOND)
 
@@ -210,17 +210,17 @@
         part = Part().under(SECOND)
         if why != "a parent":
             part.relay.subscription.parent = None
-        part.now_s += ALONE_S + (-0.1 if why == "a moment only" else 0.1)
-        part.peers.heard = {OTHER: part.now_s - 1.0} if why == "heard lately" else {}
+        part.now_s += ISOLATED_AFTER_S + (-0.1 if why == "a moment only" else 0.1)
+        part.peers.last_heard_s = {OTHER: part.now_s - 1.0} if why == "heard lately" else {}
         node = SimpleNamespace(
-            relay=part.relay,
+            tree=part.relay,
             core=Mock() if why == "of the core" else None,
             peers=part.peers,
             loop=part.relay.context.loop,
         )
-        assert GatewayNode.alone(cast(Any, node)) is alone
-        control = Control(ME, lambda: (ROOT,), lambda ip, frame: None, Mock(), alone=lambda: alone)
-        answer = control.pass_on(frames.ReadRequest(1, ME), Mock())
+        assert GatewayNode.is_isolated(cast(Any, node)) is alone
+        control = ControlApi(ME, lambda: (ROOT,), lambda ip, frame: None, Mock(), is_isolated=lambda: alone)
+        answer = control.submit(frames.ReadRequest(1, ME), Mock())
         assert (answer is not None and answer.status == 503) is alone
         control.calls.clear()
 
@@ -230,8 +230,10 @@
 def test_a_machine_judges_by_the_version_of_its_program() -> None:
     async def scenario() -> None:
         machine = Machine()
-        machine.core.adopt(Loaded("abc", 0, None, None, {}))
-        assert machine.core.replica is not None and machine.core.replica.check_version == configuration.CHECKS > 0
+        machine.core.adopt(LoadedState("abc", 0, None, None, {}))
+        assert (
+            machine.core.replica is not None and machine.core.replica.check_version == configuration.CHECK_VERSION > 0
+        )
 
     run(scenario())
 
