--- a/cypressbeam/admin/backup.py
+++ b/cypressbeam/admin/backup.py
@@ -10,8 +10,8 @@
 from cypressbeam.admin.errors import RequestRefusedError, UnusableFileError
 from cypressbeam.admin.status import read_state
 from cypressbeam.protocol import configuration
+from cypressbeam.protocol.address import Address
 from cypressbeam.protocol.configuration import InvalidConfigurationError
-from cypressbeam.standalone.discovery import Address
 from cypressbeam.storage.files import write_atomically
 
 #: The first field of a saved state, and its version.
--- a/cypressbeam/admin/calls.py
+++ b/cypressbeam/admin/calls.py
@@ -4,8 +4,9 @@
 
 import msgspec
 
+from cypressbeam.protocol.address import Address
+from cypressbeam.proxy.http_client import HttpClient
 from cypressbeam.proxy.http_responses import Answer
-from cypressbeam.standalone.discovery import Address, HttpClient
 
 CALL_S = 5.0
 
--- a/cypressbeam/admin/config_calls.py
+++ b/cypressbeam/admin/config_calls.py
@@ -11,8 +11,8 @@
 from cypressbeam.admin.errors import RequestRefusedError
 from cypressbeam.node.control_api import READ, REPLACE
 from cypressbeam.protocol import configuration
+from cypressbeam.protocol.address import Address, read_address
 from cypressbeam.proxy.http_responses import Answer
-from cypressbeam.standalone.discovery import Address, read_address
 
 #: A call is sent elsewhere so often at most.
 MOST_HOPS = 2
--- a/cypressbeam/admin/errors.py
+++ b/cypressbeam/admin/errors.py
@@ -2,10 +2,12 @@
 
 from __future__ import annotations
 
+from cypressbeam.errors import CypressbeamError
 
-class UnusableFileError(Exception):
+
+class UnusableFileError(CypressbeamError):
     """A file that can't be used, or an answer that makes no sense: one line."""
 
 
-class RequestRefusedError(Exception):
+class RequestRefusedError(CypressbeamError):
     """The system has answered, and not with what was asked for: one line."""
--- a/cypressbeam/admin/membership.py
+++ b/cypressbeam/admin/membership.py
@@ -14,7 +14,7 @@
 from cypressbeam.admin.status import describe_quorum_loss, read_state
 from cypressbeam.consensus.views import ip_of
 from cypressbeam.node.control_api import MEMBERS
-from cypressbeam.standalone.discovery import Address
+from cypressbeam.protocol.address import Address
 
 #: A change of members is sent again after so long, and given up after so long: a newcomer on a thin link is brought
 #: level in seconds.
--- a/cypressbeam/admin/status.py
+++ b/cypressbeam/admin/status.py
@@ -9,7 +9,7 @@
 from cypressbeam.admin.calls import call
 from cypressbeam.admin.errors import RequestRefusedError
 from cypressbeam.node.state_query import STATE
-from cypressbeam.standalone.discovery import Address
+from cypressbeam.protocol.address import Address
 
 
 async def read_state(where: Address) -> dict[str, Any]:
--- a/cypressbeam/balancing/balancer.py
+++ b/cypressbeam/balancing/balancer.py
@@ -231,18 +231,18 @@
         self.asked[name] += work
         self.since_us = now_us
 
-    def passing(self, name: str, share: float, earns: dict[str, float]) -> float:
+    def passing(self, name: str, share: float, value_per_work: dict[str, float]) -> float:
         """How much of a class to let through: in proportion to what it earns for its work, at most all."""
         room = share * sum(self.asked.values())
-        claims = sum(earns[other] * asked for other, asked in self.asked.items())
-        for dear in sorted(earns, key=lambda other: -earns[other]):
-            if not claims or room * earns[dear] < claims:
+        claims = sum(value_per_work[other] * asked for other, asked in self.asked.items())
+        for dear in sorted(value_per_work, key=lambda other: -value_per_work[other]):
+            if not claims or room * value_per_work[dear] < claims:
                 break  # not all of this one fits, so it and the cheaper ones share what is left
             if dear == name:
                 return 1.0
             room -= self.asked[dear]
-            claims -= earns[dear] * self.asked[dear]
-        return min(1.0, max(room, 0.0) * earns[name] / claims) if claims > 0 else 1.0
+            claims -= value_per_work[dear] * self.asked[dear]
+        return min(1.0, max(room, 0.0) * value_per_work[name] / claims) if claims > 0 else 1.0
 
 
 class ZoneSpillover:
@@ -816,11 +816,11 @@
 
     def capacity_of(self, server: ServerView) -> float:
         """What a server can do now against one of the usual speed, as far as is known; less if it fails."""
-        warmth = self.slow_start_factor(server)
+        slow_start = self.slow_start_factor(server)
         speed = 1.0
-        if warmth >= 1.0 and server.service_us:
+        if slow_start >= 1.0 and server.service_us:
             speed = self.fleet_service_us / server.service_us
-        return warmth * min(max(speed, 1.0 / SPEED_BOUND), SPEED_BOUND) * self.success_of(server)
+        return slow_start * min(max(speed, 1.0 / SPEED_BOUND), SPEED_BOUND) * self.success_of(server)
 
     def update_weights(self) -> None:
         """The weights by which servers are drawn, once a housekeeping."""
@@ -989,13 +989,13 @@
         spreads = [p.exceeding(SPREAD_SHARE) / p.exceeding(0.5) for p in self.percentiles.values() if p.total]
         self.spread = mean(spreads) or 1.0
         # What a class earns for the work it takes, against the dearest: the cheap give way first in a jam.
-        earns = {}
+        value_per_work = {}
         for name, kind in self.kinds.items():
             quick_us = self.percentiles[name].exceeding(QUICK_SHARE)
             if quick_us:  # a class not yet answered gives way to none, and none to it
-                earns[name] = kind.value / (1.0 if self.settings.worth_by_work else quick_us)
-        most = max(earns.values(), default=0.0) or 1.0
-        self.value_weights = {name: max(earns.get(name, most) / most, 0.01) for name in self.kinds}
+                value_per_work[name] = kind.value / (1.0 if self.settings.worth_by_work else quick_us)
+        most = max(value_per_work.values(), default=0.0) or 1.0
+        self.value_weights = {name: max(value_per_work.get(name, most) / most, 0.01) for name in self.kinds}
         self.standing = {name: earned**GIVE_WAY for name, earned in self.value_weights.items()}
 
     def slow_start_factor(self, server: ServerView) -> float:
--- a/cypressbeam/cli/config.py
+++ b/cypressbeam/cli/config.py
@@ -11,7 +11,7 @@
 from cypressbeam.admin import config_calls, config_file
 from cypressbeam.cli.output import as_json, run_call
 from cypressbeam.cli.parameters import FILE, NEW_FILE, WHERE
-from cypressbeam.standalone.discovery import Address
+from cypressbeam.protocol.address import Address
 
 
 @click.group()
--- a/cypressbeam/cli/member.py
+++ b/cypressbeam/cli/member.py
@@ -7,7 +7,7 @@
 from cypressbeam.admin import membership
 from cypressbeam.cli.output import as_json, run_call
 from cypressbeam.cli.parameters import WHERE
-from cypressbeam.standalone.discovery import Address
+from cypressbeam.protocol.address import Address
 
 
 @click.group()
--- a/cypressbeam/cli/parameters.py
+++ b/cypressbeam/cli/parameters.py
@@ -7,7 +7,7 @@
 
 import click
 
-from cypressbeam.standalone.discovery import Address, read_address
+from cypressbeam.protocol.address import Address, read_address
 
 
 class Where(click.ParamType[Address]):
--- a/cypressbeam/distribution/endpoint_list.py
+++ b/cypressbeam/distribution/endpoint_list.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from cypressbeam.protocol import frames
+from cypressbeam.protocol.address import Address, read_address
 from cypressbeam.protocol.configuration import InvalidConfigurationError, decode
-from cypressbeam.standalone.discovery import Address, read_address
 
 IN_SERVICE, DRAINING, GONE = 0, 1, 2
 STATES = {"in_service": IN_SERVICE, "draining": DRAINING}
--- a/cypressbeam/node/control_api.py
+++ b/cypressbeam/node/control_api.py
@@ -18,12 +18,12 @@
 from cypressbeam.consensus.membership import KINDS
 from cypressbeam.node.state_query import JSON, STATE, StateQuery
 from cypressbeam.protocol import frames
+from cypressbeam.protocol.address import Address
 from cypressbeam.protocol.configuration import MAX_REVISION
 from cypressbeam.proxy.frontend import ClientConnection
 from cypressbeam.proxy.http_requests import BadRequestError, RequestMessage
 from cypressbeam.proxy.http_responses import Answer, Limits
 from cypressbeam.proxy.proxy_core import Clock
-from cypressbeam.standalone.discovery import Address
 
 log = logging.getLogger(__name__)
 
--- a/cypressbeam/node/endpoint_poller.py
+++ b/cypressbeam/node/endpoint_poller.py
@@ -9,7 +9,8 @@
 from urllib.parse import quote
 
 from cypressbeam.distribution.endpoint_list import Endpoint, read_page
-from cypressbeam.standalone.discovery import Address, HttpClient
+from cypressbeam.protocol.address import Address
+from cypressbeam.proxy.http_client import HttpClient
 
 log = logging.getLogger(__name__)
 
--- a/cypressbeam/node/gateway_node.py
+++ b/cypressbeam/node/gateway_node.py
@@ -21,12 +21,12 @@
 from cypressbeam.node.core_machine import CoreMachine
 from cypressbeam.node.state_query import StateQuery
 from cypressbeam.protocol import configuration, frames
+from cypressbeam.protocol.address import Address
 from cypressbeam.protocol.settings import VARIABLE, Settings, SettingsError, load
 from cypressbeam.proxy.frontend import ClientConnection, Frontend, readiness
 from cypressbeam.proxy.gateway import OVERFLOW, Gateway
 from cypressbeam.proxy.http_requests import BadRequestError, RequestMessage
 from cypressbeam.proxy.http_responses import Answer
-from cypressbeam.standalone.discovery import Address
 from cypressbeam.storage.store import SqliteStore, Storage
 from cypressbeam.transport.peers import Link, Peers
 
--- a/cypressbeam/node/run.py
+++ b/cypressbeam/node/run.py
@@ -13,7 +13,7 @@
 
 from cypressbeam.node.gateway_node import serve
 from cypressbeam.protocol.settings import SettingsError, load
-from cypressbeam.standalone.__main__ import GC_THRESHOLDS, LogRateLimiter
+from cypressbeam.runtime import GC_THRESHOLDS, LogRateLimiter
 from cypressbeam.storage.store import StoreError
 
 
--- a/cypressbeam/protocol/configuration.py
+++ b/cypressbeam/protocol/configuration.py
@@ -10,6 +10,8 @@
 import cbor2
 import msgspec
 
+from cypressbeam.errors import CypressbeamError
+
 Mode = Literal["idempotent", "effectful", "ingest"]
 #: Between nodes and on disk a version's number has eight bytes, with a sign. Other whole numbers have the same bound:
 #: one of thousands of digits can't even be written as text.
@@ -19,7 +21,7 @@
 CHECK_VERSION = 1
 
 
-class InvalidConfigurationError(Exception):
+class InvalidConfigurationError(CypressbeamError):
     """A configuration that can't be taken: one line on where and why."""
 
 
--- a/cypressbeam/protocol/delta.py
+++ b/cypressbeam/protocol/delta.py
@@ -11,6 +11,8 @@
 import struct
 import zlib
 
+from cypressbeam.errors import CypressbeamError
+
 #: Where routes begin in CBOR: the text "label" with its length.
 MARK = b"\x65label"
 #: Bytes to take from the base: where, how many; then how many new ones follow.
@@ -21,7 +23,7 @@
 MAX_BODY_BYTES = 16 * 1024 * 1024
 
 
-class DeltaError(ValueError):
+class DeltaError(CypressbeamError, ValueError):
     """Bytes that are no packed body: one line on why."""
 
 
--- a/cypressbeam/protocol/frames/validation.py
+++ b/cypressbeam/protocol/frames/validation.py
@@ -5,6 +5,8 @@
 
 from __future__ import annotations
 
+from cypressbeam.errors import CypressbeamError
+
 #: Epochs as there can be any: none yet (0), or a proposer's place in the last eight bits below a count from one on.
 MIN_EPOCH, MAX_EPOCH = 1 << 8, 1 << 48
 #: Members that a group may have by its messages. The rules allow fewer (membership.py).
@@ -15,7 +17,7 @@
 MAX_NAME_LENGTH = 128
 
 
-class FrameError(ValueError):
+class FrameError(CypressbeamError, ValueError):
     """Bytes that are no frame, or a frame that no correct node sends.
 
     :param reason: what is wrong with it.
--- a/cypressbeam/protocol/settings.py
+++ b/cypressbeam/protocol/settings.py
@@ -7,7 +7,8 @@
 from pathlib import Path
 from typing import TypeVar
 
-from cypressbeam.standalone.discovery import Address, read_address
+from cypressbeam.errors import CypressbeamError
+from cypressbeam.protocol.address import Address, read_address
 
 VARIABLE = "CYPRESSBEAM_BOOT"
 T = TypeVar("T", int, float)
@@ -15,7 +16,7 @@
 REPLACE_SHARE = 0.25
 
 
-class SettingsError(Exception):
+class SettingsError(CypressbeamError):
     """One plain line on what is wrong with the settings: the file, the key, what was found and what is wanted."""
 
 
--- a/cypressbeam/proxy/frontend.py
+++ b/cypressbeam/proxy/frontend.py
@@ -14,6 +14,10 @@
 
 log = logging.getLogger(__name__)
 
+#: Of the descriptors that are left clients get so much: usual ones may hold a third of all descriptors for requests,
+#: and those that ask nothing must not crowd them out. A request needs one server connection at a time, as a rule.
+CLIENT_SHARE = 0.6
+
 BACKLOG = 1024
 SWEEP_S = 0.2
 #: A client that does not read its answer is cut off.
@@ -280,9 +284,9 @@
         if close:
             self.linger()
         else:
-            self.go_on()
+            self.proceed()
 
-    def go_on(self) -> None:
+    def proceed(self) -> None:
         """After an answer: to the next message, the error that came behind, or to wait."""
         reader, now_s = self.reader, self.frontend.loop.time()
         if reader.messages and not self.unread:
@@ -311,7 +315,7 @@
         if not self.transport.is_closing():
             self.transport.resume_reading()
             if self.current is None and not self.closing:
-                self.go_on()
+                self.proceed()
 
     def write(self, answer: Answer, close: bool) -> None:
         lines = [b"HTTP/1.1 %d %s\r\n" % (answer.status, REASONS.get(answer.status, b"-"))]
--- a/cypressbeam/proxy/gateway.py
+++ b/cypressbeam/proxy/gateway.py
@@ -12,7 +12,7 @@
 from cypressbeam.protocol.configuration import Configuration, Constraints, RouteConfiguration
 from cypressbeam.protocol.settings import Envelope, Settings
 from cypressbeam.proxy.attempts import PROMISES
-from cypressbeam.proxy.frontend import ClientConnection
+from cypressbeam.proxy.frontend import CLIENT_SHARE, ClientConnection
 from cypressbeam.proxy.http_requests import BadRequestError, RequestMessage, collect_headers, request_head
 from cypressbeam.proxy.http_responses import Answer, Limits
 from cypressbeam.proxy.protocol_profile import GATEWAY_PROFILE
@@ -20,7 +20,6 @@
 from cypressbeam.proxy.response_validation import RequestContext
 from cypressbeam.proxy.routing import Route, RoutingTable, kind_of
 from cypressbeam.proxy.upstream import Attempt
-from cypressbeam.standalone.config import CLIENT_SHARE
 
 log = logging.getLogger(__name__)
 
--- a/cypressbeam/proxy/http_requests.py
+++ b/cypressbeam/proxy/http_requests.py
@@ -11,6 +11,7 @@
 import httptools
 
 from cypressbeam.balancing.interface import Repeat, RequestArrived, RequestClass
+from cypressbeam.errors import CypressbeamError
 from cypressbeam.proxy.http_responses import MAX_FRAMED_BYTES, Limits
 from cypressbeam.proxy.protocol_profile import STANDALONE_PROFILE, ProtocolProfile
 
@@ -26,7 +27,7 @@
 UNIT_US = {b"m": 1000.0, b"u": 1.0}
 
 
-class BadRequestError(Exception):
+class BadRequestError(CypressbeamError):
     """What can't be taken: the status of its answer, and why."""
 
     def __init__(self, status: int, why: str, allow: bytes = b"", retry_after: bytes = b"") -> None:
--- a/cypressbeam/proxy/http_responses.py
+++ b/cypressbeam/proxy/http_responses.py
@@ -9,6 +9,8 @@
 
 import httptools
 
+from cypressbeam.errors import CypressbeamError
+
 Headers = list[tuple[bytes, bytes]]
 
 #: Header lines, together, and the bodies of requests hold at most so many bytes.
@@ -55,7 +57,7 @@
     return bool(poll.poll(0))
 
 
-class AnswerTooLargeError(ValueError):
+class AnswerTooLargeError(CypressbeamError, ValueError):
     """A message over the limits."""
 
 
--- a/cypressbeam/proxy/proxy_core.py
+++ b/cypressbeam/proxy/proxy_core.py
@@ -71,7 +71,7 @@
                     continue
                 for action in actions:
                     try:
-                        self.core.carry_out(self, action)
+                        self.core.execute(self, action)
                     except Exception:
                         log.exception("carrying out %r failed", action)
                         self.core.abandon(action)
@@ -231,7 +231,7 @@
 
     # -- actions -----------------------------------------------------------------------------------------
 
-    def carry_out(self, desk: BalancerHost, action: it.Action) -> None:
+    def execute(self, desk: BalancerHost, action: it.Action) -> None:
         if isinstance(action, it.Send):
             self.send(action)
         elif isinstance(action, it.SetTimer):
--- a/cypressbeam/proxy/upstream.py
+++ b/cypressbeam/proxy/upstream.py
@@ -16,11 +16,11 @@
 import httptools
 
 from cypressbeam.balancing.interface import AttemptOutcome, Report
+from cypressbeam.protocol.address import Address
 from cypressbeam.proxy.attempts import AttemptResult, EndCause, ReplyKind, SendProgress, result_of
 from cypressbeam.proxy.http_responses import MAX_ANSWER_BYTES, Answer, ResponseReader, keep_alive_s, readable
 from cypressbeam.proxy.protocol_profile import STANDALONE_PROFILE, ProtocolProfile
 from cypressbeam.proxy.response_validation import RequestContext, begun_at_the_end
-from cypressbeam.standalone.discovery import Address
 
 log = logging.getLogger(__name__)
 
--- a/cypressbeam/standalone/__main__.py
+++ b/cypressbeam/standalone/__main__.py
@@ -12,6 +12,7 @@
 import uvloop
 
 from cypressbeam.proxy.frontend import Frontend
+from cypressbeam.runtime import GC_THRESHOLDS, LogRateLimiter
 from cypressbeam.standalone.config import OVERFLOW, Config, ConfigError, load, reload
 from cypressbeam.standalone.node import StandaloneNode
 
@@ -21,31 +22,6 @@
 ACCEPT_ON_S = 0.5
 #: What was taken is answered by its own deadline; past the longest, and this, nothing can be owed any more.
 STOP_SLACK_S = 0.2
-#: Most objects here die young or live for ever: full collections are made rare, for each stops the node.
-GC_THRESHOLDS = (20_000, 20, 50)
-#: Lines that one place in the code may log within a while.
-LINES_AT_ONCE = 10
-LINES_WITHIN_S = 10.0
-
-
-class LogRateLimiter(logging.Filter):
-    """Lets only so many lines from one place in the code through at once; the next one tells how many it left
-    out. A peer that fails hundreds of times a second must not cost the node its time."""
-
-    def __init__(self) -> None:
-        super().__init__()
-        self.counts: dict[tuple[str, int], list[float]] = {}  # since when, lines in that time
-
-    def filter(self, record: logging.LogRecord) -> bool:
-        place = (record.pathname, record.lineno)
-        since_s, lines = self.counts.get(place, (0.0, 0.0))
-        if record.created - since_s >= LINES_WITHIN_S:
-            if lines > LINES_AT_ONCE:
-                record.msg = f"{record.getMessage()} ({lines - LINES_AT_ONCE:.0f} lines like it left out)"
-                record.args = None
-            since_s, lines = record.created, 0.0
-        self.counts[place] = [since_s, lines + 1]
-        return lines < LINES_AT_ONCE
 
 
 async def serve(config: Config) -> None:
--- a/cypressbeam/standalone/config.py
+++ b/cypressbeam/standalone/config.py
@@ -10,7 +10,10 @@
 from pathlib import Path
 
 from cypressbeam.balancing.interface import Settings
-from cypressbeam.standalone.discovery import Address, ServerList, read_address, read_list
+from cypressbeam.errors import CypressbeamError
+from cypressbeam.protocol.address import Address, read_address
+from cypressbeam.proxy.frontend import CLIENT_SHARE
+from cypressbeam.standalone.discovery import ServerList, read_list
 from cypressbeam.standalone.profile import Profile
 
 log = logging.getLogger(__name__)
@@ -20,14 +23,11 @@
 SPARE_DESCRIPTORS = 20
 #: Client connections past the bound that are still taken in to be told so.
 OVERFLOW = 12
-#: Of the rest clients get so much: usual ones may hold a third of all descriptors for requests, and those
-#: that ask nothing must not crowd them out. A request needs one server connection at a time, as a rule.
-CLIENT_SHARE = 0.6
 CONNECT_TIMEOUT_US = 250_000
 IDLE_US = 15_000_000
 
 
-class ConfigError(Exception):
+class ConfigError(CypressbeamError):
     """One plain line on what is wrong with the configuration."""
 
 
--- a/cypressbeam/standalone/profile.py
+++ b/cypressbeam/standalone/profile.py
@@ -10,6 +10,7 @@
 from typing import TypeVar
 
 from cypressbeam.balancing import interface as it
+from cypressbeam.errors import CypressbeamError
 
 T = TypeVar("T")
 
@@ -26,7 +27,7 @@
 REPORT_VIA = {"answers": True, "probe": False, "none": False}
 
 
-class ProfileError(ValueError):
+class ProfileError(CypressbeamError, ValueError):
     """A setting that cannot be read: its path, and why."""
 
     def __init__(self, path: str, why: str) -> None:
--- a/cypressbeam/standalone/simulator.py
+++ b/cypressbeam/standalone/simulator.py
@@ -11,6 +11,7 @@
 
 from cypressbeam.balancing import interface as it
 from cypressbeam.balancing.balancer import Balancer
+from cypressbeam.errors import CypressbeamError
 from cypressbeam.standalone.profile import BOOLS, Profile, ProfileError, read_choice, read_integer, read_number
 
 T = TypeVar("T")
@@ -38,7 +39,7 @@
 LONGEST_TIMER_US = 71 * 60 * 1_000_000
 
 
-class WireError(Exception):
+class ProtocolError(CypressbeamError):
     """A batch that cannot be read; the text names the batch, the message and the field."""
 
 
@@ -51,7 +52,7 @@
         self.batch = batch
 
     def bad(self, field: str, why: str) -> NoReturn:
-        raise WireError(f"batch {self.batch}: {self.name or '(empty line)'}: {field}: {why}")
+        raise ProtocolError(f"batch {self.batch}: {self.name or '(empty line)'}: {field}: {why}")
 
     def count(self, values: int) -> None:
         if len(self.parts) != values + 1:
@@ -304,7 +305,7 @@
         while True:
             text = source.readline()
             if not text.endswith("\n"):
-                raise WireError(f"batch {head.strip()!r}: OVER_TO_YOU: the input ends inside the batch")
+                raise ProtocolError(f"batch {head.strip()!r}: OVER_TO_YOU: the input ends inside the batch")
             if text == "OVER_TO_YOU\n":
                 break
             lines.append(text[:-1])
@@ -317,7 +318,7 @@
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     try:
         serve(sys.stdin, sys.stdout)
-    except (WireError, UnicodeDecodeError) as err:
+    except (ProtocolError, UnicodeDecodeError) as err:
         print(f"cypressbeam: {err}", file=sys.stderr)
         return 1
     return 0
--- a/cypressbeam/storage/store.py
+++ b/cypressbeam/storage/store.py
@@ -20,6 +20,7 @@
 from cypressbeam.consensus.deduplication import MAX_DIGESTS
 from cypressbeam.consensus.high_water_marks import NO_MARKS, HighWaterMarks, pack_marks, unpack_marks
 from cypressbeam.consensus.views import Entry, View
+from cypressbeam.errors import CypressbeamError
 from cypressbeam.protocol.configuration import digest
 from cypressbeam.storage import files
 
@@ -42,7 +43,7 @@
 T = TypeVar("T")
 
 
-class StoreError(Exception):
+class StoreError(CypressbeamError):
     """The state can't be read or written: one line on why."""
 
 
--- a/cypressbeam/transport/blobs/fetcher.py
+++ b/cypressbeam/transport/blobs/fetcher.py
@@ -27,7 +27,7 @@
 STALL_S, PATIENCE, JITTER = 0.4, 2, 0.5
 #: One whose first slice took long has so many times that long, up to so many times the patience; and the window grows,
 #: up to so many times.
-MOST_WAYS, MOST_PATIENCE, MOST_WINDOWS = 2, 3, 4
+MOST_WAYS, MAX_STALL_FACTOR, MOST_WINDOWS = 2, 3, 4
 GIVE_UP_S = 6.0
 #: One that has been quiet for so long gives way to a source that is told of now, or to a newer version.
 QUIET_S = 0.3
@@ -199,7 +199,7 @@
             return  # it came twice, or after one that was lost with its connection
         fetch.moved_s = self.loop.time()
         fetch.way_s = fetch.way_s or fetch.moved_s - fetch.began_s
-        waits_s = min(max(STALL_S, MOST_WAYS * fetch.way_s), STALL_S * MOST_PATIENCE)
+        waits_s = min(max(STALL_S, MOST_WAYS * fetch.way_s), STALL_S * MAX_STALL_FACTOR)
         fetch.asked_again, fetch.due_s = 0, fetch.moved_s + waits_s * self.chance.uniform(1.0, 1.0 + JITTER)
         self.fetched_bytes += len(frame.data)
         self.on_progress(link.ip)
--- a/lab/adversarial_servers.py
+++ b/lab/adversarial_servers.py
@@ -36,13 +36,13 @@
 SERVERS = 4
 
 
-class Broken(Exception):
+class BrokenRuleError(Exception):
     """What does not hold, by the name of its rule where it has one."""
 
 
 def hold(holds: bool, text: str) -> None:
     if not holds:
-        raise Broken(text)
+        raise BrokenRuleError(text)
 
 
 class Wire(asyncio.Transport):
@@ -135,7 +135,7 @@
                 self.protocol.connection_lost(data)
 
 
-class Sending:
+class ReceivedAttempt:
     """A request as a server was given it."""
 
     def __init__(self, attempt: Attempt, wire: ServerWire) -> None:
@@ -154,13 +154,13 @@
     def write(self, data: Any) -> None:
         attempt = self.protocol.attempt
         if not self.closing and attempt is not None:
-            self.sending = Sending(attempt, self)
+            self.sending = ReceivedAttempt(attempt, self)
             self.world.sendings.append(self.sending)
             self.world.fresh.append(self.sending)
         super().write(data)
 
 
-class Asked:
+class SentRequest:
     """A request as its client sent it."""
 
     def __init__(self, ident: str, kind: str, method: str = "") -> None:
@@ -179,10 +179,10 @@
         self.connection = ClientConnection(world.frontend)
         self.wire = Wire(world, self.connection)
         self.connection.connection_made(self.wire)
-        self.asked: list[Asked] = []
+        self.asked: list[SentRequest] = []
         self.gone = False
 
-    def ask(self, *requests: Asked) -> None:
+    def ask(self, *requests: SentRequest) -> None:
         """Several at once are sent ahead."""
         if not self.wire.closing:
             self.asked += requests
@@ -226,8 +226,8 @@
     def __init__(self, loop: WorldLoop) -> None:
         self.loop = loop
         loop.world = self
-        self.sendings: list[Sending] = []
-        self.fresh: list[Sending] = []
+        self.sendings: list[ReceivedAttempt] = []
+        self.fresh: list[ReceivedAttempt] = []
         """Those that nobody has answered yet."""
         self.successes: dict[str, list[bytes]] = {}
         """Whole bodies that servers gave, by request."""
@@ -323,7 +323,7 @@
 
 
 def answer(
-    sending: Sending,
+    sending: ReceivedAttempt,
     status: int = 200,
     more: str = "",
     ident: str = "",
--- a/lab/attempt_search.py
+++ b/lab/attempt_search.py
@@ -5,7 +5,7 @@
 import logging
 import random
 
-from lab.adversarial_servers import Broken
+from lab.adversarial_servers import BrokenRuleError
 from lab.attempt_faults import fault
 from lab.attempt_storms import draw, storm
 from lab.attempts import states, walk
@@ -18,7 +18,7 @@
     for number, state in enumerate(order, 1):
         try:
             walk(state)
-        except Broken as err:
+        except BrokenRuleError as err:
             return number, str(err)
     return None
 
@@ -31,6 +31,6 @@
         for seed in seeds:
             try:
                 storm(draw(seed))
-            except Broken as err:
+            except BrokenRuleError as err:
                 return seed, str(err)
     return None
--- a/lab/calls.py
+++ b/lab/calls.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
+from cypressbeam.protocol.address import Address
 from cypressbeam.proxy.http_requests import RequestMessage
-from cypressbeam.standalone.discovery import Address
-from lab.clients import Population
+from lab.clients import ClientPopulation
 from lab.day import Kind
 from lab.invariant_checker import Ledger, Wish
 from lab.standins import Server, name_of
@@ -30,7 +30,7 @@
         by_name = {kind.name: kind for kind in kinds}
         self.called = {f"/{kind.name}/".encode(): (kind.name, by_name[kind.calls]) for kind in kinds if kind.calls}
         self.kinds, self.host, self.nodes_of, self.ledger, self.seed = kinds, host, nodes_of, ledger, seed
-        self.callers: dict[str, Population] = {}
+        self.callers: dict[str, ClientPopulation] = {}
         """By zone."""
         self.count = 0
         self.begun: set[str] = set()
@@ -56,10 +56,10 @@
         served = answer is not None and answer.status < 300
         self.ledger.wishes.append(Wish(kind.name, began_s, loop.time() - began_s, 0.0, 0.0, served, caller))
 
-    def caller(self, zone: str) -> Population:
+    def caller(self, zone: str) -> ClientPopulation:
         """The same as clients of the zone, on connections of their own; what they send is no client's request."""
         if zone not in self.callers:
-            self.callers[zone] = Population(
+            self.callers[zone] = ClientPopulation(
                 zone,
                 self.kinds,
                 0.0,
--- a/lab/chaos.py
+++ b/lab/chaos.py
@@ -32,7 +32,7 @@
 Machine = tuple[Host, Settings]
 
 
-class Broken(Exception):
+class BrokenRuleError(Exception):
     """What was not as it should be after a trouble."""
 
 
@@ -107,21 +107,21 @@
 async def settle(cluster: Cluster, after: str) -> None:
     """Raises Broken."""
     if await cluster.until(lambda: core_is_whole(cluster), WHOLE_S) == math.inf:
-        raise Broken(f"after {after}: the core is not whole")
+        raise BrokenRuleError(f"after {after}: the core is not whole")
     for disk in cluster.disks.values():
         disk.copies.append(disk.kept)
     cluster.revision += 1
     ends_s = cluster.loop.time() + TAKEN_S
     while (root := cluster.root) is None or root.tree.configuration.revision < cluster.revision:
         if cluster.loop.time() > ends_s:
-            raise Broken(f"after {after}: an order is not taken")
+            raise BrokenRuleError(f"after {after}: an order is not taken")
         if root is not None and core_is_whole(cluster):
             cluster.revision -= 1
             cluster.order()
         await asyncio.sleep(AGAIN_S)  # as whoever takes an order from an operator does
     cluster.poll(cluster.revision)
     if await cluster.until(lambda: all_know(cluster), KNOWN_S) == math.inf:
-        raise Broken(f"after {after}: not all know revision {cluster.revision} and the list")
+        raise BrokenRuleError(f"after {after}: not all know revision {cluster.revision} and the list")
 
 
 async def history(cluster: Cluster, seed: int) -> None:
@@ -142,7 +142,7 @@
             cluster.run(history(cluster, seed))
             if cluster.net.faults:
                 return seed, str(dict(cluster.net.faults))
-        except Broken as err:
+        except BrokenRuleError as err:
             return seed, str(err)
         finally:
             cluster.close()
--- a/lab/clients.py
+++ b/lab/clients.py
@@ -16,8 +16,8 @@
 
 import httptools
 
+from cypressbeam.protocol.address import Address
 from cypressbeam.proxy.http_responses import Answer, ResponseReader
-from cypressbeam.standalone.discovery import Address
 from lab.day import Kind
 from lab.invariant_checker import Ledger, Try, Wish
 
@@ -81,7 +81,7 @@
 
 
 @dataclass
-class Population:
+class ClientPopulation:
     """The clients of one zone. `nodes` gives the addresses that the platform passes them to, by name."""
 
     zone: str
--- a/lab/commands/costs.py
+++ b/lab/commands/costs.py
@@ -122,12 +122,12 @@
     """
     from dataclasses import asdict
 
-    from lab.hollow import Plan, TooLarge, measure, table
+    from lab.hollow import Plan, RunTooLargeError, measure, table
 
     plan = Plan(nodes, processes, real, cores, routes, servers, changes, quiet_s, most_s, services, hosts, racks)
     try:
         found = run_call(measure(plan))
-    except TooLarge as err:
+    except RunTooLargeError as err:
         click.echo(f"cypressbeam: {err}", err=True)
         sys.exit(2)
     click.echo(as_json(asdict(found)) if plain else table([found]))
--- a/lab/commands/days.py
+++ b/lab/commands/days.py
@@ -33,7 +33,7 @@
 
     Shows what was served, and every rule that the day's clients, servers and operator saw broken: exit code 3 if any.
     """
-    from lab.emulator import play
+    from lab.day_simulation import play
 
     silence_simulated_nodes()
     found = play(day_of(file), seed)
--- a/lab/fault_injection.py
+++ b/lab/fault_injection.py
@@ -6,17 +6,15 @@
 import math
 from collections.abc import Awaitable, Callable, Sequence
 from dataclasses import replace
-from typing import TYPE_CHECKING, TypeVar
+from typing import TypeVar
 
+from cypressbeam.node.gateway_node import GatewayNode
+from cypressbeam.protocol.settings import Settings
 from lab.day import Trouble
+from lab.emulator import World
 from lab.simulation import Host
 from lab.standins import Illness, Server
 
-if TYPE_CHECKING:
-    from cypressbeam.node.gateway_node import GatewayNode
-    from cypressbeam.protocol.settings import Settings
-    from lab.emulator import World
-
 T = TypeVar("T")
 #: A process that was killed is started again after so long; a drained server ends so long after its deadline.
 AGAIN_S, AFTER_DRAIN_S = 0.5, 0.5
--- a/lab/footprint.py
+++ b/lab/footprint.py
@@ -316,7 +316,7 @@
 def nodes(size: int) -> Found:
     """The root's roster of so many nodes: all join, renew, and one goes and comes back amid renewals."""
     found = roster_costs(NodeRegistry, size)
-    trial = roster_costs(packed_blobs.RingRoster, size)
+    trial = roster_costs(packed_blobs.RingRegistry, size)
     return found | {
         f"trial_ring_{name}": trial[name] for name in ("all_join_ms", "renew_us", "root_renewals_share", "churn_ms")
     }
--- a/lab/histories/invariants.py
+++ b/lab/histories/invariants.py
@@ -15,14 +15,14 @@
 DIGEST_BYTES = 32
 
 
-class Violation(Exception):
+class InvariantViolationError(Exception):
     """An invariant does not hold, or what operators saw can't have happened in any order."""
 
 
 def demand(holds: bool, what: str) -> None:
     """Raises Violation unless the condition holds."""
     if not holds:
-        raise Violation(what)
+        raise InvariantViolationError(what)
 
 
 def revision(body: bytes) -> int:
@@ -104,7 +104,7 @@
             demand(values[place[entry.revision] - 1] == call.base, f"{call.body!r} was taken on another base")
             demand(call.status in (0, 200), f"{call.body!r} was taken, and its sender told {call.status}")
         elif call.kind == "replace" and call.status == 200:
-            raise Violation(f"{call.body!r} was acknowledged and never committed")
+            raise InvariantViolationError(f"{call.body!r} was acknowledged and never committed")
         elif call.seen is not None:
             demand(call.seen in place, f"{call.kind} {call.ident} saw {call.seen}, which was never committed")
             demand(call.status != 412 or call.seen != call.base, f"{call.ident} was refused though its base was right")
--- a/lab/histories/observer.py
+++ b/lab/histories/observer.py
@@ -8,7 +8,7 @@
 from cypressbeam.consensus.replica import Replica
 from cypressbeam.consensus.views import Entry
 from lab.histories.downstream import Announcement, DownstreamNode
-from lab.histories.invariants import Violation, demand
+from lab.histories.invariants import InvariantViolationError, demand
 
 
 class Observer:
@@ -47,9 +47,9 @@
         view, active = replica.state.chain.view, replica.state.chain.active
         demand(replica.voter.promised >= view.epoch, "a promise below the view that is held")
         if active and self.chains.setdefault(view.epoch, view.chain) != view.chain:
-            raise Violation(f"two chains in epoch {view.epoch}")
+            raise InvariantViolationError(f"two chains in epoch {view.epoch}")
         if active and len(view.chain) < self.enough:
-            raise Violation("a chain with too few copies is active")
+            raise InvariantViolationError("a chain with too few copies is active")
 
     def chain(self, acknowledged: set[bytes]) -> dict[int, Entry]:
         """What was committed, by number. A tail may be lost after its sync and before it published: the next entry
--- a/lab/histories/operators.py
+++ b/lab/histories/operators.py
@@ -17,7 +17,7 @@
 
 from cypressbeam.consensus import deduplication
 from cypressbeam.protocol import frames
-from lab.histories.invariants import Call, Violation, demand, revision
+from lab.histories.invariants import Call, InvariantViolationError, demand, revision
 from lab.histories.network import CLIENT
 from lab.histories.plans import Step, shape_of
 from lab.histories.world import World
@@ -82,7 +82,7 @@
 
     def begin(self, until_s: float) -> None:
         self.until_s = until_s
-        self.world.at(self.chance.uniform(0.1, 1.0), "crowd", "go_on")
+        self.world.at(self.chance.uniform(0.1, 1.0), "crowd", "proceed")
         for _ in range(3):
             if self.wild:
                 self.world.at(self.chance.uniform(1.0, until_s), "crowd", "mute")
@@ -115,7 +115,7 @@
         """Handle an event of the method's name."""
         getattr(self, what)(*given)
 
-    def go_on(self) -> None:
+    def proceed(self) -> None:
         """Some new orders; then again, in a while."""
         now_s = self.world.now_s
         if now_s > self.until_s:
@@ -124,7 +124,7 @@
         most = MOST_UNDER_WAY if not self.brisk else 1
         for _ in range(min(self.chance.choice((1, 1, 2, 3)), most - under_way)):
             self.order()
-        self.world.at(self.chance.choice((0.3, 0.6) if self.brisk else (0.01, 0.05, 0.1, 0.3)), "crowd", "go_on")
+        self.world.at(self.chance.choice((0.3, 0.6) if self.brisk else (0.01, 0.05, 0.1, 0.3)), "crowd", "proceed")
 
     def order(self) -> None:
         """As a rule on top of what is known, now and then on top of what is under way; numbers are often the same."""
@@ -203,7 +203,7 @@
         for order in mine:
             demand(200 in order.statuses, f"{order.body!r} is in force, and its repeat ends with {order.statuses}")
         if any(400 in order.statuses or 412 in order.statuses for order in old):
-            raise Violation("a change that was acknowledged is refused when it comes again")
+            raise InvariantViolationError("a change that was acknowledged is refused when it comes again")
         self.check()
 
     def check(self) -> None:
@@ -214,7 +214,7 @@
                 refused = order.statuses - {200, 503}
                 demand(not refused, f"{order.body!r} came into force, and was answered {refused} as well")
             elif 200 in order.statuses:
-                raise Violation(f"{order.body!r} was acknowledged and never committed")
+                raise InvariantViolationError(f"{order.body!r} was acknowledged and never committed")
             if 200 in order.statuses:
                 same = numbers.setdefault(revision(order.body), order.body) == order.body
                 demand(same, f"two changes were acknowledged as {revision(order.body)}")
--- a/lab/histories/runner.py
+++ b/lab/histories/runner.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from lab.histories import faults, operators
-from lab.histories.invariants import Violation, demand, linearizable, one_change_a_base
+from lab.histories.invariants import InvariantViolationError, demand, linearizable, one_change_a_base
 from lab.histories.plans import LASTS_S, Step, make_plan, shape_of
 from lab.histories.world import World
 
@@ -66,7 +66,7 @@
     """What does not hold, if anything."""
     try:
         play(seed, plan, **options)
-    except (Violation, AssertionError) as err:
+    except (InvariantViolationError, AssertionError) as err:
         return f"{type(err).__name__}: {err}"
     return None
 
--- a/lab/histories/simulated_core.py
+++ b/lab/histories/simulated_core.py
@@ -128,7 +128,7 @@
         replica = self.replicas[ip] = Replica(disk.name, self.copies, revision, digest, self.chance.random)
         self.dispatchers[ip] = Dispatcher(replica)
         replica.remember(disk.own, HighWaterMarks(disk.own.incarnation + 1, self.lives[ip]), dict(disk.marks))
-        self.carry_out(ip, replica.load(disk.view, disk.promised, disk.last, dict(disk.taken), self.now_s))
+        self.execute(ip, replica.load(disk.view, disk.promised, disk.last, dict(disk.taken), self.now_s))
         self.at(TICK_S, "tick", ip, self.lives[ip])
 
     def stop(self, ip: str, wipe: bool = False) -> None:
@@ -174,7 +174,7 @@
 
     # -- effects of the rules ------------------------------------------------------------------------------
 
-    def carry_out(self, ip: str, actions: Iterable[Any]) -> None:
+    def execute(self, ip: str, actions: Iterable[Any]) -> None:
         """Do what a machine's rules ask for."""
         for action in actions:
             if isinstance(action, SendMessage):
@@ -209,11 +209,11 @@
         if ip in self.refusing:
             if self.keeps_refused_write():
                 self.disks[ip].write(action, replica)
-            self.carry_out(ip, replica.write_failed(action, self.now_s))
+            self.execute(ip, replica.write_failed(action, self.now_s))
             return
         if not (self.lying and isinstance(action, PersistEntry)):
             self.disks[ip].write(action, replica)
-        self.carry_out(ip, self.write_done(ip, replica, action))
+        self.execute(ip, self.write_done(ip, replica, action))
 
     def write_done(self, ip: str, replica: Replica, action: Any) -> Iterable[Any]:
         """Tell the rules that a write is on disk; gives what they ask for then."""
@@ -299,7 +299,7 @@
 
     def deliver(self, ip: str, frame: frames.Frame) -> None:
         """Give a message to a machine's rules."""
-        self.carry_out(ip, self.dispatchers[ip].dispatch(frame, self.now_s))
+        self.execute(ip, self.dispatchers[ip].dispatch(frame, self.now_s))
 
     def answer(self, frame: frames.Frame) -> None:
         """A reply is at the operators; here there are none."""
@@ -333,7 +333,7 @@
     def tick(self, ip: str) -> None:
         """A machine's timer."""
         replica = self.replicas[ip]
-        self.carry_out(ip, replica.tick(self.now_s))
+        self.execute(ip, replica.tick(self.now_s))
         if replica.state.view is None:  # as a node does that has learned of the core from the root
             for other in self.ips:
                 if other != ip:
--- a/lab/hollow.py
+++ b/lab/hollow.py
@@ -41,7 +41,7 @@
 TAKEN = re.compile(r"configuration (\d+): \d+ routes")
 
 
-class TooLarge(ValueError):
+class RunTooLargeError(ValueError):
     """More than this machine is to bear: one line on what."""
 
 
@@ -76,11 +76,11 @@
             ("processes", self.processes, MOST_PROCESSES),
         ):
             if not 0 <= found <= most:
-                raise TooLarge(f"{found} {name}; at most {most} are played")
+                raise RunTooLargeError(f"{found} {name}; at most {most} are played")
         if self.nodes and not self.processes:
-            raise TooLarge("hollow nodes need a process")
+            raise RunTooLargeError("hollow nodes need a process")
         if not 0 <= self.racks <= min(self.processes, self.nodes):
-            raise TooLarge(f"{self.racks} of {min(self.processes, self.nodes)} processes can't be killed")
+            raise RunTooLargeError(f"{self.racks} of {min(self.processes, self.nodes)} processes can't be killed")
 
 
 @dataclass(slots=True)
@@ -246,7 +246,7 @@
         held_kb = sum(look.rss_kb for look in found) + sum(seen(machine).rss_kb for machine in self.system.machines)
         most_kb = min(MEMORY_SHARE * os.sysconf("SC_PHYS_PAGES") * resource.getpagesize() / 1024, MOST_MEMORY_KB)
         if held_kb > most_kb:
-            raise TooLarge(f"the processes hold {held_kb} kB; {most_kb:.0f} are the most")
+            raise RunTooLargeError(f"the processes hold {held_kb} kB; {most_kb:.0f} are the most")
         return found
 
     def log_of(self, machine: Machine) -> str:
--- a/lab/local_cluster.py
+++ b/lab/local_cluster.py
@@ -8,7 +8,7 @@
 
 import cbor2
 
-from cypressbeam.standalone.discovery import HttpClient
+from cypressbeam.proxy.http_client import HttpClient
 from lab.standins import Platform, Server
 from lab.system import Machine, System
 
--- a/lab/packed_blobs.py
+++ b/lab/packed_blobs.py
@@ -99,7 +99,7 @@
     ]
 
 
-class RingRoster(NodeRegistry):
+class RingRegistry(NodeRegistry):
     """The roster without work that grows with all nodes for each join: numbers are counted as nodes come and go, a
     zone's order keeps each node's rank, and a node watches those that follow it on a ring of hashes.
 
--- a/lab/planned.py
+++ b/lab/planned.py
@@ -72,7 +72,7 @@
         )
 
 
-class Asked(Protocol):
+class ClientWish(Protocol):
     """What the rule needs to know of a try."""
 
     ident: str
@@ -104,7 +104,7 @@
 class Losses:
     """What LOST is told from."""
 
-    tries: Sequence[Asked]
+    tries: Sequence[ClientWish]
     passed_on: set[str]
     """Requests that were passed on to a server."""
     work: dict[str, list[Work]]
@@ -117,7 +117,7 @@
     everybody: str
     bounds: Bounds
 
-    def found(self) -> Iterator[tuple[Asked, str]]:
+    def found(self) -> Iterator[tuple[ClientWish, str]]:
         """Each request that was lost, with the planned work around it."""
         cuts = [one for one in self.tries if self.is_cut(one)]
         for one in cuts:
@@ -129,7 +129,7 @@
             for one in self.beside_changes(node, [one for one in cuts if one.node == node]):
                 yield one, "a configuration"
 
-    def is_cut(self, one: Asked) -> bool:
+    def is_cut(self, one: ClientWish) -> bool:
         """Whether its connection ended without an answer, in calm times, and nothing excuses that."""
         if one.status is not None or one.asked_s is None or one.ended_s is None or not one.was_read:
             return False
@@ -143,7 +143,7 @@
             and self.is_calm(one)
         )
 
-    def is_calm(self, one: Asked) -> bool:
+    def is_calm(self, one: ClientWish) -> bool:
         assert one.ended_s is not None
         since_s = one.sent_s - self.bounds.contact_s
         return not any(
@@ -152,14 +152,14 @@
             for from_s, to_s in self.troubled.get(name, ())
         )
 
-    def after_term(self, one: Asked) -> bool:
+    def after_term(self, one: ClientWish) -> bool:
         assert one.ended_s is not None
         grace_s = self.bounds.grace_s
         return any(
             term_s <= one.ended_s <= term_s + grace_s + AFTER_GRACE_S for term_s in self.planned.terms.get(one.node, ())
         )
 
-    def works_late(self, one: Asked) -> bool:
+    def works_late(self, one: ClientWish) -> bool:
         """Whether its server was still at work in the second half of a grace period, until its connection ended."""
         assert one.ended_s is not None
         grace_s = self.bounds.grace_s
@@ -169,14 +169,14 @@
             for work in self.work.get(one.ident, ())
         )
 
-    def after_hup(self, one: Asked) -> bool:
+    def after_hup(self, one: ClientWish) -> bool:
         assert one.ended_s is not None
         return any(
             hup_s < one.ended_s and one.sent_s <= hup_s + self.bounds.converge_s
             for hup_s in self.planned.hups.get(one.node, ())
         )
 
-    def beside_changes(self, node: str, cuts: list[Asked]) -> list[Asked]:
+    def beside_changes(self, node: str, cuts: list[ClientWish]) -> list[ClientWish]:
         """The cuts that count, if the machine cuts more often beside changes than at other times."""
         beside = [one for one in cuts if self.is_beside(one) and not self.used_up(one)]
         other = [one for one in cuts if not self.is_beside(one)]
@@ -186,12 +186,12 @@
         usual = len(other) / max(asked_other, 1)
         return beside if often > TIMES_AS_OFTEN * usual else []
 
-    def count(self, node: str, counts: Callable[[Asked], bool]) -> int:
+    def count(self, node: str, counts: Callable[[ClientWish], bool]) -> int:
         return sum(1 for one in self.tries if one.node == node and one.ended_s is not None and counts(one))
 
-    def is_beside(self, one: Asked) -> bool:
+    def is_beside(self, one: ClientWish) -> bool:
         return one.ended_s is not None and self.planned.changes_at(one.ended_s, self.bounds)
 
-    def used_up(self, one: Asked) -> bool:
+    def used_up(self, one: ClientWish) -> bool:
         assert one.ended_s is not None
         return one.ended_s - one.sent_s >= USED * (min(one.ends_s, one.sent_s + one.cutoff_s) - one.sent_s)
--- a/lab/simulation/clock.py
+++ b/lab/simulation/clock.py
@@ -11,7 +11,7 @@
 from lab.simulation.host import HOST, Host, while_alive
 
 
-class Stuck(Exception):
+class SimulationStuckError(Exception):
     """Nothing is left that could ever happen."""
 
 
@@ -23,7 +23,7 @@
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         """Move the clock on by the time that would be waited. Raises Stuck where that is for ever."""
         if timeout is None:
-            raise Stuck
+            raise SimulationStuckError
         self.now_s += max(timeout, 0.0)
         return []
 
--- a/lab/standins.py
+++ b/lab/standins.py
@@ -16,11 +16,11 @@
 
 import cbor2
 
+from cypressbeam.protocol.address import Address
 from cypressbeam.proxy.frontend import ClientConnection, Frontend
 from cypressbeam.proxy.http_requests import BadRequestError, RequestMessage
 from cypressbeam.proxy.http_responses import Answer, Limits
 from cypressbeam.proxy.proxy_core import Clock
-from cypressbeam.standalone.discovery import Address
 from lab.invariant_checker import Ledger, Run
 
 LIMITS = Limits(body_bytes=64 * 1024 * 1024, ask_s=5.0, body_s=5.0, idle_s=30.0, body_renews=True)
--- a/lab/system.py
+++ b/lab/system.py
@@ -12,8 +12,9 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
+from cypressbeam.protocol.address import Address
 from cypressbeam.protocol.settings import VARIABLE
-from cypressbeam.standalone.discovery import Address, HttpClient
+from cypressbeam.proxy.http_client import HttpClient
 from lab.loopback_network import SYSTEM_NETWORKS, LoopbackNetwork
 
 #: Ports of a system's machines; each system draws its own network, so several run side by side.
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -15,8 +15,9 @@
 import cbor2
 
 from cypressbeam.admin import config_calls
+from cypressbeam.protocol.address import Address
+from cypressbeam.proxy.http_client import HttpClient
 from cypressbeam.proxy.http_responses import Answer
-from cypressbeam.standalone.discovery import Address, HttpClient
 from lab.local_cluster import HOST, demo_configuration, push, push_until_taken
 from lab.standins import Platform, Server
 from lab.system import Machine, System, status_of
--- /dev/null
+++ b/tests/test_identifiers.py
@@ -0,0 +1,115 @@
+"""Names that the code no longer has: those of the earlier house style, withdrawn by the engineers who are on call."""
+
+from __future__ import annotations
+
+import io
+import re
+import tokenize
+from pathlib import Path
+
+ROOT = Path(__file__).parent.parent
+#: Whole identifiers. `data/frame_names.txt` maps the names of messages that frame_bytes.txt was written with.
+WITHDRAWN = frozenset(
+    [
+        "pepperrelay",
+        "mallowworks",
+        "Keeper",
+        "keeper",
+        "keepers",
+        "Desk",
+        "desks",
+        "Carrier",
+        "Gate",
+        "Roster",
+        "Listing",
+        "Marks",
+        "Tell",
+        "Lead",
+        "StartAnew",
+        "TryDisk",
+        "SavePromise",
+        "SaveView",
+        "Pulse",
+        "Heard",
+        "heard_lately",
+        "Beat",
+        "ViewIs",
+        "Levelled",
+        "StandingBy",
+        "Asked",
+        "answer_read",
+        "all_taken",
+        "may_promise",
+        "newcomers",
+        "note_syncs",
+        "judge_alike",
+        "Knock",
+        "Survey",
+        "Poller",
+        "Verdicts",
+        "Ailing",
+        "ServerAils",
+        "Dialect",
+        "Ending",
+        "cold_room",
+        "choked",
+        "warmth",
+        "lay_out",
+        "earns",
+        "Percentile",
+        "TokenBucket",
+        "Throttle",
+        "Crossing",
+        "Broken",
+        "Unusable",
+        "TooLarge",
+        "MOST_PATIENCE",
+        "STOOD_STILL_S",
+        "DEAD_S",
+        "PULSE_S",
+        "ROOT_ALONE_S",
+        "Founding",
+        "Founded",
+        "Sparing",
+        "RingRoster",
+        "start_anew",
+        "go_on",
+        "carry_out",
+        "mend",
+    ]
+)
+SOURCES = ("cypressbeam", "lab", "tests")
+THEMED = re.compile(r"pepperrelay|mallowworks", re.IGNORECASE)
+
+
+def identifiers(path: Path) -> set[str]:
+    """All names in a source file."""
+    text = path.read_text(encoding="utf-8")
+    return {
+        token.string for token in tokenize.generate_tokens(io.StringIO(text).readline) if token.type == tokenize.NAME
+    }
+
+
+def test_no_withdrawn_identifier_is_in_the_sources() -> None:
+    found = {
+        str(path.relative_to(ROOT)): sorted(names)
+        for package in SOURCES
+        for path in sorted((ROOT / package).rglob("*.py"))
+        if (names := identifiers(path) & WITHDRAWN)
+    }
+    assert found == {}
+
+
+def test_no_themed_name_is_in_what_is_installed_or_run() -> None:
+    files = [
+        ROOT / "pyproject.toml",
+        ROOT / "requirements.txt",
+        ROOT / "README.md",
+        ROOT / ".ci" / "run",
+        *(ROOT / "deploy").glob("*.toml"),
+        *(ROOT / "docs").glob("*.md"),
+        *(ROOT / "docs" / "design").glob("*.md"),
+        *(ROOT / "docs" / "operations").glob("*.md"),
+    ]
+    found = [str(path.relative_to(ROOT)) for path in files if THEMED.search(path.read_text(encoding="utf-8"))]
+    assert [name for name in found if name != "docs/GLOSSARY.md"] == []
--- a/tests/test_ledger_rules.py
+++ b/tests/test_ledger_rules.py
@@ -16,7 +16,7 @@
 from cypressbeam.proxy.http_responses import Answer, Limits
 from cypressbeam.proxy.proxy_core import ANSWER_MARGIN_US
 from lab.day import Day, DayError, Kind, Trouble, read
-from lab.emulator import play
+from lab.day_simulation import play
 from lab.invariant_checker import Ledger, Run, Try, Wish
 from lab.planned import Bounds, Change
 from tests.test_emulator import small
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -15,7 +15,7 @@
 import pytest
 
 from cypressbeam.proxy.http_responses import Answer
-from cypressbeam.standalone.__main__ import LogRateLimiter
+from cypressbeam.runtime import LogRateLimiter
 from cypressbeam.standalone.config import OVERFLOW, ConfigError, flatten, read_config
 from lab.loopback_network import LoopbackNetwork
 from tests.loopback import SETTINGS, SOON_S, Client, StubServer, configuration, listing, row, run, soon
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -9,7 +9,7 @@
 from cypressbeam.balancing.balancer import TRIAL_US, Balancer
 from cypressbeam.distribution.outlier_detection import EJECTION_S, WINDOW_S, OutlierDetector
 from lab.day import Day, Kind, Service, Trouble
-from lab.emulator import World
+from lab.day_simulation import DayWorld as World
 
 pytestmark = pytest.mark.usefixtures("quiet")
 
