--- a/cypressbeam/distribution/outlier_reports.py
+++ b/cypressbeam/distribution/outlier_reports.py
@@ -8,7 +8,7 @@
 
 from cypressbeam.distribution.context import NodeContext
 from cypressbeam.distribution.outlier_detection import OutlierDetector
-from cypressbeam.distribution.relay import Handlers, TreeNode
+from cypressbeam.distribution.tree_node import Handlers, TreeNode
 from cypressbeam.protocol import frames
 from cypressbeam.transport.peers import Link
 
@@ -60,7 +60,7 @@
             frame.name, frame.zone, frame.servers, len(self.tree.endpoints.endpoints.servers), self.context.now_s()
         )
         if found:
-            log.info("servers that fail for many of %s: %s", frame.zone, " ".join(found))
+            log.info("ejecting servers for zone %s: %s", frame.zone, " ".join(found))
             self.tree.children.broadcast(frames.OutlierEjection(frame.zone, tuple(found), self.tree.fence.epoch))
 
     def on_ejection(self, link: Link, frame: frames.OutlierEjection) -> None:
--- a/cypressbeam/distribution/subscription.py
+++ b/cypressbeam/distribution/subscription.py
@@ -96,7 +96,7 @@
         if self.parent is None:
             return None
         if now_s - self.heard_s > PARENT_TIMEOUT_S:
-            return "has fallen silent"
+            return "silent"
         if now_s - self.heartbeat_s > HEARTBEAT_TIMEOUT_S:
-            return "lives and has no beat to pass on"
+            return "alive without a heartbeat of the root"
         return None
--- a/cypressbeam/distribution/relay.py
+++ b/cypressbeam/distribution/tree_node.py
@@ -90,7 +90,7 @@
         failure = self.subscription.failure(now_s)
         if failure is not None:
             self.subscription.silent_parents += 1
-            log.warning("parent %s %s", self.subscription.parent_ip(), failure)
+            log.warning("leaving parent %s: %s", self.subscription.parent_ip(), failure)
             self.leave_parent()
         if self.heartbeats.keep_alive_due(now_s, self.subscription.heartbeat_s):
             self.children.broadcast(frames.KeepAlive())
@@ -187,7 +187,7 @@
         """A connection is lost: of a child, of the parent, or of one that was asked for the root."""
         self.children.remove(link)
         if link is self.subscription.parent:
-            log.info("the connection to parent %s is lost", link.ip)
+            log.info("lost connection to parent %s", link.ip)
             self.leave_parent()
         self.locator.on_unhelpful(link.ip)
 
--- a/cypressbeam/node/control_api.py
+++ b/cypressbeam/node/control_api.py
@@ -157,7 +157,7 @@
         if call is None:
             return
         if self.loop.time() >= call.deadline_s:
-            log.warning("a call was left without the chain's answer")
+            log.warning("operator call timed out: no answer from the chain")
             self.complete(name, unavailable("the chain does not answer"))
             return
         members = self.chain()
--- a/cypressbeam/node/core_machine.py
+++ b/cypressbeam/node/core_machine.py
@@ -22,7 +22,7 @@
 from cypressbeam.consensus.replica import Replica
 from cypressbeam.consensus.views import Entry, View, ip_of
 from cypressbeam.distribution.endpoint_list import Endpoint
-from cypressbeam.distribution.relay import TreeNode
+from cypressbeam.distribution.tree_node import TreeNode
 from cypressbeam.node.background_tasks import BackgroundTasks
 from cypressbeam.node.effect_executor import EffectExecutor
 from cypressbeam.node.leader_role import LeaderRole
--- a/cypressbeam/node/endpoint_poller.py
+++ b/cypressbeam/node/endpoint_poller.py
@@ -38,7 +38,7 @@
                     await self.poll(connection)
                     await asyncio.sleep(POLL_INTERVAL_S)
             except Exception as err:  # whatever comes, the list stays as it was and is asked for again
-                log.warning("list of servers: %s: %s", type(err).__name__, err)
+                log.warning("endpoint list poll failed: %s: %s", type(err).__name__, err)
             finally:
                 connection.close()
             await asyncio.sleep(self.chance.uniform(*POLL_RETRY_S))
--- a/cypressbeam/node/gateway_node.py
+++ b/cypressbeam/node/gateway_node.py
@@ -15,7 +15,7 @@
 from cypressbeam.consensus.effects import SendMessage
 from cypressbeam.distribution.failure_detector import UdpFailureDetector
 from cypressbeam.distribution.outlier_reports import OutlierReports
-from cypressbeam.distribution.relay import Handlers, TreeNode
+from cypressbeam.distribution.tree_node import Handlers, TreeNode
 from cypressbeam.node import control_api, early_listener
 from cypressbeam.node.control_api import ControlApi
 from cypressbeam.node.core_machine import CoreMachine
@@ -191,7 +191,7 @@
         if self.core is not None:
             self.core.close()
             if not await self.core.store.closed(DISK_CLOSE_TIMEOUT_S):
-                log.error("the disk does not answer; the process ends without it")
+                log.error("disk close timed out: exiting anyway")
         self.failure_detector.close()
         self.peers.close()
 
@@ -205,13 +205,13 @@
         try:
             new = load(environ)
         except SettingsError as err:
-            log.error("settings: %s; the old ones stay", err)
+            log.error("settings reload rejected: %s; keeping the old ones", err)
             return
         self.take_settings(new)
 
     def take_settings(self, new: Settings) -> None:
         if new.seeds != self.settings.seeds:
-            log.info("settings: seeds are %s", " ".join(f"{host}:{port}" for host, port in new.seeds))
+            log.info("settings reloaded: seeds %s", " ".join(f"{host}:{port}" for host, port in new.seeds))
         self.settings = self.tree.context.settings = new
         if self.core is not None:
             self.core.take_settings(new)
@@ -298,7 +298,7 @@
             except (
                 configuration.InvalidConfigurationError
             ) as err:  # the head has checked it, so this is a fault of ours
-                log.error("configuration %d: %s", revision, err)
+                log.error("configuration %d not applied: %s", revision, err)
 
     def take_servers(self) -> None:
         if self.gateway is not None:
@@ -394,7 +394,7 @@
     loop.add_signal_handler(signal.SIGHUP, node.reload, os.environ)
     await node.start()
     node.watch_file(Path(os.environ[VARIABLE]))
-    log.info("%s runs at %s", settings.node, settings.ip)
+    log.info("node %s started: ip %s", settings.node, settings.ip)
     await stop.wait()
     log.info("stopping")
     await node.stop()
--- a/cypressbeam/node/leader_role.py
+++ b/cypressbeam/node/leader_role.py
@@ -15,7 +15,7 @@
 from cypressbeam.consensus.views import View
 from cypressbeam.distribution.endpoint_list import Endpoint
 from cypressbeam.distribution.node_registry import RENEWAL_INTERVAL_S, NodeRegistry
-from cypressbeam.distribution.relay import TreeNode
+from cypressbeam.distribution.tree_node import TreeNode
 from cypressbeam.node.endpoint_poller import EndpointPoller
 from cypressbeam.protocol import frames
 from cypressbeam.protocol.settings import Settings
--- a/cypressbeam/proxy/gateway.py
+++ b/cypressbeam/proxy/gateway.py
@@ -151,7 +151,7 @@
         self.limits.head_bytes, self.limits.body_bytes = limits.header_max_bytes, limits.body_max_bytes
         self.limits.ask_s = limits.header_wait_ms / 1000
         self.limits.body_s = self.limits.idle_s = limits.quiet_ms / 1000
-        log.info("configuration %d: %d routes", configuration.revision, len(configuration.routes))
+        log.info("configuration %d applied: %d routes", configuration.revision, len(configuration.routes))
         self.update_balancers()
 
     def take_fleet(self, fronts: int, index: int) -> None:
--- a/cypressbeam/proxy/proxy_core.py
+++ b/cypressbeam/proxy/proxy_core.py
@@ -73,7 +73,7 @@
                     try:
                         self.core.execute(self, action)
                     except Exception:
-                        log.exception("carrying out %r failed", action)
+                        log.exception("action %r failed", action)
                         self.core.abandon(action)
         finally:
             self.feeding = False
@@ -253,7 +253,7 @@
         elif isinstance(action, it.Log):
             log.info("%s", action.text)
         else:  # probes and messages between nodes are not offered: the balancer is never told it may
-            log.error("no way to carry out %r", action)
+            log.error("unknown action %r", action)
 
     def send(self, action: it.Send) -> None:
         request = self.requests.get(action.request)
--- a/cypressbeam/storage/store.py
+++ b/cypressbeam/storage/store.py
@@ -234,7 +234,7 @@
         try:
             found = await self.run(read_all, anew)
         except CorruptStateError as err:
-            log.error("the state is torn: %s", err)
+            log.error("state corrupt: %s", err)
             found = await self.run(read_all, anew=True)
         self.stored_marks, self.staged_marks = dict(found.reported_marks), dict(found.reported_marks)
         self.pending_marks = found.pending_marks if found.pending_marks != found.durable_marks else None
--- a/cypressbeam/transport/blobs/fetcher.py
+++ b/cypressbeam/transport/blobs/fetcher.py
@@ -174,7 +174,7 @@
         now_s = self.loop.time()
         for mark, fetch in [*self.fetches.items()]:
             if now_s - fetch.moved_s > GIVE_UP_S:
-                log.warning("body %s: nobody sends it", mark.hex()[:8])
+                log.warning("blob %s: fetch given up, no source sends it", mark.hex()[:8])
                 del self.fetches[mark]
             elif now_s >= fetch.due_s:
                 self.request_elsewhere(mark, fetch)
@@ -249,7 +249,7 @@
             if digest(body) != mark:
                 raise delta.DeltaError("it is not what its digest says")
         except delta.DeltaError as err:
-            log.error("body %s from %s: %s", mark.hex()[:8], fetch.sources[0], err)
+            log.error("blob %s from %s is corrupt: %s", mark.hex()[:8], fetch.sources[0], err)
             fetch.begin_anew()
             fetch.whole = True
             self.request_elsewhere(mark, fetch)
@@ -275,7 +275,7 @@
             if digest(body) != mark:
                 raise delta.DeltaError("it is not what its digest says")
         except delta.DeltaError as err:
-            log.error("body %s, brief: %s", mark.hex()[:8], err)
+            log.error("blob %s: inline delta is corrupt: %s", mark.hex()[:8], err)
             return None
         self.store.keep_packed((mark, base), data)
         self.arrived(mark, body)
--- a/cypressbeam/transport/peers.py
+++ b/cypressbeam/transport/peers.py
@@ -77,13 +77,13 @@
         if self.transport is None:
             self.queued.append(data)
         elif self.transport.get_write_buffer_size() > MAX_UNWRITTEN_BYTES:
-            log.warning("node %s does not read; its connection is closed", self.ip)
+            log.warning("node %s does not read: closing its connection", self.ip)
             self.close()
         else:
             try:
                 self.transport.write(data)
             except RuntimeError as err:  # uvloop raises it where a connection is over and its loss was never told
-                log.warning("the connection to %s: %s", self.ip, err)
+                log.warning("connection to node %s failed: %s", self.ip, err)
                 self.mark_closed()
 
     def last_heard_s(self) -> float:
@@ -105,7 +105,7 @@
             length, kind = frames.HEADER.unpack_from(self.buffer)
             end = frames.HEADER.size + length
             if length > frames.MAX_FRAME_BYTES:
-                log.warning("node %s: a frame of %d bytes", self.ip, length)
+                log.warning("node %s: frame of %d bytes is too long, closing its connection", self.ip, length)
                 self.close()
                 return
             if len(self.buffer) < end:
@@ -118,7 +118,7 @@
         try:
             frame = frames.unpack(kind, body)
         except frames.FrameError as err:
-            log.warning("node %s: %s", self.ip, err)
+            log.warning("node %s: invalid frame, closing its connection: %s", self.ip, err)
             self.close()
             return
         if mark := frame.body_or_digest():
@@ -133,10 +133,10 @@
         try:
             self.peers.dispatch(self, frame)
         except frames.FrameError as err:
-            log.warning("node %s: %s: %s", self.ip, type(frame).__name__, err)
+            log.warning("node %s: invalid %s, closing its connection: %s", self.ip, type(frame).__name__, err)
             self.close()
         except Exception:
-            log.exception("%s from %s could not be carried out", type(frame).__name__, self.ip)
+            log.exception("handler of %s from node %s failed", type(frame).__name__, self.ip)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.mark_closed()
--- a/lab/hollow.py
+++ b/lab/hollow.py
@@ -38,7 +38,7 @@
 #: Of a machine's log so much is told where it has failed.
 TOLD = 2000
 TICKS = os.sysconf("SC_CLK_TCK")
-TAKEN = re.compile(r"configuration (\d+): \d+ routes")
+TAKEN = re.compile(r"configuration (\d+) applied: \d+ routes")
 
 
 class RunTooLargeError(ValueError):
--- a/tests/parts.py
+++ b/tests/parts.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from cypressbeam.distribution.relay import TreeNode
+from cypressbeam.distribution.tree_node import TreeNode
 from cypressbeam.protocol import frames
 from cypressbeam.protocol.settings import Settings, parse
 from cypressbeam.transport.peers import CONTROL_LANE, Link, Peers
--- a/tests/test_added_routes.py
+++ b/tests/test_added_routes.py
@@ -10,7 +10,7 @@
 import pytest
 
 from cypressbeam.distribution import endpoint_list
-from cypressbeam.distribution.relay import TreeNode
+from cypressbeam.distribution.tree_node import TreeNode
 from cypressbeam.protocol import configuration, frames
 from cypressbeam.protocol.configuration import digest
 from cypressbeam.protocol.settings import parse
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -21,7 +21,7 @@
 from cypressbeam.balancing.balancer import Balancer
 from cypressbeam.distribution import endpoint_list
 from cypressbeam.distribution.node_registry import FAN_OUT, MAX_FAN_OUT, NodeRegistry
-from cypressbeam.distribution.relay import TreeNode
+from cypressbeam.distribution.tree_node import TreeNode
 from cypressbeam.node import early_listener
 from cypressbeam.protocol import configuration, frames
 from cypressbeam.protocol.settings import SettingsError, load, parse
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,7 +9,7 @@
 import pytest
 
 from cypressbeam.distribution.node_registry import FAN_OUT, RENEWAL_INTERVAL_S
-from cypressbeam.distribution.relay import TreeNode
+from cypressbeam.distribution.tree_node import TreeNode
 from cypressbeam.protocol import frames
 from lab import chaos
 from lab.membership import STEPS, ZONES, Cluster, Figures, measure, play
