--- a/cypressbeam/balancing/balancer.py
+++ b/cypressbeam/balancing/balancer.py
@@ -373,7 +373,7 @@
 
     def __init__(self, settings: it.Settings, seed: int) -> None:
         self.settings = settings
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.kinds = {kind.name: kind for kind in settings.classes}
         self.servers: dict[str, ServerView] = {}
         self.pool: list[ServerView] = []
@@ -509,7 +509,7 @@
             # The subscription may be broken: without one this proxy is soon deemed told of drains.
             cap = min(RESUBSCRIBE_CAP_US, FIRST_RESUBSCRIBE_US << min(self.failed_calls, 8))
             self.failed_calls += 1
-            self.timer(int(cap * (0.5 + 0.5 * self.chance.random())), "subscribe")
+            self.timer(int(cap * (0.5 + 0.5 * self.rng.random())), "subscribe")
             self.log("server list: call failed, asking again", "list")
             return
         if event.scope is not it.ListScope.SAVED:
@@ -603,7 +603,7 @@
             for s in self.pool
             if s.entry.zone != self.settings.zone and self.slow_start_factor(s) >= 1.0 and not self.left_out(request, s)
         ]
-        server = self.best(request, self.chance.sample(away, min(LOOKS_AWAY, len(away)))) if away else None
+        server = self.best(request, self.rng.sample(away, min(LOOKS_AWAY, len(away)))) if away else None
         return server if server is not None and self.delay_us(server) <= self.crowd_us else None
 
     def should_shed(self, tenant: str, kind: str) -> bool:
@@ -614,7 +614,7 @@
             self.log("refusing what is over a tenant's share, answers come late", "share")
             return True
         passing = self.demand.passing(kind, 1.0 - self.throttle.should_shed(), self.value_weights)
-        if self.chance.random() < passing:
+        if self.rng.random() < passing:
             return False
         self.log(f"throttling: {self.throttle.should_shed():.0%} refused, answers come late", "throttle")
         return True
@@ -697,7 +697,7 @@
         """
         server.success = ewma(server.success, 0.0, FAULT_NEWEST)
         rest_us = TRIAL_US << min(server.consecutive_faults, TRIAL_DOUBLINGS)
-        server.ejected_until_us = int(rest_us * (0.75 + 0.5 * self.chance.random()))
+        server.ejected_until_us = int(rest_us * (0.75 + 0.5 * self.rng.random()))
         server.consecutive_faults += 1
 
     def on_unhealthy(self, server: ServerView | None) -> None:
@@ -719,7 +719,7 @@
         ):
             return self.end(request)
         cap_us = min(BACKOFF_CAP_US, BACKOFF_BASE_US << (retries - 1))
-        wait_us = int(self.chance.random() * cap_us)
+        wait_us = int(self.rng.random() * cap_us)
         if wait_us >= request.arrived.give_up_at_us - self.now_us:
             return self.end(request)
         # Health of the servers it could go to: a dead part of the fleet must not stop retries on the rest.
@@ -757,7 +757,7 @@
         if not self.settings.retry_advice:
             return 0
         wait_us, self.wait_us = max(self.wait_us, LEAST_ADVICE_US), 0.0
-        return min(int(wait_us * (1.0 + self.chance.random())), self.settings.max_advice_us)
+        return min(int(wait_us * (1.0 + self.rng.random())), self.settings.max_advice_us)
 
     def close(self, request: Request) -> None:
         """Nothing more goes out for a request once this was called."""
@@ -787,12 +787,12 @@
         if not self.reach or self.reach[-1] <= 0.0:
             return []
         looks = max(LEAST_LOOKS, math.ceil(LOOKS * len(self.pool) / self.sharers))
-        drawn = self.chance.choices(self.pool, cum_weights=self.reach, k=looks)
+        drawn = self.rng.choices(self.pool, cum_weights=self.reach, k=looks)
         first = drawn[0]
         if self.slow_start_factor(first) < 1.0:
             # Rule 4: no proxy sends to it more often than its part of all capacity allows.
             often = self.capacity * self.zone_weight(first) / self.reach[-1]
-            if not first.out and not self.left_out(request, first) and self.chance.random() * often < COLD_OVER:
+            if not first.out and not self.left_out(request, first) and self.rng.random() * often < COLD_OVER:
                 self.drawn = first.entry.server
                 return [first]
         return [s for s in dict.fromkeys(drawn) if self.slow_start_factor(s) >= 1.0 and not self.left_out(request, s)]
@@ -847,7 +847,7 @@
         home = self.affinity_server(key) if key is not None else ""
         for server in pool:
             name = server.entry.server
-            score = self.rank(request, server) * (1.0 + 0.01 * self.chance.random())
+            score = self.rank(request, server) * (1.0 + 0.01 * self.rng.random())
             away = key is not None
             if name in met and self.now_us - met[name] < KEY_MEMORY_US:
                 score *= WARM
@@ -1045,7 +1045,7 @@
         if self.sharers >= MANY_SHARE:
             return server.entry.server == self.drawn  # the draw has kept to its part
         part = COLD_MARGIN * self.settings.fall_multiple * share
-        return server in self.pool and self.chance.random() < part / len(self.pool)
+        return server in self.pool and self.rng.random() < part / len(self.pool)
 
     def send(self, request: Request, server: ServerView) -> None:
         name = server.entry.server
--- a/cypressbeam/cli/member.py
+++ b/cypressbeam/cli/member.py
@@ -20,6 +20,7 @@
 
 
 def change_members(where: Address, change: str, old: str, new: str, plain: bool) -> None:
+    """Ask the system for the change, show what it waits for, and how it ends."""
     done = run_call(
         membership.change_members(where, change, old, new, lambda line: click.echo(f"waits: {line}", err=True))
     )
--- a/cypressbeam/cli/parameters.py
+++ b/cypressbeam/cli/parameters.py
@@ -16,6 +16,7 @@
     name = "host:port"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Address:
+        """The address; fails where the text is none."""
         try:
             return read_address(value)
         except ValueError:
--- a/cypressbeam/consensus/chain.py
+++ b/cypressbeam/consensus/chain.py
@@ -57,16 +57,20 @@
 
     @property
     def number(self) -> int:
+        """The number of the newest entry on disk; 0: there is none."""
         return self.last.number if self.last else 0
 
     @property
     def revision(self) -> int:
+        """Its revision; 0: there is none."""
         return self.last.revision if self.last else 0
 
     def is_head(self) -> bool:
+        """Whether this machine orders writes."""
         return self.view.head == self.ip
 
     def is_tail(self) -> bool:
+        """Whether this machine commits entries."""
         return self.view.tail == self.ip
 
     def is_caught_up(self) -> bool:
@@ -85,20 +89,22 @@
 
     # -- orders, at the head -------------------------------------------------------------------------------
 
-    def submit(self, order: frames.WriteRequest, now_s: float) -> list[ChainEffect]:
+    def submit(self, request: frames.WriteRequest, now_s: float) -> list[ChainEffect]:
+        """A write request, at the head: it is queued, and decided in its turn."""
         if not self.is_head() or self.sealed or not self.active:
             return []  # it is sent again, or its caller told that nobody answered
         if (
-            any(other.request_id == order.request_id for other in self.queue)
-            or (order.request_id, order.origin) in self.pending_callers
+            any(other.request_id == request.request_id for other in self.queue)
+            or (request.request_id, request.origin) in self.pending_callers
         ):
             return []  # its node asks again
         if len(self.queue) >= MAX_QUEUED_WRITES:
-            return [write_result(order, 503, "too many orders wait")]
-        self.queue.append(order)
+            return [write_result(request, 503, "too many orders wait")]
+        self.queue.append(request)
         return self.process_queue(now_s)
 
     def has_uncommitted(self) -> bool:
+        """Whether an entry is on its way: being written here, or not committed yet."""
         return self.persisting is not None or self.number > self.committed
 
     def process_queue(self, now_s: float) -> list[ChainEffect]:
@@ -106,12 +112,12 @@
         never names one that is lost."""
         actions: list[ChainEffect] = []
         while self.queue and self.is_head() and not self.sealed:
-            order = self.queue[0]
+            request = self.queue[0]
             if self.has_uncommitted():
                 self.coalesce_duplicates()
                 break
             self.queue.popleft()
-            actions += self.decide(order, now_s)
+            actions += self.decide(request, now_s)
         return actions
 
     def coalesce_duplicates(self) -> None:
@@ -119,32 +125,32 @@
         entry = self.persisting or self.last
         if entry is None:
             return
-        for order in [order for order in self.queue if order.body == entry.body]:
-            self.queue.remove(order)
-            self.pending_callers.append((order.request_id, order.origin))
+        for request in [request for request in self.queue if request.body == entry.body]:
+            self.queue.remove(request)
+            self.pending_callers.append((request.request_id, request.origin))
 
-    def decide(self, order: frames.WriteRequest, now_s: float) -> list[ChainEffect]:
+    def decide(self, request: frames.WriteRequest, now_s: float) -> list[ChainEffect]:
         """All that is on disk is committed here. The rule (docs/design/orders.md): what was taken is never refused,
         and what is refused is never taken. So whoever may yet turn out to be either is told to come back."""
-        if self.digest(order.body) in self.applied_digests.values():
-            return [write_result(order, 200, "taken before")]  # first, for a check may have changed since
-        if deduplication.forgotten_up_to(self.applied_digests, self.number) <= order.base < self.revision:
+        if self.digest(request.body) in self.applied_digests.values():
+            return [write_result(request, 200, "taken before")]  # first, for a check may have changed since
+        if deduplication.forgotten_up_to(self.applied_digests, self.number) <= request.base < self.revision:
             # As a rule one of many on the same base: a body of many thousand routes is not read for that.
-            return [write_result(order, 412, f"the current version is {self.revision}")]
+            return [write_result(request, 412, f"the current version is {self.revision}")]
         try:
-            revision = self.check(order.body)
+            revision = self.check(request.body)
         except ValueError as err:
-            return [write_result(order, 400, str(err))]
-        if self.base_may_become_current(order.base, revision):
-            return [write_result(order, 503, f"version {order.base} is not in force here")]
-        if self.may_have_been_applied(order.base, revision):
-            return [write_result(order, 503, "too old to tell whether it was taken")]
-        if order.base != self.revision:
-            return [write_result(order, 412, f"the current version is {self.revision}")]
+            return [write_result(request, 400, str(err))]
+        if self.base_may_become_current(request.base, revision):
+            return [write_result(request, 503, f"version {request.base} is not in force here")]
+        if self.may_have_been_applied(request.base, revision):
+            return [write_result(request, 503, "too old to tell whether it was taken")]
+        if request.base != self.revision:
+            return [write_result(request, 412, f"the current version is {self.revision}")]
         if revision <= self.revision:
-            return [write_result(order, 400, f"revision {revision} is not above {self.revision}")]
-        self.pending_callers = [(order.request_id, order.origin)]
-        self.persisting = Entry(self.number + 1, self.view.epoch, revision, order.base, order.body)
+            return [write_result(request, 400, f"revision {revision} is not above {self.revision}")]
+        self.pending_callers = [(request.request_id, request.origin)]
+        self.persisting = Entry(self.number + 1, self.view.epoch, revision, request.base, request.body)
         return [PersistEntry(self.persisting)]
 
     def base_may_become_current(self, base: int, revision: int) -> bool:
@@ -158,6 +164,7 @@
     # -- entries, down the chain ---------------------------------------------------------------------------
 
     def on_forward(self, frame: frames.ForwardEntry, now_s: float) -> list[ChainEffect]:
+        """An entry comes from the predecessor: it is put on disk if it is the next one."""
         if frame.epoch != self.view.epoch or self.sealed or not self.active:
             return []
         if frame.number <= self.number:
@@ -187,7 +194,8 @@
         self.committed = entry.number
         actions: list[ChainEffect] = [Publish(entry)]
         actions += [
-            SendMessage(origin, frames.WriteResult(ident, 200, "taken")) for ident, origin in self.pending_callers
+            SendMessage(origin, frames.WriteResult(request_id, 200, "taken"))
+            for request_id, origin in self.pending_callers
         ]
         self.pending_callers = []
         previous = self.view.predecessor(self.ip)
@@ -198,21 +206,25 @@
     def persist_failed(self, entry: Entry, now_s: float) -> list[ChainEffect]:
         """The disk refused the entry: whoever asked is told to try again later."""
         self.persisting = None
-        asked, self.pending_callers = self.pending_callers, []
-        return [SendMessage(origin, frames.WriteResult(ident, 503, "the disk refuses")) for ident, origin in asked]
+        callers, self.pending_callers = self.pending_callers, []
+        return [
+            SendMessage(origin, frames.WriteResult(request_id, 503, "the disk refuses"))
+            for request_id, origin in callers
+        ]
 
     def forward_to_successor(self, now_s: float) -> list[ChainEffect]:
-        following = self.view.successor(self.ip)
-        if following is None or self.last is None or self.last.number <= self.committed:
+        """Send the newest entry down the chain, if it is not committed."""
+        successor = self.view.successor(self.ip)
+        if successor is None or self.last is None or self.last.number <= self.committed:
             return []
         self.forwarded_s = now_s
-        ident, origin = self.pending_callers[0] if self.pending_callers else (0, "")
+        request_id, origin = self.pending_callers[0] if self.pending_callers else (0, "")
         entry = self.last
         return [
             SendMessage(
-                following,
+                successor,
                 frames.ForwardEntry(
-                    self.view.epoch, entry.number, entry.revision, entry.base, entry.body, ident, origin
+                    self.view.epoch, entry.number, entry.revision, entry.base, entry.body, request_id, origin
                 ),
             )
         ]
@@ -236,6 +248,7 @@
         ]
 
     def on_commit(self, frame: frames.CommitNotice, now_s: float) -> list[ChainEffect]:
+        """The successor says that entries are committed."""
         if frame.epoch != self.view.epoch or self.sealed or not self.committed < frame.number <= self.number:
             return []
         self.committed = frame.number
@@ -247,14 +260,15 @@
         if self.is_head() and self.committed == self.number:
             # The tail has answered the first; the rest had sent the same again meanwhile.
             actions += [
-                SendMessage(origin, frames.WriteResult(ident, 200, "taken"))
-                for ident, origin in self.pending_callers[1:]
+                SendMessage(origin, frames.WriteResult(request_id, 200, "taken"))
+                for request_id, origin in self.pending_callers[1:]
             ]
             self.pending_callers = []
             actions += self.process_queue(now_s)
         return actions
 
     def tick(self, now_s: float) -> list[ChainEffect]:
+        """Send an entry again that was not acknowledged for long."""
         if (
             self.active
             and not self.sealed
@@ -265,5 +279,6 @@
         return []
 
 
-def write_result(order: frames.WriteRequest, status: int, text: str) -> SendMessage:
-    return SendMessage(order.origin, frames.WriteResult(order.request_id, status, text[:MAX_RESULT_TEXT]))
+def write_result(request: frames.WriteRequest, status: int, text: str) -> SendMessage:
+    """The result of a write request, for the node that took the call."""
+    return SendMessage(request.origin, frames.WriteResult(request.request_id, status, text[:MAX_RESULT_TEXT]))
--- a/cypressbeam/consensus/membership.py
+++ b/cypressbeam/consensus/membership.py
@@ -87,6 +87,7 @@
 
 
 def majority(count: int) -> int:
+    """How many of so many members are a majority."""
     return count // 2 + 1
 
 
@@ -101,39 +102,41 @@
     return None
 
 
-def next_step(change: MembershipChange, known: MembershipState) -> ChangeDecision:
+def next_step(change: MembershipChange, state: MembershipState) -> ChangeDecision:
     """The next step of a change, or why there is none."""
-    wrong = find_fault(change)
-    if wrong is not None:
-        return wrong
-    now = frozenset(ip_of(name) for name in known.view.group)
+    fault = find_fault(change)
+    if fault is not None:
+        return fault
+    now = frozenset(ip_of(name) for name in state.view.group)
     steps = change.steps()
     if now == steps[-1]:
         return ChangeDecision(DONE, "the group is " + " ".join(sorted(now)))
     if now not in steps:
         return ChangeDecision(ANOTHER, "the group is another one now: " + " ".join(sorted(now)))
     wanted = steps[steps.index(now) + 1]
-    return add_member(change.new, known) if len(wanted) > len(now) else remove_member(change.old, known)
+    return add_member(change.new, state) if len(wanted) > len(now) else remove_member(change.old, state)
 
 
-def add_member(ip: str, known: MembershipState) -> ChangeDecision:
-    name = known.spares.get(ip)
+def add_member(ip: str, state: MembershipState) -> ChangeDecision:
+    """The next step of taking in the machine at an address."""
+    name = state.spares.get(ip)
     if name is None:
         return ChangeDecision(UNKNOWN, f"no machine with a disk at {ip} has joined")
-    if len(known.view.group) >= MAX_MEMBERS:
+    if len(state.view.group) >= MAX_MEMBERS:
         return ChangeDecision(REFUSED, f"a group has {MAX_MEMBERS} members at most")
-    if name not in known.caught_up:
+    if name not in state.caught_up:
         return ChangeDecision(WAITS, f"{ip} is brought level", catch_up=ip)
-    return ChangeDecision(WAITS, f"{ip} is taken in", (*known.view.group, name))
+    return ChangeDecision(WAITS, f"{ip} is taken in", (*state.view.group, name))
 
 
-def remove_member(ip: str, known: MembershipState) -> ChangeDecision:
-    group = tuple(name for name in known.view.group if ip_of(name) != ip)
-    chain = [name for name in known.view.chain if ip_of(name) != ip]
-    least, copies = 2 * known.tolerated_losses + 1, max(known.tolerated_losses + 1, majority(len(group)))
+def remove_member(ip: str, state: MembershipState) -> ChangeDecision:
+    """The next step of letting a member go, if the others can bear it."""
+    group = tuple(name for name in state.view.group if ip_of(name) != ip)
+    chain = [name for name in state.view.chain if ip_of(name) != ip]
+    least, copies = 2 * state.tolerated_losses + 1, max(state.tolerated_losses + 1, majority(len(group)))
     if len(group) < least:
         return ChangeDecision(
-            REFUSED, f"{len(group)} members would be left; to lose {known.tolerated_losses} it takes {least}"
+            REFUSED, f"{len(group)} members would be left; to lose {state.tolerated_losses} it takes {least}"
         )
     if len(chain) < copies:
         return ChangeDecision(REFUSED, f"{len(chain)} whole copies would be left; {copies} are needed")
@@ -156,6 +159,7 @@
     # -- what is known -------------------------------------------------------------------------------------
 
     def spares(self, now_s: float) -> dict[str, str]:
+        """Machines with a disk that works, alive and in no group: names by addresses."""
         view = self.replica.state.view
         if view is None:
             return {}
@@ -172,6 +176,7 @@
         return replica.state.chain is not None and replica.state.chain.is_head() and replica.leadership.leads(now_s)
 
     def state(self, now_s: float) -> MembershipState:
+        """What the head of an active view knows."""
         view, newest = self.replica.state.view, self.replica.state.newest_entry()
         assert view is not None
         number = newest.number if newest is not None else 0
@@ -192,15 +197,16 @@
         if not self.is_active_head(now_s):
             return []
         change = MembershipChange(frame.kind, frame.old, frame.new, frozenset(frame.base))
-        verdict = next_step(change, self.state(now_s))
+        decision = next_step(change, self.state(now_s))
         group = tuple(sorted(ip_of(name) for name in replica.state.view.group))
-        answer = frames.MembershipChangeStatus(frame.request_id, verdict.status, verdict.text, group)
-        return [SendMessage(frame.origin, answer), *self.effects_of(verdict, now_s)]
+        answer = frames.MembershipChangeStatus(frame.request_id, decision.status, decision.text, group)
+        return [SendMessage(frame.origin, answer), *self.effects_of(decision, now_s)]
 
-    def effects_of(self, verdict: ChangeDecision, now_s: float) -> list[Effect]:
-        if verdict.catch_up:
-            return self.send_catch_up(verdict.catch_up, now_s)
-        return self.propose_group(verdict.group, now_s) if verdict.group else []
+    def effects_of(self, decision: ChangeDecision, now_s: float) -> list[Effect]:
+        """What a decision asks for: a catch-up, or a view with another group."""
+        if decision.catch_up:
+            return self.send_catch_up(decision.catch_up, now_s)
+        return self.propose_group(decision.group, now_s) if decision.group else []
 
     def propose_group(self, group: tuple[str, ...], now_s: float) -> list[Effect]:
         """Propose a view with another group, or the same group anew where this view has been used up."""
@@ -266,12 +272,13 @@
         return replica.accept_view(view, entry, digests.unpack(frame.applied_digests), now_s)
 
     def on_catch_up_ack(self, frame: frames.CatchUpAck) -> list[Effect]:
+        """A spare says which entry it holds; it counts if its body is the one that is here."""
         newest = self.replica.state.newest_entry()
-        wrong = (
+        fault = (
             newest is not None
             and frame.number == newest.number
             and frame.digest != self.replica.state.digest(newest.body)
         )
-        if not wrong:
+        if not fault:
             self.spare_entry_numbers[frame.name] = frame.number
         return []
--- a/cypressbeam/consensus/quorum_loss.py
+++ b/cypressbeam/consensus/quorum_loss.py
@@ -25,6 +25,8 @@
 
 
 class Absence(StrEnum):
+    """Why a member does not count."""
+
     SILENT = "silent"
     NEW_DISK = "new disk"
     OLD_DISK = "old disk"
@@ -43,6 +45,7 @@
     """For how long; None where that is not known."""
 
     def text(self) -> str:
+        """As an operator reads it."""
         what = ABSENCE_TEXTS[self.absence]
         return f"{self.ip} ({what})" if self.for_s is None else f"{self.ip} ({what} for {self.for_s:.0f} s)"
 
@@ -58,6 +61,7 @@
 
     @property
     def majority(self) -> int:
+        """How many members are needed."""
         return self.members // 2 + 1
 
     def lines(self) -> list[str]:
@@ -73,26 +77,27 @@
         ]
 
 
-def absence_of(name: str, heard: Mapping[str, str], refused: Collection[str]) -> Absence:
-    if name in refused:
+def absence_of(name: str, alive: Mapping[str, str], rejected: Collection[str]) -> Absence:
+    """Why a member that is missing does not count."""
+    if name in rejected:
         return Absence.OLD_DISK
-    return Absence.NEW_DISK if heard.get(ip_of(name), name) != name else Absence.SILENT
+    return Absence.NEW_DISK if alive.get(ip_of(name), name) != name else Absence.SILENT
 
 
 def detect(
-    group: Collection[str], heard: Mapping[str, str], silent_s: Mapping[str, float], refused: Collection[str] = ()
+    group: Collection[str], alive: Mapping[str, str], silent_s: Mapping[str, float], rejected: Collection[str] = ()
 ) -> QuorumLoss | None:
     """The statement on a group (names). `heard` gives who is there, by address, under which name; `silent_s` for how
     long members have been missing, by address, as far as that is known; `refused` names those whose disks are older
     than what they told."""
-    here = tuple(sorted(ip_of(name) for name in group if heard.get(ip_of(name)) == name))
+    here = tuple(sorted(ip_of(name) for name in group if alive.get(ip_of(name)) == name))
     missing = tuple(
-        MissingMember(ip_of(name), absence_of(name, heard, refused), silent_s.get(ip_of(name)))
+        MissingMember(ip_of(name), absence_of(name, alive, rejected), silent_s.get(ip_of(name)))
         for name in sorted(group)
         if ip_of(name) not in here
     )
-    found = QuorumLoss(len(group), here, missing)
-    return found if group and len(here) < found.majority else None
+    loss = QuorumLoss(len(group), here, missing)
+    return loss if group and len(here) < loss.majority else None
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,35 +121,37 @@
     reported_s: float = 0.0
 
     def tick(
-        self, group: Collection[str], heard: Mapping[str, str], now_s: float, refused: Collection[str] = ()
+        self, group: Collection[str], alive: Mapping[str, str], now_s: float, rejected: Collection[str] = ()
     ) -> QuorumLossReport | None:
         """Take in who is heard now, this machine with it. A machine that is no member gives an empty group."""
         if self.ticked_s is not None and now_s - self.ticked_s > PAUSE_THRESHOLD_S:
             self.missing_since_s.clear()  # whom it would have heard meanwhile it can't say
         self.ticked_s = now_s
         self.missing_since_s = {
-            name: self.missing_since_s.get(name, now_s) for name in group if heard.get(ip_of(name)) != name
+            name: self.missing_since_s.get(name, now_s) for name in group if alive.get(ip_of(name)) != name
         }
         silent_s = {ip_of(name): now_s - since_s for name, since_s in self.missing_since_s.items()}
-        found = detect(group, heard, silent_s, refused)
-        if found is None:
+        loss = detect(group, alive, silent_s, rejected)
+        if loss is None:
             return self.on_regained(now_s)
         # The majority was lost with the first member that was one too many.
-        lost_s = sorted(self.missing_since_s.values())[found.members - found.majority]
+        lost_s = sorted(self.missing_since_s.values())[loss.members - loss.majority]
         if now_s - lost_s < REPORT_AFTER_S and self.loss is None:
             return None
-        return self.on_lost(found, lost_s, now_s)
+        return self.on_lost(loss, lost_s, now_s)
 
-    def on_lost(self, found: QuorumLoss, lost_s: float, now_s: float) -> QuorumLossReport | None:
+    def on_lost(self, loss: QuorumLoss, lost_s: float, now_s: float) -> QuorumLossReport | None:
+        """A majority is missing for long: reported at first, and again each `REPORT_INTERVAL_S`."""
         if self.loss is not None and now_s - self.reported_s < REPORT_INTERVAL_S:
-            self.loss = found
+            self.loss = loss
             return None
         if self.loss is None:
             self.lost_s = lost_s
-        self.loss, self.reported_s = found, now_s
-        return QuorumLossReport(logging.ERROR, "; ".join(found.lines()))
+        self.loss, self.reported_s = loss, now_s
+        return QuorumLossReport(logging.ERROR, "; ".join(loss.lines()))
 
     def on_regained(self, now_s: float) -> QuorumLossReport | None:
+        """A majority is there; reported if its loss was."""
         if self.loss is None:
             return None
         self.loss = None
--- a/cypressbeam/consensus/replacement.py
+++ b/cypressbeam/consensus/replacement.py
@@ -48,9 +48,9 @@
             self.since_s.clear()
         return not stood_still
 
-    def update(self, addresses: Iterable[str], heard: Callable[[str, float], bool], now_s: float) -> None:
+    def update(self, addresses: Iterable[str], peers: Callable[[str, float], bool], now_s: float) -> None:
         """Count for those that are not heard; forget the others."""
-        silent = [ip for ip in addresses if not heard(ip, now_s)]
+        silent = [ip for ip in addresses if not peers(ip, now_s)]
         self.since_s = {ip: self.since_s.get(ip, now_s) for ip in silent}
 
     def silent_for(self, least_s: float, now_s: float) -> list[str]:
@@ -125,17 +125,17 @@
     def on_change_request(self, frame: frames.MembershipChangeRequest, now_s: float) -> list[Effect]:
         """An order of an operator's, or of a member that leaves, goes before what was begun by itself: that may be
         about to remove the very machine that the order adds."""
-        begun, ordered = self.pending_change, frozenset(frame.base)
-        if begun is not None and (frame.old, frame.new, ordered) != (begun.old, begun.new, begun.base):
+        pending, ordered = self.pending_change, frozenset(frame.base)
+        if pending is not None and (frame.old, frame.new, ordered) != (pending.old, pending.new, pending.base):
             self.pending_change = None
         return self.membership.on_change_request(frame, now_s)
 
     def next_change(self, now_s: float) -> MembershipChange | None:
         """The change of the group that is to be made by itself, if any."""
-        begun, group = self.pending_change, self.group()
-        if begun is not None and begun.kind == REPLACE and group == begun.base | {begun.new}:
-            return self.second_step(begun)
-        if begun is not None and group == begun.steps()[-1]:
+        pending, group = self.pending_change, self.group()
+        if pending is not None and pending.kind == REPLACE and group == pending.base | {pending.new}:
+            return self.second_step(pending)
+        if pending is not None and group == pending.steps()[-1]:
             self.pending_change = None
         change = self.needed_change(group, now_s)
         if change is not None:
@@ -146,21 +146,21 @@
 
     def needed_change(self, group: frozenset[str], now_s: float) -> MembershipChange | None:
         """What the silence of a member asks for."""
-        gone = self.silence.silent_for(self.replace_after_s, now_s) if self.replace_after_s else []
-        if not gone:
+        silent = self.silence.silent_for(self.replace_after_s, now_s) if self.replace_after_s else []
+        if not silent:
             return None
         if self.has_surplus_member(group):
-            return MembershipChange(REMOVE, gone[0], "", group)
+            return MembershipChange(REMOVE, silent[0], "", group)
         spares = self.spares(now_s)
-        return MembershipChange(REPLACE, gone[0], spares[0], group) if spares else None
+        return MembershipChange(REPLACE, silent[0], spares[0], group) if spares else None
 
-    def second_step(self, begun: MembershipChange) -> MembershipChange:
+    def second_step(self, pending: MembershipChange) -> MembershipChange:
         """The second step of a replacement. Where the spare has fallen silent and the old member is back, that is the
         one to keep."""
         silent = self.silence.since_s
-        if begun.new in silent and begun.old not in silent:
-            return MembershipChange(REPLACE, begun.new, begun.old, (begun.base - {begun.old}) | {begun.new})
-        return begun
+        if pending.new in silent and pending.old not in silent:
+            return MembershipChange(REPLACE, pending.new, pending.old, (pending.base - {pending.old}) | {pending.new})
+        return pending
 
     def catch_up_spares(self, now_s: float) -> list[Effect]:
         """A new spare gets view and entry at once; the others the newest entry while a member is silent."""
@@ -188,11 +188,11 @@
     def successors_lack_view(self, now_s: float) -> bool:
         """Whether the view without this machine is not on the disks of all its chain yet: until then the old group may
         have to decide once more."""
-        view, heard = self.replica.state.view, self.replica.failure_detector.peers
+        view, peers = self.replica.state.view, self.replica.failure_detector.peers
         if view is None or self.replica.name in view.group:
             return False
         return any(
-            self.replica.failure_detector.is_alive(ip, now_s) and heard[ip].epoch < view.epoch for ip in view.members
+            self.replica.failure_detector.is_alive(ip, now_s) and peers[ip].epoch < view.epoch for ip in view.members
         )
 
     # -- for operators -----------------------------------------------------------------------------------------
--- a/cypressbeam/distribution/context.py
+++ b/cypressbeam/distribution/context.py
@@ -17,7 +17,7 @@
     settings: Settings
     peers: Peers
     loop: asyncio.AbstractEventLoop = field(default_factory=asyncio.get_running_loop)
-    chance: random.Random = field(default_factory=random.Random)
+    rng: random.Random = field(default_factory=random.Random)
 
     def now_s(self) -> float:
         """The event loop's time."""
--- a/cypressbeam/distribution/endpoint_list.py
+++ b/cypressbeam/distribution/endpoint_list.py
@@ -33,6 +33,8 @@
 
 
 class PlatformRow(msgspec.Struct, frozen=True, rename="camel"):
+    """A server as the platform lists it."""
+
     id: str
     plant: str
     address: str
@@ -43,6 +45,8 @@
 
 
 class PlatformPage(msgspec.Struct, frozen=True, rename="camel"):
+    """A page of the platform's list."""
+
     servers: tuple[PlatformRow, ...]
     next_token: str | None = None
 
@@ -57,6 +61,7 @@
 
 
 def read_endpoint(listed: PlatformRow) -> Endpoint:
+    """An endpoint from the platform's row. Raises ValueError for an address that is none."""
     return Endpoint(
         listed.id,
         listed.plant,
--- a/cypressbeam/distribution/failure_detector.py
+++ b/cypressbeam/distribution/failure_detector.py
@@ -28,17 +28,21 @@
         self.number = 0
 
     async def start(self, ip: str) -> None:
+        """Open the port, and begin to probe. Raises OSError."""
         await self.loop.create_datagram_endpoint(lambda: self, local_addr=(ip, self.port))
         self.tick()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The port is open."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def watch(self, ips: tuple[str, ...], names: tuple[str, ...]) -> None:
+        """Probe these nodes from now on, and no others."""
         self.names = dict(zip(ips, names, strict=True))
         self.missed_probes = {ip: self.missed_probes.get(ip, 0) for ip in ips}
 
     def tick(self) -> None:
+        """Send a probe to each, and report those that miss too many."""
         self.loop.call_later(PROBE_INTERVAL_S, self.tick)
         self.number += 1
         for ip, name in self.names.items():
@@ -48,10 +52,12 @@
             self.send(PING, self.number, (ip, self.port))
 
     def send(self, kind: int, number: int, to: tuple[str, int]) -> None:
+        """Send a probe, or the answer to one."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.sendto(PACKET.pack(kind, number), to)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
+        """Answer a probe, or take an answer."""
         if len(data) != PACKET.size:
             return
         kind, number = PACKET.unpack(data)
@@ -61,5 +67,6 @@
             self.missed_probes[addr[0]] = 0
 
     def close(self) -> None:
+        """Probe no more."""
         if self.transport is not None:
             self.transport.close()
--- a/cypressbeam/distribution/node_registry.py
+++ b/cypressbeam/distribution/node_registry.py
@@ -32,6 +32,8 @@
 
 @dataclass(slots=True)
 class NodeRecord:
+    """What the leader knows of a node, by its registrations."""
+
     name: str
     ip: str
     zone: str
@@ -47,6 +49,7 @@
     is_deaf: bool = False
 
     def is_doubtful(self) -> bool:
+        """Whether the node should have no children."""
         return self.is_suspected or self.is_deaf
 
     def note_acknowledgement(self, given: int, now_s: float) -> None:
@@ -61,10 +64,10 @@
 
 def assign_parents(order: list[NodeRecord]) -> list[NodeRecord | None]:
     """Who feeds each: those that stand first, as many as their links carry beside the thinnest one."""
-    thinnest = min((known.kbps for known in order), default=1)
+    thinnest = min((record.kbps for record in order), default=1)
     found: list[NodeRecord | None] = [None]
-    for known in order:
-        found += [known] * min(FAN_OUT * max(known.kbps // thinnest, 1), MAX_FAN_OUT)
+    for record in order:
+        found += [record] * min(FAN_OUT * max(record.kbps // thinnest, 1), MAX_FAN_OUT)
         if len(found) >= len(order):
             break
     return found[: len(order)]
@@ -86,18 +89,18 @@
 
     def register(self, frame: frames.JoinRequest, now_s: float, epoch: int = 0) -> None:
         """A node joins, or joins again, at a root that leads in this epoch."""
-        known = self.nodes.get(frame.name)
-        if known is not None and (known.ip, known.zone, known.flags, known.kbps) == (
+        record = self.nodes.get(frame.name)
+        if record is not None and (record.ip, record.zone, record.flags, record.kbps) == (
             frame.ip,
             frame.zone,
             frame.flags,
             frame.kbps,
         ):
-            before = known.is_doubtful()
-            known.note_acknowledgement(frame.acknowledged_epoch, now_s)
-            known.seen_s = now_s
-            known.is_suspected = False
-            self.stale = self.stale or known.is_doubtful() is not before
+            before = record.is_doubtful()
+            record.note_acknowledgement(frame.acknowledged_epoch, now_s)
+            record.seen_s = now_s
+            record.is_suspected = False
+            self.stale = self.stale or record.is_doubtful() is not before
         else:
             self.remove(frame.name)
             self.add(
@@ -112,28 +115,30 @@
             ):
                 other.is_suspected = self.stale = True
 
-    def add(self, known: NodeRecord) -> None:
-        self.nodes[known.name] = known
+    def add(self, record: NodeRecord) -> None:
+        """A node that is new, or has come back as another one."""
+        self.nodes[record.name] = record
         self.stale = True
-        if known.flags & frames.SERVES_CLIENTS:
-            insort(self.names, known.name)
+        if record.flags & frames.SERVES_CLIENTS:
+            insort(self.names, record.name)
         for name, watched in self.probed_by.items():
-            self.probed_by[name] = self.nearest(name, [*watched, known])
+            self.probed_by[name] = self.nearest(name, [*watched, record])
 
     def remove(self, name: str) -> None:
-        known = self.nodes.pop(name, None)
-        if known is None:
+        """A node is gone."""
+        record = self.nodes.pop(name, None)
+        if record is None:
             return
         self.stale = True
-        if known.flags & frames.SERVES_CLIENTS:
+        if record.flags & frames.SERVES_CLIENTS:
             self.names.remove(name)
         self.probed_by = {
-            other: watched for other, watched in self.probed_by.items() if other != name and known not in watched
+            other: watched for other, watched in self.probed_by.items() if other != name and record not in watched
         }
 
     def expire(self, now_s: float) -> list[str]:
         """Drop those that have not joined for long; returns their names."""
-        gone = [name for name, known in self.nodes.items() if now_s - known.seen_s > EXPIRY_S]
+        gone = [name for name, record in self.nodes.items() if now_s - record.seen_s > EXPIRY_S]
         for name in gone:
             self.remove(name)
         return gone
@@ -141,7 +146,7 @@
     def edge_count(self, zone: str | None = None) -> int:
         """How many nodes carry traffic, in all or in a zone."""
         return sum(
-            1 for known in self.nodes.values() if known.flags & frames.SERVES_CLIENTS and zone in (None, known.zone)
+            1 for record in self.nodes.values() if record.flags & frames.SERVES_CLIENTS and zone in (None, record.zone)
         )
 
     def order(self, zone: str) -> list[NodeRecord]:
@@ -151,7 +156,7 @@
             self.orders_by_zone, self.parents_by_zone = {}, {}
             self.stale = False
         if zone not in self.orders_by_zone:
-            here = [known for known in self.nodes.values() if known.zone == zone]
+            here = [record for record in self.nodes.values() if record.zone == zone]
             self.orders_by_zone[zone] = sorted(
                 here,
                 key=lambda k: (
@@ -164,20 +169,20 @@
             self.parents_by_zone[zone] = assign_parents(self.orders_by_zone[zone])
         return self.orders_by_zone[zone]
 
-    def parents(self, known: NodeRecord, root: str) -> tuple[str, ...]:
+    def parents(self, record: NodeRecord, root: str) -> tuple[str, ...]:
         """Addresses to attach to, best first; the root itself is the last resort. It never leads in a circle: a
         parent stands before its children in the zone's order, and the first is fed by the root."""
-        at = self.order(known.zone).index(known)
-        feeder = self.parents_by_zone[known.zone][at]
+        at = self.order(record.zone).index(record)
+        feeder = self.parents_by_zone[record.zone][at]
         if feeder is None or feeder.is_doubtful() or feeder.ip == root:
             return (root,)
         return (feeder.ip, root)
 
-    def probed_peers(self, known: NodeRecord) -> list[NodeRecord]:
+    def probed_peers(self, record: NodeRecord) -> list[NodeRecord]:
         """The few that this node watches."""
-        if known.name not in self.probed_by:
-            self.probed_by[known.name] = self.nearest(known.name, list(self.nodes.values()))
-        return self.probed_by[known.name]
+        if record.name not in self.probed_by:
+            self.probed_by[record.name] = self.nearest(record.name, list(self.nodes.values()))
+        return self.probed_by[record.name]
 
     def nearest(self, name: str, others: list[NodeRecord]) -> list[NodeRecord]:
         """Of the others those that weigh most for a name."""
@@ -189,16 +194,16 @@
         self, name: str, epoch: int, members: tuple[str, ...], root: str, fronts: int, group: tuple[str, ...] = ()
     ) -> frames.ParentAssignment:
         """What a node is told. `fronts` is how many carry traffic, 0 while that is not known."""
-        known = self.nodes[name]
-        watched = self.probed_peers(known)
+        record = self.nodes[name]
+        watched = self.probed_peers(record)
         return frames.ParentAssignment(
             epoch,
             members,
-            self.parents(known, root),
+            self.parents(record, root),
             tuple(other.ip for other in watched),
             tuple(other.name for other in watched),
             fronts,
-            self.edge_count(known.zone),
-            bisect_left(self.names, name) if known.flags & frames.SERVES_CLIENTS else 0,
+            self.edge_count(record.zone),
+            bisect_left(self.names, name) if record.flags & frames.SERVES_CLIENTS else 0,
             group,
         )
--- a/cypressbeam/distribution/registration.py
+++ b/cypressbeam/distribution/registration.py
@@ -84,7 +84,7 @@
         """Whether a known root may be asked now; then not again for a while."""
         if now_s < self.due_s:
             return False
-        self.due_s = now_s + RESPONSE_TIMEOUT_S + self.context.chance.uniform(0.0, RESPONSE_JITTER_S)
+        self.due_s = now_s + RESPONSE_TIMEOUT_S + self.context.rng.uniform(0.0, RESPONSE_JITTER_S)
         return True
 
     def assign(self, assignment: frames.ParentAssignment, now_s: float) -> None:
--- a/cypressbeam/distribution/root_locator.py
+++ b/cypressbeam/distribution/root_locator.py
@@ -78,7 +78,7 @@
         self.forget_silent(now_s)
         if self.root and not self.asked_s and now_s - self.registration.registered_s >= RESPONSE_TIMEOUT_S:
             self.request_root(self.root, now_s)
-        target = self.search.next_target(now_s, *self.candidates(), self.registration.edge_count, self.context.chance)
+        target = self.search.next_target(now_s, *self.candidates(), self.registration.edge_count, self.context.rng)
         if target is not None and not (target == self.root and self.asked_s):
             self.send_request(target)
 
@@ -100,6 +100,6 @@
     def on_unhelpful(self, ip: str) -> None:
         """One that was asked names nobody, or can't be reached: the next one has its turn."""
         group, seeds = self.candidates()
-        soon_s = self.search.skip(ip, self.context.now_s(), [*group, *seeds], self.context.chance)
+        soon_s = self.search.skip(ip, self.context.now_s(), [*group, *seeds], self.context.rng)
         if soon_s is not None:
             self.context.loop.call_later(soon_s, self.resume)
--- a/cypressbeam/distribution/root_search.py
+++ b/cypressbeam/distribution/root_search.py
@@ -36,7 +36,7 @@
         self.due_s = 0.0
 
     def next_target(
-        self, now_s: float, group: Sequence[str], seeds: Sequence[str], fleet: int, chance: random.Random
+        self, now_s: float, group: Sequence[str], seeds: Sequence[str], fleet: int, rng: random.Random
     ) -> str | None:
         """Whom to ask now: one of the group by chance, then the seeds in their order. `fleet` is the number of nodes,
         as far as it is known. None: nobody, or not yet."""
@@ -45,27 +45,28 @@
         if not self.remaining([*group, *seeds]):
             self.asked.clear()
         near = self.remaining(group)
-        target = chance.choice(near) if near else next(iter(self.remaining(seeds)), None)
+        target = rng.choice(near) if near else next(iter(self.remaining(seeds)), None)
         if target is None:
             return None
         self.asked.add(target)
         self.unanswered.add(target)
-        step_s = max(STEP_INTERVAL_S, fleet / MAX_REQUESTS_PER_S) * chance.uniform(0.8, 1.1)
+        step_s = max(STEP_INTERVAL_S, fleet / MAX_REQUESTS_PER_S) * rng.uniform(0.8, 1.1)
         if not self.remaining([*group, *seeds]):
-            step_s = max(step_s, chance.uniform(*ROUND_PAUSE_S))
+            step_s = max(step_s, rng.uniform(*ROUND_PAUSE_S))
         self.due_s = now_s + step_s
         return target
 
     def remaining(self, known: Sequence[str]) -> list[str]:
+        """Those that were not asked in this round."""
         return [ip for ip in dict.fromkeys(known) if ip != self.own_ip and ip not in self.asked]
 
-    def skip(self, ip: str, now_s: float, known: Sequence[str], chance: random.Random) -> float | None:
+    def skip(self, ip: str, now_s: float, known: Sequence[str], rng: random.Random) -> float | None:
         """One that was asked names nobody, or can't be reached: seconds until the next may be asked, if any of those
         that are known is left in this round, and that is sooner than planned."""
         if ip not in self.unanswered:
             return None
         self.unanswered.discard(ip)
-        soon_s = chance.uniform(*SKIP_DELAY_S)
+        soon_s = rng.uniform(*SKIP_DELAY_S)
         if not self.remaining(known) or now_s + soon_s >= self.due_s:
             return None
         self.due_s = now_s + soon_s
--- a/cypressbeam/distribution/tree_node.py
+++ b/cypressbeam/distribution/tree_node.py
@@ -251,7 +251,7 @@
         """Who has the newest version for sure, or soon, whatever the tree is like: the parent, and the core in any
         order, so that those who turn there together don't all ask one machine."""
         members = [*(self.registration.chain() or self.fence.group)]
-        self.context.chance.shuffle(members)
+        self.context.rng.shuffle(members)
         known = [self.subscription.parent_ip(), *members, self.locator.root]
         return [ip for ip in dict.fromkeys(known) if ip not in ("", self.context.settings.ip)]
 
--- a/cypressbeam/node/control_api.py
+++ b/cypressbeam/node/control_api.py
@@ -79,13 +79,15 @@
         self.send = send
         self.state_query = survey
         self.better_reader, self.is_isolated = better_reader, is_isolated
-        self.chance = random.SystemRandom()
+        self.rng = random.SystemRandom()
         self.calls: dict[str, PendingCall] = {}
 
     def can_serve(self) -> bool:
+        """Whether the chain is known here."""
         return bool(self.chain())
 
     def serve(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
+        """Answer a call, or begin to; raises BadRequestError for one that is wrong."""
         path = message.target.partition(b"?")[0]
         if path == REPLACE:
             return self.replace(message, connection)
@@ -100,35 +102,37 @@
         raise BadRequestError(404, "no such call")
 
     def replace(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
+        """Configuration.Replace: a write request to the head."""
         if message.method != b"POST":
             raise BadRequestError(405, "Configuration.Replace is a POST", b"POST")
         given = [value for lower, _, value in message.headers if lower == b"base-revision"]
         if len(given) != 1 or not given[0].isdigit() or len(given[0]) > 19 or int(given[0]) > MAX_REVISION:
             raise BadRequestError(400, "Base-Revision: the number of a version is needed")
         # Whether it is valid says the head, which knows whether it was taken: this node's program may be another one.
-        ident = self.chance.getrandbits(63)
-        return self.submit(frames.WriteRequest(ident, self.ip, int(given[0]), message.body), connection)
+        request_id = self.rng.getrandbits(63)
+        return self.submit(frames.WriteRequest(request_id, self.ip, int(given[0]), message.body), connection)
 
     def read(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
+        """Configuration.Read: a read request to the tail, or a redirect to a node that answers sooner."""
         if message.method not in (b"GET", b"HEAD"):
             raise BadRequestError(405, "Configuration.Read is a GET", b"GET, HEAD")
         better = self.better_reader()
         if better is not None:
             where = b"http://%s:%d%s" % (better[0].encode(), better[1], READ)
             return Answer(307, [(b"Location", where)])
-        return self.submit(frames.ReadRequest(self.chance.getrandbits(63), self.ip), connection)
+        return self.submit(frames.ReadRequest(self.rng.getrandbits(63), self.ip), connection)
 
     def change_members(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
         """A change of the core's group: sent again and again, as it was, until the answer is no longer 202."""
         if message.method != b"POST":
             raise BadRequestError(405, "System.Members is a POST", b"POST")
-        ident = self.chance.getrandbits(63)
+        request_id = self.rng.getrandbits(63)
         try:
-            asked = msgspec.json.decode(message.body, type=MembersCall)
+            request = msgspec.json.decode(message.body, type=MembersCall)
         except (msgspec.DecodeError, msgspec.ValidationError) as err:
             raise BadRequestError(400, f"System.Members: {err}") from None
         frame = frames.MembershipChangeRequest(
-            ident, self.ip, KINDS.get(asked.change, 0), asked.old, asked.new, tuple(asked.base)
+            request_id, self.ip, KINDS.get(request.change, 0), request.old, request.new, tuple(request.base)
         )
         try:
             frame.check()
@@ -141,6 +145,7 @@
         frame: frames.WriteRequest | frames.ReadRequest | frames.MembershipChangeRequest,
         connection: ClientConnection,
     ) -> Answer | None:
+        """Send a request to the chain, and answer the call when its result comes."""
         if not self.chain():
             return unavailable("the chain is not known here yet")
         if self.is_isolated():
@@ -168,25 +173,31 @@
         )
 
     def complete(self, name: str, answer: Answer) -> None:
+        """Answer a call that waits."""
         call = self.calls.pop(name, None)
         if call is not None:
             call.connection.respond(answer)
 
     def on_write_result(self, frame: frames.WriteResult) -> None:
+        """The result of a write."""
         headers = [(b"Retry-After", b"0.3")] if frame.status == 503 else []
         self.complete(str(frame.request_id), Answer(frame.status, headers, f"{frame.text}\n".encode()))
 
     def on_read_result(self, frame: frames.ReadResult) -> None:
+        """The configuration that was read."""
         self.complete(str(frame.request_id), Answer(frame.status, [CBOR] if frame.body else [], frame.body))
 
     def on_change_status(self, frame: frames.MembershipChangeStatus) -> None:
+        """How far a change of the members is."""
         body = msgspec.json.encode({"status": frame.status, "text": frame.text, "group": frame.group})
         self.complete(str(frame.request_id), Answer(frame.status, [JSON], body))
 
     def client_gone(self, name: str) -> None:
+        """A client has left: its call is forgotten."""
         if not self.state_query.client_gone(name):
             self.calls.pop(name, None)
 
 
 def unavailable(why: str) -> Answer:
+    """503, and when to come back."""
     return Answer(503, [(b"Retry-After", b"0.3")], f"{why}\n".encode())
--- a/cypressbeam/node/core_machine.py
+++ b/cypressbeam/node/core_machine.py
@@ -69,10 +69,10 @@
         self.send = send
         self.store = store
         self.loop = asyncio.get_running_loop()
-        self.chance: random.Random = random.SystemRandom()
+        self.rng: random.Random = random.SystemRandom()
         self.tasks = BackgroundTasks()
         self.executor = EffectExecutor(self, store, send, self.tasks)
-        self.leader_role = LeaderRole(settings, relay, send, lambda: self.chance, self.vouched_leader)
+        self.leader_role = LeaderRole(settings, relay, send, lambda: self.rng, self.vouched_leader)
         self.replica: Replica | None = None
         """None while the disk is not read yet."""
         self.membership: MembershipManager | None = None
@@ -128,7 +128,7 @@
         settings = self.settings
         name = f"{settings.ip}/{loaded.identity}"
         self.tree.registration.identity = name
-        replica = Replica(name, settings.machine_losses + 1, revision_of, configuration.digest, self.chance.random)
+        replica = Replica(name, settings.machine_losses + 1, revision_of, configuration.digest, self.rng.random)
         replica.check_version = configuration.CHECK_VERSION
         self.replica = replica
         self.membership = MembershipManager(replica, settings.machine_losses)
@@ -177,7 +177,7 @@
         log.info("handing over: group is to be %s", " ".join(sorted(change.steps()[-1])))
         self.on_message(
             frames.MembershipChangeRequest(
-                self.chance.getrandbits(REQUEST_ID_BITS),
+                self.rng.getrandbits(REQUEST_ID_BITS),
                 self.settings.ip,
                 change.kind,
                 change.old,
--- a/cypressbeam/node/endpoint_poller.py
+++ b/cypressbeam/node/endpoint_poller.py
@@ -23,10 +23,10 @@
 class EndpointPoller:
     """Asks the platform for the whole list, page by page, over one kept connection."""
 
-    def __init__(self, address: Address, on_list: Callable[[list[Endpoint]], None], chance: random.Random) -> None:
+    def __init__(self, address: Address, on_list: Callable[[list[Endpoint]], None], rng: random.Random) -> None:
         self.address = address
         self.on_list = on_list
-        self.chance = chance
+        self.rng = rng
 
     async def run(self) -> None:
         """Ask for ever, over a new connection after each failure."""
@@ -37,11 +37,11 @@
                 while True:
                     await self.poll(connection)
                     await asyncio.sleep(POLL_INTERVAL_S)
-            except Exception as err:  # whatever comes, the list stays as it was and is asked for again
+            except Exception as err:  # noqa: BLE001 (whatever comes, the list stays and is asked for again)
                 log.warning("endpoint list poll failed: %s: %s", type(err).__name__, err)
             finally:
                 connection.close()
-            await asyncio.sleep(self.chance.uniform(*POLL_RETRY_S))
+            await asyncio.sleep(self.rng.uniform(*POLL_RETRY_S))
 
     async def poll(self, connection: HttpClient) -> None:
         """One whole list. A page that is refused over the rate is asked for again, later."""
@@ -50,7 +50,7 @@
         while token is not None:
             answer = await connection.get("/servers" + (f"?pageToken={quote(token)}" if token else ""), POLL_TIMEOUT_S)
             if answer.status == 429:
-                await asyncio.sleep(self.chance.uniform(*POLL_RETRY_S))
+                await asyncio.sleep(self.rng.uniform(*POLL_RETRY_S))
                 continue
             if answer.status != 200:
                 raise ValueError(f"status {answer.status}")
--- a/cypressbeam/node/gateway_node.py
+++ b/cypressbeam/node/gateway_node.py
@@ -60,9 +60,11 @@
         self.front: Frontend | None = None
 
     def can_serve(self) -> bool:
+        """Whether clients may be sent here."""
         return self.gateway.can_serve()
 
     def serve(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
+        """Answer the platform's call; raises BadRequestError for any other."""
         if message.target.partition(b"?")[0] != READY_PATH:
             raise BadRequestError(404, "no such call")
         return readiness(connection, message.method)
@@ -72,6 +74,8 @@
 
 
 class GatewayNode:
+    """One process: it joins the parts that its settings ask for, and gives each message to its handler."""
+
     def __init__(
         self, settings: Settings, store: Storage | None = None, listening: socket.socket | None = None
     ) -> None:
@@ -117,6 +121,7 @@
         )
 
     def make_gateway(self) -> Gateway | None:
+        """The data plane, where the settings have a listener for clients."""
         return Gateway(self.settings) if self.settings.front_listener else None
 
     # -- start and stop ------------------------------------------------------------------------------------
@@ -160,6 +165,7 @@
         await frontend.listen(*address, self.listening)
 
     async def listen(self, frontend: Frontend, address: Address) -> None:
+        """Take connections at an address. Raises OSError."""
         await frontend.listen(*address)
         self.frontends.append(frontend)
 
@@ -210,6 +216,7 @@
         self.take_settings(new)
 
     def take_settings(self, new: Settings) -> None:
+        """The settings file has changed; only the seeds are taken up."""
         if new.seeds != self.settings.seeds:
             log.info("settings reloaded: seeds %s", " ".join(f"{host}:{port}" for host, port in new.seeds))
         self.settings = self.tree.context.settings = new
@@ -227,12 +234,14 @@
         self.loop.call_later(FILE_TICK_S, self.watch_file, path, now_ns)
 
     def begin_bootstrap(self) -> None:
+        """At the first seed, and before a view is known: gather machines for the first view."""
         settings = self.settings
         if settings.bootstrap and settings.seeds and settings.seeds[0][0] == settings.ip and not self.members():
             self.bootstrap = Bootstrap(2 * settings.machine_losses + 1)
             self.bootstrap_step()
 
     def bootstrap_step(self) -> None:
+        """Propose the first view, again and again until all of its members have it."""
         founding = self.bootstrap
         if founding is None:
             return
@@ -261,7 +270,7 @@
         takes_s = len(self.tree.configuration.body) * 8 / (self.settings.link_mbps * 1e6)
         if control is None or self.core is not None or not members or takes_s < MAX_READ_S:
             return None
-        return self.tree.context.chance.choice(members), control[1]
+        return self.tree.context.rng.choice(members), control[1]
 
     def is_isolated(self) -> bool:
         """Whether this node has looked for the root for long, and heard none of those that may know it."""
@@ -292,6 +301,7 @@
         }
 
     def take_configuration(self, revision: int, body: bytes) -> None:
+        """A committed configuration is here: the data plane serves by it."""
         if self.gateway is not None:
             try:
                 self.gateway.take_configuration(configuration.read_committed(body))
@@ -301,6 +311,7 @@
                 log.error("configuration %d not applied: %s", revision, err)
 
     def take_servers(self) -> None:
+        """The endpoint list has changed."""
         if self.gateway is not None:
             self.gateway.take_servers(self.tree.endpoints.endpoints.servers)
 
@@ -310,6 +321,7 @@
             self.gateway.take_ejections(servers)
 
     def take_assignment(self) -> None:
+        """The leader has assigned parents, and peers to probe."""
         place = self.tree.registration.assignment
         if place is None:
             return
@@ -320,6 +332,7 @@
             self.gateway.take_fleet(self.tree.registration.edge_count or 1, place.index)
 
     def on_silent(self, name: str) -> None:
+        """A probed peer does not answer: the leader is told."""
         if self.tree.position.is_root and self.core is not None:
             self.core.leader_role.on_suspect(name)
         elif self.tree.locator.root:
@@ -328,6 +341,7 @@
     # -- frames --------------------------------------------------------------------------------------------
 
     def on_lost(self, link: Link) -> None:
+        """A connection to another node is over."""
         self.tree.link_lost(link)
 
     def node_handlers(self) -> Handlers:
@@ -368,6 +382,7 @@
             core.on_message(frame)
 
     def on_join(self, link: Link, frame: frames.JoinRequest) -> None:
+        """A node registers here: at the leader it is answered, elsewhere redirected."""
         self.tree.fence.observe(frame.epoch)
         if self.tree.position.is_root and self.core is not None:
             self.core.on_join(link, frame)
@@ -379,6 +394,7 @@
         link.send(self.tree.fence.redirect())
 
     def on_bootstrap_ack(self, frame: frames.BootstrapAck) -> None:
+        """A machine has the first view on disk."""
         founding = self.bootstrap
         if founding is not None and founding.view is not None and frame.chain == founding.view.chain:
             founding.acknowledged.add(frame.name)
--- a/cypressbeam/node/state_query.py
+++ b/cypressbeam/node/state_query.py
@@ -24,6 +24,8 @@
 
 @dataclass(slots=True)
 class PendingQuery:
+    """An operator's call that waits for the answers of core machines."""
+
     connection: ClientConnection
     queried: set[str] = field(default_factory=set)
     """Addresses of machines of the core."""
@@ -47,79 +49,84 @@
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.ip, self.members, self.own_state, self.send = ip, members, own, send
-        self.chance = random.SystemRandom()
+        self.rng = random.SystemRandom()
         self.pending: dict[str, PendingQuery] = {}
 
     def begin(self, connection: ClientConnection) -> Answer | None:
         """Ask the core; the answer comes once all have told, or after a while. At once where no core is known."""
         members = self.members()
-        question = PendingQuery(connection)
+        query = PendingQuery(connection)
         if not members:
-            return self.build_answer(question)
-        ident = self.chance.getrandbits(63)
-        name = connection.request = str(ident)
-        self.pending[name] = question
-        self.query(ident, question, members)
+            return self.build_answer(query)
+        request_id = self.rng.getrandbits(63)
+        name = connection.request = str(request_id)
+        self.pending[name] = query
+        self.query(request_id, query, members)
         self.loop.call_later(QUERY_TIMEOUT_S, self.conclude, name)
         return None
 
-    def query(self, ident: int, question: PendingQuery, ips: tuple[str, ...]) -> None:
+    def query(self, request_id: int, query: PendingQuery, ips: tuple[str, ...]) -> None:
+        """Ask core machines that were not asked yet."""
         for ip in ips:
-            if ip not in question.queried:
-                question.queried.add(ip)
-                self.send(ip, frames.StatusQuery(ident, self.ip))
+            if ip not in query.queried:
+                query.queried.add(ip)
+                self.send(ip, frames.StatusQuery(request_id, self.ip))
 
     def on_state(self, frame: frames.ReplicaStatus) -> None:
-        question = self.pending.get(str(frame.request_id))
-        if question is None:
+        """A core machine has answered."""
+        query = self.pending.get(str(frame.request_id))
+        if query is None:
             return
-        question.answers[ip_of(frame.name)] = frame
+        query.answers[ip_of(frame.name)] = frame
         # Those of the group that the chain has left out are asked too: it may be they that are looked for.
-        self.query(frame.request_id, question, tuple(ip_of(name) for name in frame.group))
-        if question.queried <= question.answers.keys():
+        self.query(frame.request_id, query, tuple(ip_of(name) for name in frame.group))
+        if query.queried <= query.answers.keys():
             self.conclude(str(frame.request_id))
 
     def on_spares(self, frame: frames.SpareAnnouncement) -> None:
         """Each machine of the core sends it before its state."""
-        question = self.pending.get(str(frame.request_id))
-        if question is not None:
-            question.spares.update(frame.spares)
-            question.silent_members = frame.silent_members or question.silent_members
-            question.replacement_status = frame.replacement_status or question.replacement_status
+        query = self.pending.get(str(frame.request_id))
+        if query is not None:
+            query.spares.update(frame.spares)
+            query.silent_members = frame.silent_members or query.silent_members
+            query.replacement_status = frame.replacement_status or query.replacement_status
 
     def conclude(self, name: str) -> None:
-        question = self.pending.pop(name, None)
-        if question is not None:
-            question.connection.respond(self.build_answer(question))
+        """Answer with what has come."""
+        query = self.pending.pop(name, None)
+        if query is not None:
+            query.connection.respond(self.build_answer(query))
 
     def client_gone(self, name: str) -> bool:
+        """A client has left; returns whether it had called for the state."""
         return self.pending.pop(name, None) is not None
 
-    def build_answer(self, question: PendingQuery) -> Answer:
-        newest = max(question.answers.values(), key=lambda state: state.epoch, default=None)
+    def build_answer(self, query: PendingQuery) -> Answer:
+        """The state of the core and of this node, as JSON."""
+        newest = max(query.answers.values(), key=lambda state: state.epoch, default=None)
         head = max(
-            (state.number for state in question.answers.values() if newest and state.epoch == newest.epoch), default=0
+            (state.number for state in query.answers.values() if newest and state.epoch == newest.epoch), default=0
         )
-        told = {
+        state = {
             "node": self.own_state(),
             "epoch": newest.epoch if newest else None,
             "chain": newest.chain if newest else (),
             "group": newest.group if newest else (),
-            "quorumLoss": self.quorum_loss(question, newest),
-            "standingBy": sorted(question.spares),
-            "silent": question.silent_members,
-            "waits": question.replacement_status,
-            "members": [describe(ip, question.answers.get(ip), head) for ip in sorted(question.queried)],
+            "quorumLoss": self.quorum_loss(query, newest),
+            "standingBy": sorted(query.spares),
+            "silent": query.silent_members,
+            "waits": query.replacement_status,
+            "members": [describe(ip, query.answers.get(ip), head) for ip in sorted(query.queried)],
         }
-        return Answer(200, [JSON], msgspec.json.encode(told))
+        return Answer(200, [JSON], msgspec.json.encode(state))
 
-    def quorum_loss(self, question: PendingQuery, newest: frames.ReplicaStatus | None) -> dict[str, Any] | None:
+    def quorum_loss(self, query: PendingQuery, newest: frames.ReplicaStatus | None) -> dict[str, Any] | None:
         """Where no majority of the core answers, or none of it leads and one says that it hears no majority: what that
         means and what to do. Where nobody answers, of the machines that were asked."""
-        group = newest.group if newest is not None else tuple(question.queried)
-        heard = {ip: state.name for ip, state in question.answers.items()}
-        silent_s = parse_silences(question.silent_members)
-        if not any(state.flags & frames.IS_ROOT for state in question.answers.values()):
+        group = newest.group if newest is not None else tuple(query.queried)
+        heard = {ip: state.name for ip, state in query.answers.items()}
+        silent_s = parse_silences(query.silent_members)
+        if not any(state.flags & frames.IS_ROOT for state in query.answers.values()):
             heard = {ip: name for ip, name in heard.items() if ip not in silent_s}
         loss = detect(group, heard, silent_s)
         return {"here": loss.here, "missing": loss.missing, "text": loss.lines()} if loss is not None else None
--- a/cypressbeam/protocol/configuration.py
+++ b/cypressbeam/protocol/configuration.py
@@ -103,7 +103,7 @@
     stream = io.BytesIO(body)
     try:
         value: object = cbor2.load(stream, allow_duplicate_keys=committed)
-    except Exception as err:
+    except Exception as err:  # noqa: BLE001 (the decoder raises what it likes on hostile bytes)
         raise InvalidConfigurationError(f"no CBOR: {err}") from None
     if stream.tell() != len(body):
         raise InvalidConfigurationError("bytes behind the CBOR item")
@@ -157,6 +157,7 @@
 
 
 def check_channel(channel: RouteConfiguration, services: set[str]) -> None:
+    """One route by itself. Raises InvalidConfigurationError."""
     where = f"channels[{channel.label}]"
     if not host_name(channel.host):
         raise InvalidConfigurationError(f"{where}.host: a name is wanted")
--- a/cypressbeam/protocol/settings.py
+++ b/cypressbeam/protocol/settings.py
@@ -76,35 +76,41 @@
         self.values = values
 
     def error(self, key: str, wanted: str) -> SettingsError:
+        """What is wrong with a key: what was found, and what is wanted."""
         found = self.values.get(key)
         told = "is missing" if found is None else f"is {found!r}"
         return SettingsError(f"{self.path}: {key} {told}; {wanted} is wanted")
 
     def text(self, key: str) -> str:
+        """A value that must be there. Raises SettingsError, as all of these."""
         value = self.values.get(key, "")
         if not value:
             raise self.error(key, "a value")
         return value
 
     def address(self, key: str) -> Address | None:
+        """One address, or None."""
         found = self.addresses(key)
         if len(found) > 1 or (self.values.get(key) and not found):
             raise self.error(key, "host:port")
         return found[0] if found else None
 
     def addresses(self, key: str) -> tuple[Address, ...]:
+        """Addresses, separated by commas."""
         try:
             return tuple(read_address(part) for part in self.values.get(key, "").split(",") if part)
         except ValueError:
             raise self.error(key, "host:port") from None
 
     def flag(self, key: str, default: bool = False) -> bool:
+        """true or false."""
         value = self.values.get(key, str(default).lower())
         if value not in ("true", "false"):
             raise self.error(key, "true or false")
         return value == "true"
 
     def number(self, key: str, default: T, least: float = 0) -> T:
+        """A number of the default's type, at least `least`."""
         text = self.values.get(key)
         if text is None or text == "":
             return default
@@ -117,6 +123,7 @@
         return value
 
     def ports(self, key: str) -> tuple[int, int]:
+        """A first and a last port."""
         parts = self.text(key).split(",")
         if len(parts) != 2 or not all(part.isdecimal() and 0 < int(part) < 65536 for part in parts):
             raise self.error(key, "a first and a last port")
--- a/cypressbeam/proxy/gateway.py
+++ b/cypressbeam/proxy/gateway.py
@@ -122,7 +122,7 @@
             GATEWAY_PROFILE, CONNECT_TIMEOUT_US, IDLE_US, max(1, usable - self.client_connections), MOST_ANSWER, now_us
         )
         self.settings = settings
-        self.chance = random.Random()
+        self.rng = random.Random()
         self.table: RoutingTable | None = None
         usual = Constraints()  # until there is a configuration: bodies are not to be refused that it would allow
         self.limits = Limits(
@@ -169,7 +169,7 @@
             settings = balancer_settings([*kinds.values()], self.settings, self.fronts, self.index)
             desk = self.hosts.get(service)
             if desk is None:
-                self.hosts[service] = BalancerHost(self, Balancer(settings, self.chance.getrandbits(63)))
+                self.hosts[service] = BalancerHost(self, Balancer(settings, self.rng.getrandbits(63)))
                 self.notify_servers(service)
             elif desk.balancer.settings != settings:
                 desk.handle(it.SettingsChanged(settings))
@@ -243,7 +243,7 @@
             raise BadRequestError(400, "Attempt-Id: a word is needed")
         if self.knows(ident):
             raise BadRequestError(400, f"Attempt-Id: {ident} is still in hand")
-        service = route.choose(self.chance)
+        service = route.choose(self.rng)
         arrived = it.RequestArrived(
             ident,
             route.kind,
--- a/cypressbeam/proxy/routing.py
+++ b/cypressbeam/proxy/routing.py
@@ -20,11 +20,11 @@
     weights: tuple[float, ...]
     """Running sums, for the weighted choice."""
 
-    def choose(self, chance: random.Random) -> str:
+    def choose(self, rng: random.Random) -> str:
         """The service for one request, by weight."""
         if len(self.services) == 1:
             return self.services[0]
-        return chance.choices(self.services, cum_weights=self.weights)[0]
+        return rng.choices(self.services, cum_weights=self.weights)[0]
 
 
 def kind_of(channel: RouteConfiguration) -> str:
--- a/cypressbeam/standalone/discovery.py
+++ b/cypressbeam/standalone/discovery.py
@@ -149,7 +149,7 @@
                     if self.old is not None and this is self.task:
                         self.old.cancel()
                         self.old = None
-            except Exception as err:  # whatever garbage comes, the watch goes on with the list as it was
+            except Exception as err:  # noqa: BLE001 (whatever comes, the watch goes on with the list as it was)
                 if this is not self.task:
                     return  # a former address takes no new connection
                 log.warning("server list: %s: %s", type(err).__name__, err)
--- a/cypressbeam/standalone/simulator.py
+++ b/cypressbeam/standalone/simulator.py
@@ -286,7 +286,7 @@
             event = READERS[line.name](line, more)
             try:
                 actions = self.instances[who].handle(now_us, event)
-            except Exception as err:  # reported on the wire: the day ends with this text
+            except Exception as err:  # noqa: BLE001 (reported on the wire: the day ends with this text)
                 reply.append(f"BUG {who} {type(err).__name__}: {' '.join(str(err).split())}")
                 continue
             reply.extend(write_action(who, action) for action in actions)
--- a/cypressbeam/storage/store.py
+++ b/cypressbeam/storage/store.py
@@ -78,25 +78,31 @@
     async def load(self, anew: bool = False) -> LoadedState:
         """Anew: as from an empty disk; what was there is kept under another name."""
 
-    async def save_promise(self, epoch: int) -> None: ...
+    async def save_promise(self, epoch: int) -> None:
+        """Put a promise on disk; a lower one changes nothing."""
 
-    async def save_view(self, view: View, entry: Entry | None, taken: dict[int, bytes]) -> None: ...
+    async def save_view(self, view: View, entry: Entry | None, taken: dict[int, bytes]) -> None:
+        """Put a view on disk, with the entry and the digests that it begins with in place of what was there."""
 
-    async def save_entry(self, entry: Entry) -> None: ...
+    async def save_entry(self, entry: Entry) -> None:
+        """Put an entry on disk."""
 
-    async def probe(self) -> None: ...
+    async def probe(self) -> None:
+        """Write something that says nothing, to see whether the disk takes writes."""
 
     def stage_marks(self, marks: dict[str, HighWaterMarks]) -> bool:
         """What others have told goes to disk with the next write, as does the incarnation of this start. Whether one
         should be made for that: not for numbers of entries, which each member's own entry tells near enough."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Begin to close; what is under way is done first."""
 
     async def closed(self, wait_s: float) -> bool:
         """Whether all that was under way has come to its end by then; a disk may hang for seconds."""
 
 
 def connect(path: Path) -> sqlite3.Connection:
+    """A connection to the database, for use on another thread."""
     return sqlite3.connect(path, check_same_thread=False)
 
 
@@ -139,7 +145,7 @@
             value, error = None, None
             try:
                 value = self._run(what, anew)
-            except BaseException as err:  # it is told to the caller
+            except BaseException as err:  # noqa: BLE001 (the caller gets it)
                 error = err
             with contextlib.suppress(RuntimeError):  # the loop is closed by now: nobody waits
                 loop.call_soon_threadsafe(settle, value, error)
@@ -241,6 +247,7 @@
         return found
 
     def stage_marks(self, marks: dict[str, HighWaterMarks]) -> bool:
+        """Marks go to disk with the next write; returns whether one should be made for that."""
         self.staged_marks = dict(marks)
         return self.pending_marks is not None or without_numbers(self.staged_marks) != without_numbers(
             self.stored_marks
@@ -265,6 +272,7 @@
             self.pending_marks = None
 
     async def save_promise(self, epoch: int) -> None:
+        """Put a promise on disk; a lower one changes nothing."""
         await self.write(lambda database: write_promise(database, epoch))
 
     async def save_view(self, view: View, entry: Entry | None, taken: dict[int, bytes]) -> None:
@@ -303,10 +311,12 @@
         await self.write(save)
 
     def close(self) -> None:
+        """Close the file once all writes are done, and end the thread."""
         self.work.put(self._shut)
         self.work.put(None)
 
     async def closed(self, wait_s: float) -> bool:
+        """Whether the thread has ended by then."""
         until_s = asyncio.get_running_loop().time() + wait_s
         while self.thread.is_alive() and asyncio.get_running_loop().time() < until_s:
             await asyncio.sleep(CLOSE_TICK_S)
@@ -319,6 +329,7 @@
 
 
 def write_promise(database: Any, epoch: int) -> None:
+    """A promise never goes down."""
     database.execute("update meta set value = max(value, ?) where key = 'promised'", (epoch,))
 
 
@@ -370,6 +381,7 @@
 
 
 def read_rows(database: Any) -> LoadedState:
+    """The state in the tables. Raises CorruptStateError, KeyError, TypeError or ValueError."""
     meta = dict(database.execute("select key, value from meta where key != 'tried'"))
     row = database.execute("select epoch, chain, members, began from view").fetchone()
     view = View(row[0], tuple(row[1].split(",")), tuple(row[2].split(",")), row[3]) if row else None
--- a/cypressbeam/transport/blobs/fetcher.py
+++ b/cypressbeam/transport/blobs/fetcher.py
@@ -79,7 +79,7 @@
         self.store = store
         self.window = window
         self.on_moved = on_moved
-        self.chance = random.Random(connections.ip)
+        self.rng = random.Random(connections.ip)
         self.loop = asyncio.get_running_loop()
         self.fetches: dict[bytes, Fetch] = {}
         self.ticking = False
@@ -145,7 +145,7 @@
         """Ask the first source for the next window."""
         now_s = fetch.asked_s = self.loop.time()
         waits_s = STALL_S if fetch.asked_again < 2 else STALL_S * PATIENCE
-        fetch.due_s = now_s + waits_s * self.chance.uniform(1.0, 1.0 + JITTER)
+        fetch.due_s = now_s + waits_s * self.rng.uniform(1.0, 1.0 + JITTER)
         link = self.connections.bulk_link_to(fetch.sources[0])
         at = len(fetch.got)
         if link is fetch.link and link.transport is None and fetch.wanted == at + fetch.window:
@@ -200,7 +200,7 @@
         fetch.moved_s = self.loop.time()
         fetch.way_s = fetch.way_s or fetch.moved_s - fetch.began_s
         waits_s = min(max(STALL_S, MOST_WAYS * fetch.way_s), STALL_S * MAX_STALL_FACTOR)
-        fetch.asked_again, fetch.due_s = 0, fetch.moved_s + waits_s * self.chance.uniform(1.0, 1.0 + JITTER)
+        fetch.asked_again, fetch.due_s = 0, fetch.moved_s + waits_s * self.rng.uniform(1.0, 1.0 + JITTER)
         self.fetched_bytes += len(frame.data)
         self.on_progress(link.ip)
         fetch.got += frame.data
--- a/cypressbeam/transport/blobs/link.py
+++ b/cypressbeam/transport/blobs/link.py
@@ -42,20 +42,23 @@
     """A connection to another node, as far as slices need it."""
 
     @property
-    def ip(self) -> str: ...
+    def ip(self) -> str:
+        """The address of the node at the other end."""
 
     @property
     def transport(self) -> object | None:
         """None: it is not up yet."""
 
-    def send(self, frame: frames.Frame) -> None: ...
+    def send(self, frame: frames.Frame) -> None:
+        """Send a message."""
 
 
 class Connections(Protocol):
     """The node's connections to others."""
 
     @property
-    def ip(self) -> str: ...
+    def ip(self) -> str:
+        """The address of this node."""
 
     def bulk_link_to(self, ip: str) -> Connection:
         """The connection out for slices."""
--- a/cypressbeam/transport/peers.py
+++ b/cypressbeam/transport/peers.py
@@ -53,6 +53,7 @@
         """When anything came on this connection."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is up: what was queued goes out."""
         self.transport = cast(asyncio.Transport, transport)
         self.ip = transport.get_extra_info("peername")[0]
         if self.closed:
@@ -65,11 +66,13 @@
         self.peers.on_connected(self.ip)
 
     def send(self, frame: frames.Frame) -> None:
+        """Send a message; the body that it names can be fetched here from now on."""
         if body := frame.body_or_digest():
             self.peers.blobs.store.put(body)
         self.send_packed(frame.pack())
 
     def send_packed(self, data: bytes) -> None:
+        """Send a message that is packed already; one that comes before the connection is up waits for it."""
         if self.closed:
             return
         if self.waiting_since_s <= self.last_heard_s():
@@ -99,6 +102,7 @@
         )
 
     def data_received(self, data: bytes) -> None:
+        """Bytes have come: each whole frame is taken."""
         self.last_received_s = self.peers.last_heard_s[self.ip] = self.peers.loop.time()
         self.buffer += data
         while len(self.buffer) >= frames.HEADER.size and not self.closed:
@@ -115,6 +119,7 @@
             self.receive(kind, body)
 
     def receive(self, kind: int, body: bytes) -> None:
+        """Take a frame; one that names a body waits until the body is here."""
         try:
             frame = frames.unpack(kind, body)
         except frames.FrameError as err:
@@ -139,14 +144,17 @@
             log.exception("handler of %s from node %s failed", type(frame).__name__, self.ip)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The other side, or the network, has ended the connection."""
         self.mark_closed()
 
     def close(self) -> None:
+        """End the connection at once."""
         if self.transport is not None:
             self.transport.abort()
         self.mark_closed()
 
     def mark_closed(self) -> None:
+        """The connection is over; told once."""
         if not self.closed:
             self.closed = True
             self.peers.on_link_closed(self)
@@ -160,12 +168,15 @@
         self.up = self.lost = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection has come up, and may still be cancelled."""
         self.up = True
 
     def data_received(self, data: bytes) -> None:
+        """Keep bytes that come before the connection is the link's."""
         self.received += data
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection is over before it was the link's."""
         self.lost = True
 
 
@@ -173,6 +184,7 @@
     """To the node itself: frames come back in the next turn of the loop."""
 
     def send(self, frame: frames.Frame) -> None:
+        """Hand the message to this node in the next turn."""
         self.peers.loop.call_soon(self.peers.dispatch, self, frame)
 
 
@@ -206,9 +218,11 @@
         self.server: asyncio.Server | None = None
 
     async def listen(self) -> None:
+        """Take connections of other nodes. Raises OSError."""
         self.server = await self.loop.create_server(lambda: Link(self, ""), self.ip, self.port)
 
     def dispatch(self, link: Link, frame: frames.Frame) -> None:
+        """Give a message to the blob transfer, if it is one of its own, or to the node."""
         handler = self.blobs.handlers.get(type(frame), self.on_frame)
         handler(link, frame)
 
@@ -226,6 +240,7 @@
         return link
 
     def start_connect(self, link: Link) -> None:
+        """Begin to connect a link."""
         link.connecting_since_s = self.loop.time()
         link.connecting = self.loop.create_task(self.connect(link))
         self.tasks.add(link.connecting)
@@ -255,24 +270,26 @@
         return self.link_to(ip, BULK_LANE)
 
     def send(self, ip: str, frame: frames.Frame) -> None:
+        """Send a message to a node; the connection comes up by itself."""
         self.link_to(ip).send(frame)
 
     async def connect(self, link: Link) -> None:
+        """Connect a link, by several connects beside each other, until one is up or time is up."""
         wait_s = self.connect_timeouts_s.get(link.ip, CONNECT_TIMEOUT_S[0])
         bulk = link.lane == BULK_LANE
-        knocks: dict[asyncio.Task[Any], ConnectProbe] = {}
+        probes: dict[asyncio.Task[Any], ConnectProbe] = {}
         try:
             async with asyncio.timeout(BULK_CONNECT_TIMEOUT_S if bulk else wait_s):
                 while link.transport is None and not link.closed:
-                    if not bulk or len(knocks) < MAX_BULK_PROBES:
-                        self.probe_connect(link, knocks)
-                    pending = [task for task in knocks if not task.done()]
+                    if not bulk or len(probes) < MAX_BULK_PROBES:
+                        self.probe_connect(link, probes)
+                    pending = [task for task in probes if not task.done()]
                     await asyncio.wait(
                         pending,
-                        timeout=PROBE_INTERVAL_S * len(knocks) if bulk else PROBE_INTERVAL_S,
+                        timeout=PROBE_INTERVAL_S * len(probes) if bulk else PROBE_INTERVAL_S,
                         return_when=asyncio.FIRST_COMPLETED,
                     )
-                    for task in knocks:
+                    for task in probes:
                         if task.done() and link.transport is None:
                             task.result()  # raises what it failed of
                             raise ConnectionResetError("lost as it came up")
@@ -281,34 +298,36 @@
                 self.connect_timeouts_s[link.ip] = min(2 * wait_s, CONNECT_TIMEOUT_S[1])
                 link.mark_closed()
         finally:
-            for task, knock in knocks.items():
-                if not knock.up:  # one that is ends by itself in the next turn
+            for task, probe in probes.items():
+                if not probe.up:  # one that is ends by itself in the next turn
                     task.cancel()
 
-    def probe_connect(self, link: Link, knocks: dict[asyncio.Task[Any], ConnectProbe]) -> None:
-        knock = ConnectProbe()
+    def probe_connect(self, link: Link, probes: dict[asyncio.Task[Any], ConnectProbe]) -> None:
+        """Begin one more connect of a link."""
+        probe = ConnectProbe()
         # From the node's own address: the other side knows nodes by it, also on machines with several.
         task = self.loop.create_task(
-            self.loop.create_connection(lambda: knock, link.ip, self.port, local_addr=(self.ip, 0))
+            self.loop.create_connection(lambda: probe, link.ip, self.port, local_addr=(self.ip, 0))
         )
         task.add_done_callback(lambda done: self.on_probe_done(link, done))
-        knocks[task] = knock
+        probes[task] = probe
 
     def on_probe_done(self, link: Link, task: asyncio.Task[Any]) -> None:
         """A connect has ended. Only now is its connection a link's: cancelled a moment before, when it had come up
         already, uvloop closes it and tells nobody. The first one counts; others are closed."""
         if task.cancelled() or task.exception() is not None:
             return
-        transport, knock = task.result()
-        if link.transport is not None or link.closed or knock.lost:
+        transport, probe = task.result()
+        if link.transport is not None or link.closed or probe.lost:
             transport.abort()
             return
         transport.set_protocol(link)
         link.connection_made(transport)
-        if knock.received:
-            link.data_received(bytes(knock.received))
+        if probe.received:
+            link.data_received(bytes(probe.received))
 
     def on_link_closed(self, link: Link) -> None:
+        """A link is over: a later message to that node opens a new one."""
         self.links.discard(link)
         if self.outbound.get((link.ip, link.lane)) is link:
             del self.outbound[link.ip, link.lane]
@@ -316,6 +335,7 @@
         self.on_lost(link)
 
     def close(self) -> None:
+        """End all connections."""
         if self.server is not None:
             self.server.close()
         for link in [*self.links]:
--- a/lab/adversarial_servers.py
+++ b/lab/adversarial_servers.py
@@ -238,7 +238,7 @@
         self.clients: list[Client] = []
         self.wires: list[ServerWire] = []
         self.gate = Gateway(parse(SETTINGS, "boot.conf"), lambda: int(loop.time() * 1e6))
-        self.gate.chance.seed(1)
+        self.gate.rng.seed(1)
         self.frontend = Frontend(self.gate, 100, 0, self.gate.limits)
         self.gate.take_configuration(
             Configuration(
--- a/lab/attempt_storms.py
+++ b/lab/attempt_storms.py
@@ -223,5 +223,5 @@
 
 
 def draw(seed: int) -> list[Step]:
-    chance = random.Random(f"storm {seed}")
-    return [(chance.choice(STEPS), chance.randrange(8), chance.randrange(1001)) for _ in range(chance.randrange(5, 60))]
+    rng = random.Random(f"storm {seed}")
+    return [(rng.choice(STEPS), rng.randrange(8), rng.randrange(1001)) for _ in range(rng.randrange(5, 60))]
--- a/lab/chaos.py
+++ b/lab/chaos.py
@@ -36,42 +36,42 @@
     """What was not as it should be after a trouble."""
 
 
-def victims(cluster: Cluster, kind: str, chance: random.Random) -> list[Machine]:
+def victims(cluster: Cluster, kind: str, rng: random.Random) -> list[Machine]:
     cores, edges = cluster.machines[:CORES], cluster.machines[CORES:]
     if kind == "all":
         return list(cluster.machines)
-    found = [chance.choice(cores)] if "core" in kind else []
+    found = [rng.choice(cores)] if "core" in kind else []
     if "edges" in kind:
-        found += chance.sample(edges, 3)
-    return found or [chance.choice(edges)]
+        found += rng.sample(edges, 3)
+    return found or [rng.choice(edges)]
 
 
-async def strike(cluster: Cluster, kind: str, chance: random.Random) -> None:
+async def strike(cluster: Cluster, kind: str, rng: random.Random) -> None:
     """A trouble from its begin to its end."""
-    struck, lasts_s = victims(cluster, kind, chance), chance.uniform(0.3, 4.0)
+    struck, lasts_s = victims(cluster, kind, rng), rng.uniform(0.3, 4.0)
     if "cut off" in kind:
         ((one, _),) = struck
         cluster.net.cut = lambda here, there: (here is one) != (there is one)
         await asyncio.sleep(lasts_s)
         cluster.net.cut = lambda here, there: False
         return
-    if kind == "older core" and chance.random() < 0.5:
+    if kind == "older core" and rng.random() < 0.5:
         struck += [machine for machine in cluster.machines[:CORES] if machine not in struck]  # all power, one copy
     for machine in struck:
         cluster.stop(*machine)
     disk = cluster.disks[struck[0][1].node] if "core" in kind else None
     if kind == "older core" and disk is not None:
-        disk.kept = chance.choice([copy for copy in disk.copies if copy.identity == disk.kept.identity])
+        disk.kept = rng.choice([copy for copy in disk.copies if copy.identity == disk.kept.identity])
     if kind == "hanging core" and disk is not None:
-        disk.hangs_s = chance.uniform(0.3, 6.0)
+        disk.hangs_s = rng.uniform(0.3, 6.0)
     if kind == "wiped core":
         ((host, settings),) = struck
-        cluster.disks[settings.node] = Disk(f"{chance.getrandbits(48):012x}")
+        cluster.disks[settings.node] = Disk(f"{rng.getrandbits(48):012x}")
         struck = [(host, replace(settings, bootstrap=False))]
     await asyncio.sleep(lasts_s)
     for machine in struck:
         cluster.start(*machine)
-        await asyncio.sleep(chance.uniform(0.0, 0.2))
+        await asyncio.sleep(rng.uniform(0.0, 0.2))
 
 
 def core_is_whole(cluster: Cluster) -> bool:
@@ -125,12 +125,12 @@
 
 
 async def history(cluster: Cluster, seed: int) -> None:
-    chance = random.Random(f"chaos {seed}")
+    rng = random.Random(f"chaos {seed}")
     cluster.start_all()
     await settle(cluster, "the start")
     for number in range(TROUBLES):
-        kind = chance.choice(KINDS)
-        await strike(cluster, kind, chance)
+        kind = rng.choice(KINDS)
+        await strike(cluster, kind, rng)
         await settle(cluster, f"trouble {number} ({kind})")
 
 
--- a/lab/clients.py
+++ b/lab/clients.py
@@ -93,7 +93,7 @@
     services: Callable[[Kind], set[str]]
     kept: float
     ledger: Ledger
-    chance: random.Random
+    rng: random.Random
     stops_s: float = 0.0
     pace: dict[str, float] = field(default_factory=lambda: defaultdict(lambda: 1.0))
     """By service: how many times the usual rate."""
@@ -114,7 +114,7 @@
         """Requests come by chance alone, at the rate of the day."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(self.chance.expovariate(kind.per_s * self.share * self.pace[kind.service]))
+            await asyncio.sleep(self.rng.expovariate(kind.per_s * self.share * self.pace[kind.service]))
             if loop.time() >= self.stops_s:
                 return
             self.spawn(self.wish(kind))
@@ -152,8 +152,8 @@
         nodes = self.nodes()
         choice = sorted(nodes.keys() - met or nodes)
         if not choice:
-            return None, self.chance.uniform(0.0, PAUSE_S)
-        node = self.chance.choice(choice)
+            return None, self.rng.uniform(0.0, PAUSE_S)
+        node = self.rng.choice(choice)
         met.add(node)
         method, target = (b"GET" if kind.mode == "idempotent" else b"POST"), f"/{kind.name}/{ident}".encode()
         body = ident.encode() * (kind.body // len(ident) + 1) if kind.body else b""
@@ -181,11 +181,11 @@
             answer = await self.exchange(one, nodes[node], message, fresh)
         one.ended_s = loop.time()
         if answer is None:
-            return None, self.chance.uniform(0.0, PAUSE_S)
+            return None, self.rng.uniform(0.0, PAUSE_S)
         one.status = answer.status
         self.check(one, answer)
         told = answer.header(b"retry-after")
-        return answer, float(told) if told is not None else self.chance.uniform(0.0, PAUSE_S)
+        return answer, float(told) if told is not None else self.rng.uniform(0.0, PAUSE_S)
 
     async def exchange(self, one: Try, address: Address, message: bytes, fresh: bool) -> Answer:
         loop = asyncio.get_running_loop()
@@ -204,7 +204,7 @@
             one.was_read = wire.was_read()
             wire.close()
             raise
-        if wire.reader.keep_alive and self.chance.random() < self.kept:
+        if wire.reader.keep_alive and self.rng.random() < self.kept:
             idle.append(wire)
         else:
             wire.close()
--- a/lab/disk_growth.py
+++ b/lab/disk_growth.py
@@ -38,8 +38,8 @@
 
 
 async def grow(folder: Path, changes: int, size: int, steps: int) -> list[Size]:
-    store, chance, found = SqliteStore(folder), random.Random(size), []
-    body = bytearray(chance.randbytes(size))
+    store, rng, found = SqliteStore(folder), random.Random(size), []
+    body = bytearray(rng.randbytes(size))
     await store.load()
     await store.save_view(View(256, NAMES, NAMES), None, {})
     began_s = time.perf_counter()
--- a/lab/disk_power_loss.py
+++ b/lab/disk_power_loss.py
@@ -82,17 +82,17 @@
         if fresh:
             notes.add("create", self.path)
 
-    def xWrite(self, data: Any, offset: int) -> None:
+    def xWrite(self, data: Any, offset: int) -> None:  # noqa: N802 (SQLite names it)
         self.notes.take_one()
         self.notes.add("write", self.path, offset, bytes(data))
         super().xWrite(data, offset)
 
-    def xTruncate(self, newsize: int) -> None:
+    def xTruncate(self, newsize: int) -> None:  # noqa: N802 (SQLite names it)
         self.notes.take_one()
         self.notes.add("truncate", self.path, newsize)
         super().xTruncate(newsize)
 
-    def xSync(self, flags: int) -> None:
+    def xSync(self, flags: int) -> None:  # noqa: N802 (SQLite names it)
         self.notes.take_one()
         self.notes.add("sync", self.path)
         if self.unnamed:
@@ -106,10 +106,10 @@
         self.named = f"noting-{id(notes)}-{next(notes.numbers)}"
         super().__init__(self.named, "unix")
 
-    def xOpen(self, name: Any, flags: list[int]) -> apsw.VFSFile:
+    def xOpen(self, name: Any, flags: list[int]) -> apsw.VFSFile:  # noqa: N802 (SQLite names it)
         return NotingFile(self.notes, name, flags)
 
-    def xDelete(self, filename: str, syncdir: bool) -> None:
+    def xDelete(self, filename: str, syncdir: bool) -> None:  # noqa: N802 (SQLite names it)
         if os.path.exists(filename):
             self.notes.add("remove", filename)
         super().xDelete(filename, syncdir)
@@ -182,27 +182,27 @@
     data[op.at : op.at + len(op.data)] = op.data
 
 
-def tear(op: Op, chance: random.Random) -> Iterator[Op]:
+def tear(op: Op, rng: random.Random) -> Iterator[Op]:
     """Some sectors of a write, and of one of them perhaps a part."""
     for at in range(0, len(op.data), SECTOR):
         part = op.data[at : at + SECTOR]
-        if chance.random() < 0.5:
-            yield Op("write", op.name, op.at + at, part[: chance.randint(1, SECTOR)] if chance.random() < 0.2 else part)
+        if rng.random() < 0.5:
+            yield Op("write", op.name, op.at + at, part[: rng.randint(1, SECTOR)] if rng.random() < 0.2 else part)
 
 
-def left_of(held: Held, chance: random.Random, share: float) -> bytes:
+def left_of(held: Held, rng: random.Random, share: float) -> bytes:
     """`share` of the writes since the last sync; a third of the others is torn."""
     data = bytearray(held.safe)
     for op in held.since:
-        if chance.random() < share:
+        if rng.random() < share:
             apply(data, op)
-        elif op.kind == "write" and share > 0.0 and chance.random() < 0.33:
-            for part in tear(op, chance):
+        elif op.kind == "write" and share > 0.0 and rng.random() < 0.33:
+            for part in tear(op, rng):
                 apply(data, part)
     return bytes(data)
 
 
-def image(ops: Iterable[Op], chance: random.Random) -> dict[str, bytes]:
+def image(ops: Iterable[Op], rng: random.Random) -> dict[str, bytes]:
     """The files after a loss of power right after the last of these."""
     safe: dict[str, Held] = {}
     names: dict[str, Held] = {}
@@ -214,7 +214,7 @@
         elif op.kind in ("write", "truncate"):
             names[op.name].since.append(op)
         elif op.kind == "sync":
-            names[op.name].safe = left_of(names[op.name], chance, 1.0)
+            names[op.name].safe = left_of(names[op.name], rng, 1.0)
             names[op.name].since.clear()
         elif op.kind in ("remove", "rename"):
             held = names.pop(op.name)
@@ -223,9 +223,9 @@
             moved.append((op.name, op, held))
         elif op.kind == "folder":
             safe, moved = dict(names), []
-    share = chance.choice((0.0, 0.0, 0.5, 0.9, 1.0))
+    share = rng.choice((0.0, 0.0, 0.5, 0.9, 1.0))
     for name, op, held in moved:
-        if chance.random() < 0.5:
+        if rng.random() < 0.5:
             continue
         if op.kind == "create":
             safe[name] = held
@@ -233,7 +233,7 @@
             del safe[name]
         if op.to:
             safe[op.to] = held
-    return {name: left_of(held, chance, share) for name, held in sorted(safe.items())}
+    return {name: left_of(held, rng, share) for name, held in sorted(safe.items())}
 
 
 async def read_back(found: dict[str, bytes]) -> LoadedState:
--- a/lab/drawn_days/drawing.py
+++ b/lab/drawn_days/drawing.py
@@ -48,28 +48,26 @@
         return tuple(entry for entry in self.entries if entry.section is section)
 
 
-def draw_closing(chance: random.Random) -> Closing | None:
+def draw_closing(rng: random.Random) -> Closing | None:
     """The closing fault; none on some days."""
-    if chance.random() >= CLOSING_PROBABILITY:
+    if rng.random() >= CLOSING_PROBABILITY:
         return None
-    how = chance.choice(CLOSING_VARIANTS)
-    return Closing(kind=chance.choice(CLOSING_KINDS), down_s=chance.choice(DOWN_S), how=how or None)
+    how = rng.choice(CLOSING_VARIANTS)
+    return Closing(kind=rng.choice(CLOSING_KINDS), down_s=rng.choice(DOWN_S), how=how or None)
 
 
-def draw_sequences(chance: random.Random, kinds: frozenset[str], length_s: float) -> list[Entry]:
+def draw_sequences(rng: random.Random, kinds: frozenset[str], length_s: float) -> list[Entry]:
     """The entries of one or two sequences whose kinds are all allowed; none on some days."""
     allowed = [sequence for sequence in SEQUENCES if sequence.kinds <= kinds]
-    wanted = sum(chance.random() < probability for probability in (SEQUENCE_PROBABILITY, SECOND_SEQUENCE_PROBABILITY))
-    drawn = chance.sample(allowed, min(wanted, len(allowed)))
-    return [
-        entry for sequence in drawn for entry in sequence.draw(chance, chance.uniform(FIRST_S, LATEST_START * length_s))
-    ]
+    wanted = sum(rng.random() < probability for probability in (SEQUENCE_PROBABILITY, SECOND_SEQUENCE_PROBABILITY))
+    drawn = rng.sample(allowed, min(wanted, len(allowed)))
+    return [entry for sequence in drawn for entry in sequence.draw(rng, rng.uniform(FIRST_S, LATEST_START * length_s))]
 
 
-def draw_changes(chance: random.Random, length_s: float) -> list[Entry]:
+def draw_changes(rng: random.Random, length_s: float) -> list[Entry]:
     """Changes of a route throughout the day."""
     return [
-        replace(draw_entry(chance, CHANGE, max(0.0, share * length_s + chance.uniform(-1.0, 1.0))), how="route")
+        replace(draw_entry(rng, CHANGE, max(0.0, share * length_s + rng.uniform(-1.0, 1.0))), how="route")
         for share in CHANGES_AT
     ]
 
@@ -79,14 +77,14 @@
     allowed = sorted(set(kinds))
     if not allowed or set(allowed) - TABLE.keys():
         raise ValueError(f"kinds {allowed}; one or more of the table are wanted")
-    chance = random.Random(f"drawn day {seed}")
+    rng = random.Random(f"drawn day {seed}")
     last_s = max(FIRST_S, length_s - LAST_BEFORE_END_S)
     entries = [
-        draw_entry(chance, chance.choice(allowed), chance.uniform(FIRST_S, last_s))
-        for _ in range(chance.randint(LEAST_ENTRIES, MOST_ENTRIES))
+        draw_entry(rng, rng.choice(allowed), rng.uniform(FIRST_S, last_s))
+        for _ in range(rng.randint(LEAST_ENTRIES, MOST_ENTRIES))
     ]
-    entries += draw_sequences(chance, frozenset(allowed), length_s)
+    entries += draw_sequences(rng, frozenset(allowed), length_s)
     if CHANGE in allowed:
-        entries += draw_changes(chance, length_s)
+        entries += draw_changes(rng, length_s)
     ordered = tuple(sorted(entries, key=lambda entry: entry.at_s))
-    return DrawnDay(name=name, seed=seed, entries=ordered, closing=draw_closing(chance))
+    return DrawnDay(name=name, seed=seed, entries=ordered, closing=draw_closing(rng))
--- a/lab/drawn_days/entries.py
+++ b/lab/drawn_days/entries.py
@@ -35,30 +35,30 @@
         return TABLE[self.kind].section
 
 
-def one_of(chance: random.Random, values: Sequence[Value]) -> Value | None:
+def one_of(rng: random.Random, values: Sequence[Value]) -> Value | None:
     """One of some values, None where there are none."""
-    return chance.choice(values) if values else None
+    return rng.choice(values) if values else None
 
 
-def draw_words(chance: random.Random, kind: Kind, variant: str) -> str:
+def draw_words(rng: random.Random, kind: Kind, variant: str) -> str:
     """The text of `how`: a variant, a word of each modifier, and follow-ups, each word once."""
-    texts = [variant, *(chance.choice(words) for words in kind.modifiers)]
-    texts += [word for word in kind.follow_ups if chance.random() < FOLLOW_UP_PROBABILITY]
+    texts = [variant, *(rng.choice(words) for words in kind.modifiers)]
+    texts += [word for word in kind.follow_ups if rng.random() < FOLLOW_UP_PROBABILITY]
     return " ".join(dict.fromkeys(word for text in texts for word in text.split()))
 
 
-def draw_entry(chance: random.Random, name: str, at_s: float) -> Entry:
+def draw_entry(rng: random.Random, name: str, at_s: float) -> Entry:
     """An entry of a kind at a time. Raises KeyError for a kind that the table does not hold."""
     kind = TABLE[name]
-    variant = chance.choice(kind.variants)
+    variant = rng.choice(kind.variants)
     return Entry(
         kind=name,
         at_s=round(at_s, 2),
-        duration_s=one_of(chance, kind.duration_s),
-        share=one_of(chance, kind.share),
-        count=one_of(chance, kind.count),
-        strength=one_of(chance, kind.variant_strength.get(variant, kind.strength)),
-        gap_s=one_of(chance, kind.gap_s),
-        machines=one_of(chance, kind.machines) or None,
-        how=draw_words(chance, kind, variant) or None,
+        duration_s=one_of(rng, kind.duration_s),
+        share=one_of(rng, kind.share),
+        count=one_of(rng, kind.count),
+        strength=one_of(rng, kind.variant_strength.get(variant, kind.strength)),
+        gap_s=one_of(rng, kind.gap_s),
+        machines=one_of(rng, kind.machines) or None,
+        how=draw_words(rng, kind, variant) or None,
     )
--- a/lab/emulator.py
+++ b/lab/emulator.py
@@ -81,7 +81,7 @@
         self.zones = tuple(f"zone-{number + 1}" for number in range(day.zones))
         super().__init__(day.edges, seed, day.edge_mbps, day.core_mbps, day.idle_routes, day.cores, self.zones)
         self.ledger = Ledger()
-        self.chance = random.Random(f"{seed} world")
+        self.rng = random.Random(f"{seed} world")
         self.outside: dict[str, Host] = {
             zone: self.net.add(f"10.240.{number}.1", zone) for number, zone in enumerate(self.zones)
         }
@@ -133,9 +133,9 @@
         early = EarlySocket(host, FRONT) if settings.front_listener else None
         node = Emulated(settings, disk, early)  # type: ignore[arg-type]  # a stand-in for a socket
         seed = f"{self.seed} {settings.node} {host.life}"
-        node.control.chance = node.state_query.chance = random.Random(f"{seed} calls")  # type: ignore[assignment]
+        node.control.rng = node.state_query.rng = random.Random(f"{seed} calls")  # type: ignore[assignment]
         if node.gateway is not None:
-            node.gateway.chance.seed(f"{seed} gate")
+            node.gateway.rng.seed(f"{seed} gate")
         return node
 
     async def add_server(self, service: Service, zone: str, new: bool = False, host: Host | None = None) -> Server:
@@ -156,10 +156,10 @@
                 connections=service.connections,
                 ledger=self.ledger,
                 work_of=self.work_of,
-                chance=random.Random(f"{self.seed} server {self.born}"),
+                rng=random.Random(f"{self.seed} server {self.born}"),
             )
             server.call_of = self.calls.of
-            server.speed = server.chance.lognormvariate(0.0, service.spread)
+            server.speed = server.rng.lognormvariate(0.0, service.spread)
             await server.listen(place.ip, SERVER_PORT)
             return server
 
@@ -206,7 +206,7 @@
     async def watch(self, machine: Host, settings: Settings) -> None:
         """Ask one node again and again whether it is ready."""
         assert settings.readiness_listener is not None
-        await asyncio.sleep(self.chance.uniform(0.0, READY_EVERY_S))
+        await asyncio.sleep(self.rng.uniform(0.0, READY_EVERY_S))
         while True:
             ready = False
             connection = HttpClient(settings.readiness_listener)
@@ -280,7 +280,7 @@
         """Send a change until it has a clear answer: 200, or that it is refused."""
         body, change = cbor2.dumps(document), self.ledger.planned.sends(self.loop.time())
         while True:
-            machine, settings = self.chance.choice(self.machines)
+            machine, settings = self.rng.choice(self.machines)
             if machine.up:
                 with contextlib.suppress(OSError, EOFError, TimeoutError):
                     status = await self.post(settings, body, base)
--- a/lab/experiment.py
+++ b/lab/experiment.py
@@ -69,7 +69,7 @@
 
 def by_chance(made: Balancer, request: Request) -> ServerView | None:
     servers = usable(made, request)
-    return made.chance.choice(servers) if servers else None
+    return made.rng.choice(servers) if servers else None
 
 
 def in_turn(made: Balancer, request: Request) -> ServerView | None:
--- a/lab/fault_injection.py
+++ b/lab/fault_injection.py
@@ -25,7 +25,7 @@
 def some(world: World, things: Sequence[T], share: float) -> list[T]:
     """At least one, where there are any."""
     count = min(max(1, round(share * len(things))), len(things))
-    return world.net.chance.sample(list(things), count)
+    return world.net.rng.sample(list(things), count)
 
 
 async def srv_ill(world: World, trouble: Trouble) -> None:
@@ -235,7 +235,7 @@
         node = world.nodes.get(settings.node)
         if machine.up and node is not None:
             world.ledger.planned.hups[settings.node].append(world.loop.time())
-            seeds = tuple(world.net.chance.sample(settings.seeds, len(settings.seeds)))
+            seeds = tuple(world.net.rng.sample(settings.seeds, len(settings.seeds)))
             world.at(node, node.take_settings, replace(node.settings, seeds=seeds))
         await asyncio.sleep(trouble.gap_s)
 
--- a/lab/fetches.py
+++ b/lab/fetches.py
@@ -71,7 +71,7 @@
 class Fleet:
     def __init__(self, seed: int, edges: int = EDGES) -> None:
         self.cluster = Wide(edges, seed, EDGE_MBPS, CORE_MBPS, ROUTES, CORES)
-        self.chance = self.cluster.net.chance
+        self.rng = self.cluster.net.rng
         self.full: dict[Host, float] = {}
         self.filling = False
         self.before = b""
@@ -86,10 +86,9 @@
         hosts = [host for host, settings in self.cluster.machines if settings.front_listener is not None]
         self.filling = True
         while self.filling:
-            if not self.full or self.chance.random() < FULL_TICK_S:
+            if not self.full or self.rng.random() < FULL_TICK_S:
                 self.full = {
-                    host: self.chance.uniform(*FULL_S)
-                    for host in self.chance.sample(hosts, int(len(hosts) * FULL_SHARE))
+                    host: self.rng.uniform(*FULL_S) for host in self.rng.sample(hosts, int(len(hosts) * FULL_SHARE))
                 }
             now_s = self.cluster.loop.time()
             for host, waits_s in self.full.items():
@@ -105,7 +104,7 @@
         """Half of the relays hand nothing to edge nodes, though their beats go on: as where connections hang. Of the
         core no more than may be lost; its own transfers go on, for it is not what is looked at."""
         relays = self.relays()
-        held = self.chance.sample(relays, max(1, len(relays) // 2))
+        held = self.rng.sample(relays, max(1, len(relays) // 2))
         cores = [node for node in held if node.core is not None]
         edges = {node.settings.ip for node in self.cluster.edges}
         for node in [node for node in held if node.core is None] + cores[: CORES // 2]:
--- a/lab/histories/callers.py
+++ b/lab/histories/callers.py
@@ -45,11 +45,11 @@
         """A call has ended. One in a hurry makes the next at once."""
         del self.open[operator]
         if self.core.now_s < self.hurried.get(operator, 0.0):
-            self.core.at(self.core.chance.uniform(*HURRY_S), "hurry", operator)
+            self.core.at(self.core.rng.uniform(*HURRY_S), "hurry", operator)
 
     def hurry(self, operator: str) -> None:
         """The next call of one in a hurry."""
-        self.call(operator, "replace" if self.core.chance.random() < HURRIED_REPLACEMENTS else "read")
+        self.call(operator, "replace" if self.core.rng.random() < HURRIED_REPLACEMENTS else "read")
 
     def press(self, ident: int) -> None:
         """Send a call, again until it is answered or given up, each time to any machine."""
@@ -65,7 +65,7 @@
                 if call.kind == "replace"
                 else frames.ReadRequest(ident, CLIENT)
             )
-            core.send(CLIENT, core.chance.choice(sorted(core.replicas)), frame)
+            core.send(CLIENT, core.rng.choice(sorted(core.replicas)), frame)
         core.at(AGAIN_S, "press", ident)
 
     def answer(self, frame: frames.WriteResult | frames.ReadResult) -> None:
--- a/lab/histories/disks.py
+++ b/lab/histories/disks.py
@@ -55,7 +55,7 @@
     """What the disks of a history held at times."""
 
     def __init__(self, seed: int) -> None:
-        self.chance = random.Random(f"copies {seed}")
+        self.rng = random.Random(f"copies {seed}")
         self.of: dict[str, list[Disk]] = {}
 
     def take(self, disks: dict[str, Disk]) -> None:
@@ -64,12 +64,12 @@
             kept = self.of.setdefault(ip, [])
             kept.append(replace(disk, taken=dict(disk.taken), marks=dict(disk.marks)))
             if len(kept) > MOST_COPIES:
-                del kept[self.chance.randrange(MOST_COPIES)]
+                del kept[self.rng.randrange(MOST_COPIES)]
 
     def put_back(self, disks: dict[str, Disk], ip: str) -> None:
         """One of this identity; a disk that was used for no time yet stays as it is."""
         disk = disks[ip]
         same = [copy for copy in self.of.get(ip, []) if copy.name == disk.name]
         if same:
-            copy = self.chance.choice(same)
+            copy = self.rng.choice(same)
             disks[ip] = replace(copy, taken=dict(copy.taken), marks=dict(copy.marks))
--- a/lab/histories/network.py
+++ b/lab/histories/network.py
@@ -25,14 +25,14 @@
     def __init__(
         self,
         loop: EventLoop,
-        chance: random.Random,
+        rng: random.Random,
         ips: tuple[str, ...],
         way_s: tuple[float, float],
         loss: float,
         large: bool,
     ) -> None:
         self.loop = loop
-        self.chance = chance
+        self.rng = rng
         self.way_s = way_s
         """The least and the most time that a message is on its way."""
         self.loss = loss
@@ -50,13 +50,13 @@
     def send(self, origin: str, ip: str, frame: frames.Frame) -> None:
         """It may be lost, come twice, or be overtaken."""
         time = self.clocks.on_send(origin, self.loop.now_s) if origin != CLIENT else {}
-        for _ in range(1 + (self.chance.random() < self.loss / 2)):
+        for _ in range(1 + (self.rng.random() < self.loss / 2)):
             self.try_way("frame", ip, origin, frame, time)
 
     def try_way(self, *event: Any) -> None:
         """One event that a message makes at its receiver, unless it is lost."""
-        if self.chance.random() >= self.loss:
-            self.loop.at(self.chance.uniform(*self.way_s), *event)
+        if self.rng.random() >= self.loss:
+            self.loop.at(self.rng.uniform(*self.way_s), *event)
 
     def passes(self, origin: str, ip: str, frame: frames.Frame) -> bool:
         """Whether a message gets to a machine, and not into a cut; there the fetch of its body breaks off."""
@@ -71,7 +71,7 @@
         """How long until a machine has the body that a message names: it is fetched once, however often it is named."""
         if not self.large or not body or ip == CLIENT or origin == ip:
             return 0.0
-        due_s = self.bodies[ip].setdefault(body, self.loop.now_s + self.chance.uniform(*SLOW_BODY_S))
+        due_s = self.bodies[ip].setdefault(body, self.loop.now_s + self.rng.uniform(*SLOW_BODY_S))
         return max(due_s - self.loop.now_s, 0.0)
 
     def cut_off(self, step: Step, directions: Directions) -> None:
--- a/lab/histories/operators.py
+++ b/lab/histories/operators.py
@@ -64,7 +64,7 @@
 
     def __init__(self, world: World, seed: int) -> None:
         self.world = world
-        self.chance = random.Random(f"operators {seed}")
+        self.rng = random.Random(f"operators {seed}")
         self.orders: list[Order] = []
         self.copies: dict[int, Order] = {}
         """By the number of the frame that carries one."""
@@ -73,7 +73,7 @@
         """What anybody heard to be in force: some have not heard of the last."""
         self.until_s = 0.0
         self.finishing = False
-        self.brisk = self.chance.random() < 0.5
+        self.brisk = self.rng.random() < 0.5
         """One change follows on the other at once, a hundred and more in a history; else many compete."""
         shape = shape_of(seed)
         self.wild = shape.wild and not shape.aimed
@@ -82,27 +82,27 @@
 
     def begin(self, until_s: float) -> None:
         self.until_s = until_s
-        self.world.at(self.chance.uniform(0.1, 1.0), "crowd", "proceed")
+        self.world.at(self.rng.uniform(0.1, 1.0), "crowd", "proceed")
         for _ in range(3):
             if self.wild:
-                self.world.at(self.chance.uniform(1.0, until_s), "crowd", "mute")
-            self.world.at(self.chance.uniform(1.0, until_s), "crowd", "spoil")
+                self.world.at(self.rng.uniform(1.0, until_s), "crowd", "mute")
+            self.world.at(self.rng.uniform(1.0, until_s), "crowd", "spoil")
 
     def mute(self) -> None:
         """The head hears the others, and they don't hear it; and many frames are lost, among them the one that would
         tell it that it leads no more. Callers reach it still."""
-        self.world.begin(Step(self.world.now_s, "one-way", self.world.leader(), self.chance.uniform(2.0, 4.0)))
+        self.world.begin(Step(self.world.now_s, "one-way", self.world.leader(), self.rng.uniform(2.0, 4.0)))
         self.world.at(3.0, "crowd", "lose", min(self.world.network.loss, 0.02))
         self.lose(LOSS_WHILE_MUTE)
 
     def spoil(self) -> None:
         """The head's disk refuses for a moment; once it takes writes again, its process ends and starts."""
         head = self.world.leader()
-        self.world.begin(Step(self.world.now_s, "refuse", head, self.chance.uniform(0.05, 0.2)))
-        self.world.at(self.chance.uniform(0.25, 0.6), "crowd", "crash", head)
+        self.world.begin(Step(self.world.now_s, "refuse", head, self.rng.uniform(0.05, 0.2)))
+        self.world.at(self.rng.uniform(0.25, 0.6), "crowd", "crash", head)
 
     def crash(self, ip: str) -> None:
-        self.world.begin(Step(self.world.now_s, "kill", ip, self.chance.uniform(0.05, 0.3)))
+        self.world.begin(Step(self.world.now_s, "kill", ip, self.rng.uniform(0.05, 0.3)))
 
     def lose(self, share: float) -> None:
         self.world.network.loss = share
@@ -122,31 +122,31 @@
             return
         under_way = sum(1 for order in self.orders[-4 * MOST_UNDER_WAY :] if order.open(now_s))
         most = MOST_UNDER_WAY if not self.brisk else 1
-        for _ in range(min(self.chance.choice((1, 1, 2, 3)), most - under_way)):
+        for _ in range(min(self.rng.choice((1, 1, 2, 3)), most - under_way)):
             self.order()
-        self.world.at(self.chance.choice((0.3, 0.6) if self.brisk else (0.01, 0.05, 0.1, 0.3)), "crowd", "proceed")
+        self.world.at(self.rng.choice((0.3, 0.6) if self.brisk else (0.01, 0.05, 0.1, 0.3)), "crowd", "proceed")
 
     def order(self) -> None:
         """As a rule on top of what is known, now and then on top of what is under way; numbers are often the same."""
-        base = self.known if self.chance.random() > 0.15 else self.chance.choice(self.seen[-10:])
+        base = self.known if self.rng.random() > 0.15 else self.rng.choice(self.seen[-10:])
         open_now = [order for order in self.orders[-MOST_UNDER_WAY:] if order.open(self.world.now_s)]
-        if open_now and self.chance.random() < 0.2:
-            base = revision(self.chance.choice(open_now).body)
+        if open_now and self.rng.random() < 0.2:
+            base = revision(self.rng.choice(open_now).body)
         ident = next(self.world.numbers) + 1
-        number = (base // 10 + 1) * 10 + self.chance.choice((0, 0, 0, 2, 3))
+        number = (base // 10 + 1) * 10 + self.rng.choice((0, 0, 0, 2, 3))
         call = Call(ident, f"crowd {ident}", "replace", self.world.now_s, base=base, body=b"%d:c%d" % (number, ident))
         self.world.callers.calls[ident] = call
-        order = Order(call, self.world.now_s + self.chance.uniform(*PATIENCE_S))
+        order = Order(call, self.world.now_s + self.rng.uniform(*PATIENCE_S))
         self.orders.append(order)
-        for _ in range(self.chance.choice((1, 1, 2, 3))):
+        for _ in range(self.rng.choice((1, 1, 2, 3))):
             self.send(order)
-        self.world.at(self.chance.uniform(*LATER_S), "crowd", "repeat", order)
+        self.world.at(self.rng.uniform(*LATER_S), "crowd", "repeat", order)
 
     def send(self, order: Order) -> None:
         """One copy through one machine, which sends it on again until its own patience ends."""
         ident = next(self.world.numbers) + 1
         self.copies[ident] = order
-        late_s = self.chance.uniform(*LATE_S) if self.chance.random() < 0.1 else 0.0
+        late_s = self.rng.uniform(*LATE_S) if self.rng.random() < 0.1 else 0.0
         self.world.at(late_s, "crowd", "press", ident, 3)
         self.world.at(NEXT_S, "crowd", "turn", order)
 
@@ -155,7 +155,7 @@
         resting = not self.finishing and self.world.now_s > self.until_s + REST_S
         if replicas and not resting:
             frame = frames.WriteRequest(ident, CLIENT, order.call.base, order.body)
-            self.world.send(CLIENT, self.chance.choice(sorted(replicas)), frame)
+            self.world.send(CLIENT, self.rng.choice(sorted(replicas)), frame)
         if times > 1:
             self.world.at(AGAIN_S, "crowd", "press", ident, times - 1)
 
@@ -173,7 +173,7 @@
         order = self.copies[frame.request_id]
         order.statuses.add(frame.status)
         call = order.call
-        lost = self.chance.random() < (LOST_BRISK if self.brisk else LOST)
+        lost = self.rng.random() < (LOST_BRISK if self.brisk else LOST)
         if call.status or frame.status not in CLEAR or lost:
             return
         call.ended_s, call.status, call.text = self.world.now_s, frame.status, frame.text
@@ -195,7 +195,7 @@
         newest = max(self.world.chain().items(), default=(0, None))[1]
         mine = [order for order in self.orders if newest is not None and order.body == newest.body]
         old = [order for order in self.orders if 200 in order.statuses]
-        for order in mine + self.chance.sample(old, min(REPEATED, len(old))):
+        for order in mine + self.rng.sample(old, min(REPEATED, len(old))):
             order.statuses = set()
             order.gives_up_s = self.world.now_s + 4.0
             self.send(order)
--- a/lab/histories/plans.py
+++ b/lab/histories/plans.py
@@ -78,65 +78,64 @@
     disks are lost than may be; in the others as many machines are in trouble at once as may be lost, or all lose their
     power."""
     shape = shape_of(seed)
-    chance = random.Random(f"plan {seed}")
+    rng = random.Random(f"plan {seed}")
     lasts_s = LONG_LASTS_S if shape.long else max(LASTS_S, shape.hurry_s + 2.0)
-    plan = troubles(shape, chance, lasts_s)
+    plan = troubles(shape, rng, lasts_s)
     # Two changes on one version at the same time, as a rule while somebody is in trouble.
     for _ in range(3):
-        at_s = chance.choice(plan).at_s + chance.uniform(0.0, 1.5)
-        plan += [Step(at_s, "replace", "x"), Step(at_s + chance.uniform(0.0, 0.3), "replace", "y")]
+        at_s = rng.choice(plan).at_s + rng.uniform(0.0, 1.5)
+        plan += [Step(at_s, "replace", "x"), Step(at_s + rng.uniform(0.0, 0.3), "replace", "y")]
     for operator in OPERATORS:
-        at_s = chance.uniform(0.1, 1.0)
+        at_s = rng.uniform(0.1, 1.0)
         while at_s < lasts_s:
-            plan.append(Step(at_s, chance.choice(("read", "replace", "replace")), operator))
-            at_s += chance.expovariate(1.0)
+            plan.append(Step(at_s, rng.choice(("read", "replace", "replace")), operator))
+            at_s += rng.expovariate(1.0)
     if shape.hurry_s:
-        plan.append(Step(chance.uniform(0.0, 1.0), "hurry", chance.choice(OPERATORS), shape.hurry_s))
+        plan.append(Step(rng.uniform(0.0, 1.0), "hurry", rng.choice(OPERATORS), shape.hurry_s))
     plan.sort(key=lambda step: step.at_s)
     return plan if shape.wild or shape.aimed else with_older_copies(seed, plan)
 
 
 def with_older_copies(seed: int, plan: list[Step]) -> list[Step]:
     """Half of the lost disks are older copies instead, and half of the losses of all power have one besides."""
-    chance = random.Random(f"older {seed}")
+    rng = random.Random(f"older {seed}")
     return [
-        replace(step, kind=INSTEAD[step.kind]) if step.kind in INSTEAD and chance.random() < 0.5 else step
-        for step in plan
+        replace(step, kind=INSTEAD[step.kind]) if step.kind in INSTEAD and rng.random() < 0.5 else step for step in plan
     ]
 
 
-def troubles(shape: Shape, chance: random.Random, lasts_s: float) -> list[Step]:
+def troubles(shape: Shape, rng: random.Random, lasts_s: float) -> list[Step]:
     """The troubles of a plan of that shape."""
     kinds = MORE_TROUBLES if shape.long or shape.machines > 3 else TROUBLES
     names, losses = MACHINES[: shape.machines], shape.machines // 2
     plan: list[Step] = []
-    at_s = chance.uniform(0.5, 2.0)
+    at_s = rng.uniform(0.5, 2.0)
     while shape.aimed and at_s < lasts_s:
-        plan += orphaned(at_s, chance, list(names))
-        at_s += chance.uniform(9.0, 11.0)
+        plan += orphaned(at_s, rng, list(names))
+        at_s += rng.uniform(9.0, 11.0)
     while at_s < lasts_s:
         wiped = shape.wild and sum(step.kind == "wipe" for step in plan) >= losses
-        kind = chance.choice([kind for kind in kinds if kind != "wipe" or not wiped])
-        for_s = chance.uniform(*LONG_S) if shape.long and kind in LONG_KINDS else chance.uniform(0.1, TROUBLE_S)
-        step = Step(at_s, kind, chance.choice(names), for_s)
+        kind = rng.choice([kind for kind in kinds if kind != "wipe" or not wiped])
+        for_s = rng.uniform(*LONG_S) if shape.long and kind in LONG_KINDS else rng.uniform(0.1, TROUBLE_S)
+        step = Step(at_s, kind, rng.choice(names), for_s)
         plan.append(step)
         if shape.wild:
-            at_s += chance.uniform(0.1, 2.5)
+            at_s += rng.uniform(0.1, 2.5)
             continue
         for _ in range(losses - 1):
-            plan.append(second(step, chance, [name for name in names if name != step.where]))
+            plan.append(second(step, rng, [name for name in names if name != step.where]))
         # A machine that was away is lost to the others until they have mended the chain: no more than may be.
-        at_s += for_s + (4.0 if kind in ("wipe", "power") else chance.uniform(3.0, 5.0)) + (losses - 1)
+        at_s += for_s + (4.0 if kind in ("wipe", "power") else rng.uniform(3.0, 5.0)) + (losses - 1)
     return plan
 
 
-def orphaned(at_s: float, chance: random.Random, names: list[str]) -> list[Step]:
+def orphaned(at_s: float, rng: random.Random, names: list[str]) -> list[Step]:
     """One machine is away while a second loses its disk; whoever first has a view with the new one loses its power."""
-    chance.shuffle(names)
-    wipe_s, back_s = at_s + chance.uniform(1.4, 2.2), at_s + chance.uniform(1.6, 3.0)
+    rng.shuffle(names)
+    wipe_s, back_s = at_s + rng.uniform(1.4, 2.2), at_s + rng.uniform(1.6, 3.0)
     return [
         Step(at_s, "kill", names[0], back_s - at_s),
-        Step(wipe_s, "wipe", names[1], chance.uniform(0.1, 0.4)),
+        Step(wipe_s, "wipe", names[1], rng.uniform(0.1, 0.4)),
         Step(wipe_s, "orphan", "", 4.0),
     ]
 
@@ -145,9 +144,9 @@
 PLACED = ("lead", "tail", "power")
 
 
-def second(step: Step, chance: random.Random, others: list[str]) -> Step:
+def second(step: Step, rng: random.Random, others: list[str]) -> Step:
     """A second loss at once with the first one."""
     if step.kind in PLACED:
-        return replace(step, kind="kill", where=chance.choice(others), for_s=0.0)
-    kind = chance.choice(("kill", "wipe", "freeze", "refuse", "stall"))
-    return Step(step.at_s + chance.uniform(0.0, step.for_s / 2), kind, chance.choice(others), step.for_s / 2)
+        return replace(step, kind="kill", where=rng.choice(others), for_s=0.0)
+    kind = rng.choice(("kill", "wipe", "freeze", "refuse", "stall"))
+    return Step(step.at_s + rng.uniform(0.0, step.for_s / 2), kind, rng.choice(others), step.for_s / 2)
--- a/lab/histories/simulated_core.py
+++ b/lab/histories/simulated_core.py
@@ -74,8 +74,8 @@
         others."""
         super().__init__()
         self.ips = MACHINES[:machines]
-        self.chance = random.Random(f"world {seed}")
-        self.network = Network(self, self.chance, self.ips, QUICK_WAY_S if quick else WAY_S, loss, large)
+        self.rng = random.Random(f"world {seed}")
+        self.network = Network(self, self.rng, self.ips, QUICK_WAY_S if quick else WAY_S, loss, large)
         self.write_s = QUICK_WRITE_S if quick else WRITE_S
         self.lying, self.same_name = lying, same_name
         group = self.ips[: machines - standing_by]
@@ -125,7 +125,7 @@
         self.lives[ip] += 1
         self.told[ip] = 0
         self.network.bodies[ip] = {disk.last.body: 0.0} if disk.last is not None else {}
-        replica = self.replicas[ip] = Replica(disk.name, self.copies, revision, digest, self.chance.random)
+        replica = self.replicas[ip] = Replica(disk.name, self.copies, revision, digest, self.rng.random)
         self.dispatchers[ip] = Dispatcher(replica)
         replica.remember(disk.own, HighWaterMarks(disk.own.incarnation + 1, self.lives[ip]), dict(disk.marks))
         self.execute(ip, replica.load(disk.view, disk.promised, disk.last, dict(disk.taken), self.now_s))
@@ -138,7 +138,7 @@
         self.frozen.pop(ip, None)
         pending, self.pending[ip] = self.pending[ip], []
         if not self.lying and ip not in self.refusing and ip not in self.stalled:
-            for action in pending[: self.chance.randint(0, len(pending))]:
+            for action in pending[: self.rng.randint(0, len(pending))]:
                 self.disks[ip].write(action, replica)
         if wipe:
             self.disks[ip] = Disk(f"{ip}/0" if self.same_name else f"{ip}/{self.lives[ip]}")
@@ -156,10 +156,10 @@
         """A machine that stood still goes on. It reads what waits in its sockets, one after another, at once; its timer
         and what its disk has done meanwhile come before or after that."""
         held = self.frozen.pop(ip, [])
-        rank = {origin: self.chance.random() for origin in (*self.ips, CLIENT)}
+        rank = {origin: self.rng.random() for origin in (*self.ips, CLIENT)}
         read = sorted((what for what in held if what[0] == "held"), key=lambda what: rank[what[2]])
         others = [what for what in held if what[0] != "held"]
-        for what in [*read, *others] if self.chance.random() < 0.5 else [*others, *read]:
+        for what in [*read, *others] if self.rng.random() < 0.5 else [*others, *read]:
             self.at(0.0, *what)
 
     def newest_view(self) -> View | None:
@@ -190,7 +190,7 @@
                 return
             elif not isinstance(action, SetLeadership):
                 self.pending[ip].append(action)
-                self.at(self.chance.uniform(*self.write_s), "written", ip, self.lives[ip])
+                self.at(self.rng.uniform(*self.write_s), "written", ip, self.lives[ip])
 
     def publish(self, ip: str, entry: Entry) -> None:
         """A machine has published an entry as committed."""
@@ -237,7 +237,7 @@
         """While views are to be orphaned: the first machine that has one with a new identity is lost a moment later."""
         if self.orphans and any(name not in self.identities for name in view.group):
             step = self.orphans.pop()
-            self.at(self.chance.uniform(0.0, 0.4), "begin", "", Step(self.now_s, "kill", ip, step.for_s))
+            self.at(self.rng.uniform(0.0, 0.4), "begin", "", Step(self.now_s, "kill", ip, step.for_s))
 
     # -- contact, and downstream nodes ----------------------------------------------------------------------
 
--- a/lab/histories/world.py
+++ b/lab/histories/world.py
@@ -19,7 +19,7 @@
 class LoadGenerator(Protocol):
     """Operators beside the two (operators.py): their events come to `on`."""
 
-    chance: random.Random
+    rng: random.Random
 
     def on(self, what: str, *given: Any) -> None: ...
 
@@ -70,7 +70,7 @@
 
     def keeps_refused_write(self) -> bool:
         """Where a crowd calls, half of the time."""
-        return self.crowd is not None and self.crowd.chance.random() < KEPT_THOUGH_REFUSED
+        return self.crowd is not None and self.crowd.rng.random() < KEPT_THOUGH_REFUSED
 
     def answer(self, frame: frames.Frame) -> None:
         """A reply, to whoever has called."""
--- a/lab/loopback_network.py
+++ b/lab/loopback_network.py
@@ -22,10 +22,10 @@
 
     def __init__(self, second_numbers: range = OTHER_NETWORKS, third_numbers: range = THIRD_NUMBERS) -> None:
         """Raises NoFreeNetworkError."""
-        chance = random.SystemRandom()
+        rng = random.SystemRandom()
         for _ in range(ATTEMPTS):
-            self.second_number = chance.choice(second_numbers)
-            self.prefix = f"127.{self.second_number}.{chance.choice(third_numbers)}"
+            self.second_number = rng.choice(second_numbers)
+            self.prefix = f"127.{self.second_number}.{rng.choice(third_numbers)}"
             self.reservation = socket.socket()
             try:
                 self.reservation.bind((f"{self.prefix}.255", RESERVATION_PORT))
--- a/lab/membership.py
+++ b/lab/membership.py
@@ -137,9 +137,9 @@
     async def life(self, host: Host, settings: Settings) -> None:
         disk = self.disks.setdefault(settings.node, Disk(f"{len(self.disks):012x}")) if settings.state_dir else None
         node = self.nodes[settings.node] = self.make_node(host, settings, disk)
-        node.tree.context.chance = random.Random(f"{self.seed} {settings.node} {host.life}")
+        node.tree.context.rng = random.Random(f"{self.seed} {settings.node} {host.life}")
         if node.core is not None:
-            node.core.chance = random.Random(f"{self.seed} core {settings.node} {host.life}")
+            node.core.rng = random.Random(f"{self.seed} core {settings.node} {host.life}")
         await node.start()
 
     def make_node(self, host: Host, settings: Settings, disk: Disk | None) -> GatewayNode:
@@ -283,7 +283,7 @@
         cluster.start(*machine)
     await cluster.until(lambda: len(cluster.edges) == len(edges))
     await publish(cluster, all_figures["joins"])
-    for machine in net.chance.sample(edges, some):
+    for machine in net.rng.sample(edges, some):
         cluster.stop(*machine)
     await publish(cluster, all_figures["kills"])
     net.cut = lambda one, other: (one.zone == ZONES[-1]) != (other.zone == ZONES[-1])
--- a/lab/membership_churn.py
+++ b/lab/membership_churn.py
@@ -98,9 +98,9 @@
         if not group:
             return
         others = [ip for ip in self.ips if ip not in group]
-        kind = self.chance.choice([ADD, REMOVE, REPLACE, REPLACE])
-        old = self.chance.choice(group) if kind != ADD else ""
-        new = self.chance.choice(others or group) if kind != REMOVE else ""
+        kind = self.rng.choice([ADD, REMOVE, REPLACE, REPLACE])
+        old = self.rng.choice(group) if kind != ADD else ""
+        new = self.rng.choice(others or group) if kind != REMOVE else ""
         ident = next(self.numbers) + 1
         self.asked[ident] = RequestedChange(kind, old, new, group, self.now_s + CHANGE_S)
         self.ask(ident)
@@ -112,7 +112,7 @@
         if self.replicas:
             self.send(
                 CLIENT,
-                self.chance.choice(sorted(self.replicas)),
+                self.rng.choice(sorted(self.replicas)),
                 frames.MembershipChangeRequest(ident, CLIENT, asked.kind, asked.old, asked.new, asked.base),
             )
         self.at(AGAIN_S, "ask", "", ident)
@@ -161,23 +161,23 @@
 def make_plan(seed: int) -> list[Step]:
     """The troubles and calls of the histories, on all machines, and changes of the group all along."""
     shape = Shape(wild=seed % 3 == 0, large=seed % 4 == 1, long=seed % 7 == 3)
-    chance = random.Random(f"turnover {seed}")
+    rng = random.Random(f"turnover {seed}")
     lasts_s = plans.LONG_LASTS_S if shape.long else plans.LASTS_S
-    plan = [replace(step, where=chance.choice(MACHINES)) for step in plans.troubles(shape, chance, lasts_s)]
+    plan = [replace(step, where=rng.choice(MACHINES)) for step in plans.troubles(shape, rng, lasts_s)]
     for _ in range(3):  # two changes on one version at the same time, as a rule while somebody is in trouble
-        at_s = chance.choice(plan).at_s + chance.uniform(0.0, 1.5)
-        plan += [Step(at_s, "replace", "x"), Step(at_s + chance.uniform(0.0, 0.3), "replace", "y")]
+        at_s = rng.choice(plan).at_s + rng.uniform(0.0, 1.5)
+        plan += [Step(at_s, "replace", "x"), Step(at_s + rng.uniform(0.0, 0.3), "replace", "y")]
     for operator in plans.OPERATORS:
-        at_s = chance.uniform(0.1, 1.0)
+        at_s = rng.uniform(0.1, 1.0)
         while at_s < lasts_s:
-            plan.append(Step(at_s, chance.choice(("read", "replace", "replace")), operator))
-            at_s += chance.expovariate(1.0)
-    at_s = chance.uniform(0.3, 2.0)
+            plan.append(Step(at_s, rng.choice(("read", "replace", "replace")), operator))
+            at_s += rng.expovariate(1.0)
+    at_s = rng.uniform(0.3, 2.0)
     while at_s < lasts_s:
         plan += [Step(at_s, "change")]
-        at_s += chance.choice((0.05, 1.0, 2.0, 3.0)) + chance.uniform(0.0, 1.0)
+        at_s += rng.choice((0.05, 1.0, 2.0, 3.0)) + rng.uniform(0.0, 1.0)
     if seed % 5 == 2:  # a machine that is gone for longer than one that is replaced by itself
-        plan.append(Step(chance.uniform(1.0, 10.0), "kill", chance.choice(IPS), 2.0 * REPLACE_AFTER_S))
+        plan.append(Step(rng.uniform(1.0, 10.0), "kill", rng.choice(IPS), 2.0 * REPLACE_AFTER_S))
     return sorted(plan, key=lambda step: step.at_s)
 
 
--- a/lab/partitions.py
+++ b/lab/partitions.py
@@ -60,10 +60,10 @@
 
     @classmethod
     def drawn(cls, seed: int) -> Case:
-        chance = random.Random(f"cut {seed}")
-        cores = chance.choice((3, 5))
-        who = chance.choice(WHO if cores == 5 else WHO[:3])
-        return cls(who, chance.choice(WAYS), chance.choice(HOW), chance.choice(LASTS_S), chance.choice(RESTARTS), cores)
+        rng = random.Random(f"cut {seed}")
+        cores = rng.choice((3, 5))
+        who = rng.choice(WHO if cores == 5 else WHO[:3])
+        return cls(who, rng.choice(WAYS), rng.choice(HOW), rng.choice(LASTS_S), rng.choice(RESTARTS), cores)
 
 
 @dataclass
@@ -130,7 +130,7 @@
 class History:
     def __init__(self, seed: int, case: Case | None = None, edges: int = EDGES) -> None:
         self.case = case or Case.drawn(seed)
-        self.chance = random.Random(f"history {seed}")
+        self.rng = random.Random(f"history {seed}")
         self.cluster = CutCluster(edges, seed, cores=self.case.cores)
         self.cluster.history = self
         self.found = Found()
@@ -269,15 +269,15 @@
 
     async def restarts(self) -> None:
         kind = self.case.restart
-        await asyncio.sleep(self.chance.uniform(0.1, 0.6) * self.case.lasts_s)
+        await asyncio.sleep(self.rng.uniform(0.1, 0.6) * self.case.lasts_s)
         others = [one for one in self.cluster.machines[: self.case.cores] if one not in self.struck]
         if kind in ("cut off", "both"):
             for machine in self.struck:
                 await self.restart(machine)
         if kind in ("others", "both"):
-            await self.restart(self.chance.choice(others))
+            await self.restart(self.rng.choice(others))
         if kind == "edges":
-            for machine in self.chance.sample(self.cluster.machines[self.case.cores :], 3):
+            for machine in self.rng.sample(self.cluster.machines[self.case.cores :], 3):
                 await self.restart(machine, wrong_seeds=True)
 
     async def operate(self) -> None:
@@ -318,7 +318,7 @@
         cluster.order()
         await cluster.known_by_all()
         cluster.poll(5)
-        await asyncio.sleep(self.chance.uniform(3.0, 6.0))  # joins are renewed at any time before it
+        await asyncio.sleep(self.rng.uniform(3.0, 6.0))  # joins are renewed at any time before it
         root = self.leader()
         assert root is not None
         self.struck = self.settle_on(root)
--- a/lab/power_loss_recovery.py
+++ b/lab/power_loss_recovery.py
@@ -42,13 +42,13 @@
 
     @classmethod
     def drawn(cls, seed: int) -> Case:
-        chance = random.Random(f"closing {seed}")
+        rng = random.Random(f"closing {seed}")
         return cls(
-            chance.choice((3, 5)),
-            chance.choice((CORE_MBPS, THIN_MBPS)),
-            chance.random() < 0.5,
-            chance.randrange(4),
-            chance.uniform(*DOWN_S),
+            rng.choice((3, 5)),
+            rng.choice((CORE_MBPS, THIN_MBPS)),
+            rng.random() < 0.5,
+            rng.randrange(4),
+            rng.uniform(*DOWN_S),
         )
 
 
@@ -69,13 +69,13 @@
     def __init__(self, seed: int, case: Case) -> None:
         self.found = Found(case)
         self.case = case
-        self.chance = random.Random(f"closing history {seed}")
+        self.rng = random.Random(f"closing history {seed}")
         self.cluster = Replacing(EDGES, seed, core_mbps=case.mbps, edge_mbps=case.mbps, routes=ROUTES, cores=case.cores)
 
     async def replace_one(self) -> None:
         """Some machine of the chain, by a new one; the group has stood without it for `syncS` afterwards."""
         cluster = self.cluster
-        ip = self.chance.choice(cluster.newest().members())
+        ip = self.rng.choice(cluster.newest().members())
         victim = next(machine for machine in cluster.machines if machine[1].ip == ip)
         cluster.stop(*victim)
         cluster.machines.remove(victim)
@@ -96,7 +96,7 @@
     def cut_edges_off(self) -> None:
         """A third of the edge nodes reach no machine of the core."""
         edges = [host.ip for host, settings in self.cluster.machines if settings.front_listener is not None]
-        lost = set(self.chance.sample(edges, EDGES // 3))
+        lost = set(self.rng.sample(edges, EDGES // 3))
         cores = {host.ip for host, settings in self.cluster.machines if settings.front_listener is None}
         self.cluster.net.cut = lambda one, other: (
             (one.ip in lost and other.ip in cores) or (other.ip in lost and one.ip in cores)
@@ -112,7 +112,7 @@
             if settings.ip in chain and chain.index(settings.ip) == self.case.wiped:
                 cluster.disks[settings.node] = Disk("f" * 12)
         await asyncio.sleep(self.case.down_s)
-        for machine in self.chance.sample(cluster.machines, len(cluster.machines)):
+        for machine in self.rng.sample(cluster.machines, len(cluster.machines)):
             await asyncio.sleep(SPREAD_S / len(cluster.machines))
             self.start(machine)
         cluster.net.cut = lambda one, other: False
@@ -140,7 +140,7 @@
         if self.case.replaced:
             await self.replace_one()
         self.cut_edges_off()
-        await asyncio.sleep(self.chance.uniform(0.0, CUT_S))
+        await asyncio.sleep(self.rng.uniform(0.0, CUT_S))
         confirmed = await self.confirm()
         await self.lose_power()
         await self.measure(confirmed)
--- a/lab/random_days.py
+++ b/lab/random_days.py
@@ -78,39 +78,39 @@
 HELD = 0.001
 
 
-def trouble(chance: random.Random, kinds: tuple[str, ...] = KINDS_OF_TROUBLE) -> Trouble:
-    kind, how = chance.choice(kinds), chance.choice(HOW)
+def trouble(rng: random.Random, kinds: tuple[str, ...] = KINDS_OF_TROUBLE) -> Trouble:
+    kind, how = rng.choice(kinds), rng.choice(HOW)
     strength = (2.0, 8.0) if kind == "srv_ill" and how == "slow" else STRENGTH.get(kind, (1.0, 1.0))
-    at = chance.uniform(0.0, TRAFFIC_S - CALM_S - 4.0)
+    at = rng.uniform(0.0, TRAFFIC_S - CALM_S - 4.0)
     away = {"power_off_all": (0.2, 1.5), "node_kill": (0.2, 3.0)}.get(kind, (0.5, 4.0))
     return Trouble(
         kind=kind,  # type: ignore[arg-type]
         how=how,  # type: ignore[arg-type]
         at=round(at, 2),
-        for_s=round(chance.uniform(*away), 2),
-        gap_s=round(chance.uniform(0.2, 1.0), 2),
-        share=round(chance.uniform(0.05, 0.5), 2),
-        x=round(chance.uniform(*strength), 3),
-        on=chance.choice(("edge", "edge", "core")),
-        service=chance.choice(("", "finder", "booker")),
+        for_s=round(rng.uniform(*away), 2),
+        gap_s=round(rng.uniform(0.2, 1.0), 2),
+        share=round(rng.uniform(0.05, 0.5), 2),
+        x=round(rng.uniform(*strength), 3),
+        on=rng.choice(("edge", "edge", "core")),
+        service=rng.choice(("", "finder", "booker")),
     )
 
 
 def drawn(seed: int) -> Day:
     """The day of a seed."""
-    chance = random.Random(f"day {seed}")
+    rng = random.Random(f"day {seed}")
     kinds_of_trouble = PLANNED if seed % PLANNED_EVERY == PLANNED_EVERY - 1 else KINDS_OF_TROUBLE
-    troubles = tuple(trouble(chance, kinds_of_trouble) for _ in range(chance.randint(1, MOST_TROUBLES)))
+    troubles = tuple(trouble(rng, kinds_of_trouble) for _ in range(rng.randint(1, MOST_TROUBLES)))
     # The operator's bound is now the clients' deadline, now well below it.
-    kinds = tuple(msgspec.structs.replace(kind, cutoff_ms=chance.choice(CUTOFFS_MS)) for kind in KINDS)
-    if chance.random() < CALLS:
+    kinds = tuple(msgspec.structs.replace(kind, cutoff_ms=rng.choice(CUTOFFS_MS)) for kind in KINDS)
+    if rng.random() < CALLS:
         kinds = tuple(msgspec.structs.replace(kind, calls="lookup" if kind.name == "booking" else "") for kind in kinds)
     return Day(
         name=f"drawn-{seed}",
-        edges=chance.randint(4, 16),
-        cores=chance.choice((3, 3, 5)),
-        zones=chance.randint(2, 4),
-        idle_routes=chance.choice((8, 8, 300)),
+        edges=rng.randint(4, 16),
+        cores=rng.choice((3, 3, 5)),
+        zones=rng.randint(2, 4),
+        idle_routes=rng.choice((8, 8, 300)),
         traffic_s=TRAFFIC_S,
         services=SERVICES,
         kinds=kinds,
--- a/lab/repair.py
+++ b/lab/repair.py
@@ -40,9 +40,9 @@
     def configuration(self, revision: int) -> bytes:
         """Prefixes that do not pack well, the same in each version."""
         made = cbor2.loads(super().configuration(revision))
-        chance = random.Random(self.seed)
+        rng = random.Random(self.seed)
         for channel in made["channels"][-ROUTES:]:
-            channel["prefix"] = f"/{base64.urlsafe_b64encode(chance.randbytes(PREFIX_BYTES)).decode()}/"
+            channel["prefix"] = f"/{base64.urlsafe_b64encode(rng.randbytes(PREFIX_BYTES)).decode()}/"
         return cbor2.dumps(made)
 
     def settings_of(self, name: str, ip: str, zone: str, core: bool) -> Settings:
--- a/lab/replacements.py
+++ b/lab/replacements.py
@@ -70,13 +70,11 @@
 
     @classmethod
     def drawn(cls, seed: int) -> Case:
-        chance = random.Random(f"replacement {seed}")
-        kind = chance.choice(KINDS)
-        cores = chance.choice((3, 3, 5))
-        gap_s = chance.uniform(*(LATER_S if kind == UNPLANNED else EARLIER_S))
-        return cls(
-            kind, chance.randrange(cores), chance.choice(TROUBLES), gap_s, cores, chance.choice((CORE_MBPS, THIN_MBPS))
-        )
+        rng = random.Random(f"replacement {seed}")
+        kind = rng.choice(KINDS)
+        cores = rng.choice((3, 3, 5))
+        gap_s = rng.uniform(*(LATER_S if kind == UNPLANNED else EARLIER_S))
+        return cls(kind, rng.randrange(cores), rng.choice(TROUBLES), gap_s, cores, rng.choice((CORE_MBPS, THIN_MBPS)))
 
 
 @dataclass(slots=True)
@@ -136,7 +134,7 @@
     def __init__(self, seed: int, case: Case) -> None:
         self.case = case
         self.found = Found(case)
-        self.chance = random.Random(f"history {seed}")
+        self.rng = random.Random(f"history {seed}")
         self.cluster = Replacing(4, seed, core_mbps=case.mbps, edge_mbps=case.mbps, routes=ROUTES, cores=case.cores)
         self.spares = case.cores
         self.troubled_until_s = 0.0
@@ -193,12 +191,12 @@
     async def trouble(self, spared: str) -> None:
         """Something else that is wrong meanwhile."""
         trouble, cluster = self.case.trouble, self.cluster
-        await asyncio.sleep(self.chance.uniform(0.0, 1.5))
+        await asyncio.sleep(self.rng.uniform(0.0, 1.5))
         others = [machine for machine in cluster.machines[: self.case.cores] if machine[1].ip != spared]
         if trouble == "storm":
             await self.storm()
         elif trouble == "slow disk":
-            cluster.disks[self.chance.choice(others)[1].node].sync_s = SLOW_WRITE_S
+            cluster.disks[self.rng.choice(others)[1].node].sync_s = SLOW_WRITE_S
         elif trouble == "one-way cut":
             await self.one_way_cut(others)
         elif trouble == "head restarts":
@@ -221,7 +219,7 @@
         self.troubled_until_s = self.now_s
 
     async def one_way_cut(self, others: list[Machine]) -> None:
-        one, other = (machine[0].ip for machine in self.chance.sample(others, 2))
+        one, other = (machine[0].ip for machine in self.rng.sample(others, 2))
         self.cluster.net.cut = lambda near, far: (near.ip, far.ip) == (one, other)
         await asyncio.sleep(ONE_WAY_S)
         self.cluster.net.cut = lambda near, far: False
@@ -268,7 +266,7 @@
         else:
             await self.replace(victim)
         if case.trouble == "second replacement" and case.kind != FALSE_ALARM:
-            await self.replace(self.machine_at(cluster.newest().members()[self.chance.randrange(case.cores)]))
+            await self.replace(self.machine_at(cluster.newest().members()[self.rng.randrange(case.cores)]))
         if case.trouble == "storm":
             trouble.cancel()
         else:
--- a/lab/rules_fencing.py
+++ b/lab/rules_fencing.py
@@ -536,11 +536,11 @@
         "    if name is None:\n        return ChangeDecision(UNKNOWN",
         "    if False:\n        return ChangeDecision(UNKNOWN",
     ),
-    members("nine members are the most", MEMBERSHIP_RULES, "if len(known.view.group) >= MAX_MEMBERS:", "if False:"),
+    members("nine members are the most", MEMBERSHIP_RULES, "if len(state.view.group) >= MAX_MEMBERS:", "if False:"),
     members(
         "a newcomer is level before it counts",
         MEMBERSHIP_RULES,
-        "    if name not in known.caught_up:\n",
+        "    if name not in state.caught_up:\n",
         "    if False:\n",
     ),
     members("enough members are left", MEMBERSHIP_RULES, "    if len(group) < least:\n", "    if False:\n"),
@@ -598,7 +598,7 @@
     members(
         "it tells that it is level only with the body's digest",
         MEMBERSHIP_RULES,
-        "        if not wrong:\n",
+        "        if not fault:\n",
         "        if True:\n",
     ),
     members(
--- a/lab/rules_orders.py
+++ b/lab/rules_orders.py
@@ -43,31 +43,31 @@
     orders(
         "what was taken is answered 200, before it is checked",
         CHAIN,
-        "if self.digest(order.body) in self.applied_digests.values():",
+        "if self.digest(request.body) in self.applied_digests.values():",
         "if False:",
     ),
     orders(
         "an order on an older base is refused unread",
         CHAIN,
-        "if deduplication.forgotten_up_to(self.applied_digests, self.number) <= order.base < self.revision:",
+        "if deduplication.forgotten_up_to(self.applied_digests, self.number) <= request.base < self.revision:",
         "if False:",
     ),
     orders(
         "not where its digest may have gone",
         CHAIN,
-        "if deduplication.forgotten_up_to(self.applied_digests, self.number) <= order.base < self.revision:",
-        "if order.base < self.revision:",
+        "if deduplication.forgotten_up_to(self.applied_digests, self.number) <= request.base < self.revision:",
+        "if request.base < self.revision:",
     ),
     orders(
         "no valid configuration is refused",
         CHAIN,
-        "            return [write_result(order, 400, str(err))]\n",
+        "            return [write_result(request, 400, str(err))]\n",
         "            revision = self.revision + 1\n",
     ),
     orders(
         "one whose base may come into force yet is not refused",
         CHAIN,
-        "if self.base_may_become_current(order.base, revision):",
+        "if self.base_may_become_current(request.base, revision):",
         "if False:",
     ),
     orders(
@@ -79,7 +79,7 @@
     orders(
         "one that may have been taken is not refused",
         CHAIN,
-        "if self.may_have_been_applied(order.base, revision):",
+        "if self.may_have_been_applied(request.base, revision):",
         "if False:",
     ),
     orders(
@@ -88,7 +88,7 @@
         "return base < revision <= deduplication",
         "return revision <= taken",
     ),
-    orders("the base must be the version in force", CHAIN, "if order.base != self.revision:", "if False:"),
+    orders("the base must be the version in force", CHAIN, "if request.base != self.revision:", "if False:"),
     orders("numbers only rise", CHAIN, "if revision <= self.revision:", "if revision < self.revision:"),
     orders(
         "orders are decided one at a time, once what came before is committed",
@@ -109,14 +109,14 @@
         "            if self.has_uncommitted():\n",
     ),
     orders(
-        "by their bytes, not by their base", CHAIN, "if order.body == entry.body]:", "if order.base == entry.base]:"
+        "by their bytes, not by their base", CHAIN, "if request.body == entry.body]:", "if request.base == entry.base]:"
     ),
     orders(
         "an order that comes again waits once",
         CHAIN,
         "if (\n"
-        "            any(other.request_id == order.request_id for other in self.queue)\n"
-        "            or (order.request_id, order.origin) in self.pending_callers\n"
+        "            any(other.request_id == request.request_id for other in self.queue)\n"
+        "            or (request.request_id, request.origin) in self.pending_callers\n"
         "        ):",
         "if False:",
     ),
@@ -143,7 +143,8 @@
         "the tail answers the first asker",
         CHAIN,
         "        actions += [\n"
-        '            SendMessage(origin, frames.WriteResult(ident, 200, "taken")) for ident, origin in self.pending_callers\n'
+        '            SendMessage(origin, frames.WriteResult(request_id, 200, "taken"))\n'
+        "            for request_id, origin in self.pending_callers\n"
         "        ]\n",
         "",
     ),
@@ -151,8 +152,8 @@
         "the head answers the others",
         CHAIN,
         "            actions += [\n"
-        '                SendMessage(origin, frames.WriteResult(ident, 200, "taken"))\n'
-        "                for ident, origin in self.pending_callers[1:]\n"
+        '                SendMessage(origin, frames.WriteResult(request_id, 200, "taken"))\n'
+        "                for request_id, origin in self.pending_callers[1:]\n"
         "            ]\n",
         "",
     ),
@@ -165,8 +166,11 @@
     orders(
         "a disk that refuses is no clear answer",
         CHAIN,
-        'return [SendMessage(origin, frames.WriteResult(ident, 503, "the disk refuses")) for ident, origin in asked]',
-        'return [SendMessage(origin, frames.WriteResult(ident, 400, "the disk refuses")) for ident, origin in asked]',
+        "return [\n"
+        '            SendMessage(origin, frames.WriteResult(request_id, 503, "the disk refuses"))\n'
+        "            for request_id, origin in callers\n"
+        "        ]",
+        'return [SendMessage(origin, frames.WriteResult(request_id, 400, "the disk refuses")) for request_id, origin in callers]',
     ),
     orders(
         "what waited is decided once the entry is committed",
@@ -283,7 +287,7 @@
     orders(
         "valid: whole CBOR",
         CONFIGURATION,
-        '    except Exception as err:\n        raise InvalidConfigurationError(f"no CBOR: {err}") from None\n',
+        '    except Exception as err:  # noqa: BLE001 (the decoder raises what it likes on hostile bytes)\n        raise InvalidConfigurationError(f"no CBOR: {err}") from None\n',
         '    except Exception:\n        value = {"revision": 99, "channels": [], "plants": []}\n'
         "        stream.seek(0, 2)\n",
     ),
--- a/lab/rules_replacement.py
+++ b/lab/rules_replacement.py
@@ -55,23 +55,23 @@
     ),
     replacement(
         "a replacement that was begun goes on though the member is back",
-        "            return self.second_step(begun)\n",
+        "            return self.second_step(pending)\n",
         "            pass\n",
     ),
     replacement(
         "a spare that has fallen silent meanwhile is taken out again",
-        "if begun.new in silent and begun.old not in silent:",
+        "if pending.new in silent and pending.old not in silent:",
         "if False:",
     ),
     replacement(
         "but only where the member is back",
-        "if begun.new in silent and begun.old not in silent:",
-        "if begun.new in silent:",
+        "if pending.new in silent and pending.old not in silent:",
+        "if pending.new in silent:",
     ),
     replacement(
         "a group of an even number removes its silent member",
-        "        if self.has_surplus_member(group):\n            return MembershipChange(REMOVE, gone[0]",
-        "        if False:\n            return MembershipChange(REMOVE, gone[0]",
+        "        if self.has_surplus_member(group):\n            return MembershipChange(REMOVE, silent[0]",
+        "        if False:\n            return MembershipChange(REMOVE, silent[0]",
     ),
     replacement(
         "unless it is no larger than the least",
@@ -111,13 +111,13 @@
     replacement(
         "who has left waits until its successors hold their view",
         "        return any(\n"
-        "            self.replica.failure_detector.is_alive(ip, now_s) and heard[ip].epoch < view.epoch",
-        "        return any(False and heard[ip].epoch < view.epoch",
+        "            self.replica.failure_detector.is_alive(ip, now_s) and peers[ip].epoch < view.epoch",
+        "        return any(False and peers[ip].epoch < view.epoch",
     ),
     replacement(
         "for those that are heard",
-        "return any(\n            self.replica.failure_detector.is_alive(ip, now_s) and heard[ip].epoch < view.epoch",
-        "return any(ip in heard and heard[ip].epoch < view.epoch",
+        "return any(\n            self.replica.failure_detector.is_alive(ip, now_s) and peers[ip].epoch < view.epoch",
+        "return any(ip in peers and peers[ip].epoch < view.epoch",
     ),
     replacement(
         "a member has no successors",
--- a/lab/simulation/links.py
+++ b/lab/simulation/links.py
@@ -19,8 +19,8 @@
 class Links:
     """What happens to a packet between two machines."""
 
-    def __init__(self, chance: random.Random, now_s: Callable[[], float]) -> None:
-        self.chance = chance
+    def __init__(self, rng: random.Random, now_s: Callable[[], float]) -> None:
+        self.rng = rng
         self.now_s = now_s
         self.loss = 0.0
         """The share of packets that are lost."""
@@ -39,11 +39,11 @@
 
     def lost(self) -> bool:
         """Whether the next packet is lost."""
-        return self.loss > 0.0 and self.chance.random() < self.loss
+        return self.loss > 0.0 and self.rng.random() < self.loss
 
     def way(self, one: Host, other: Host) -> float:
         """Of one packet, seconds."""
-        return (NEAR_S if one.zone == other.zone else FAR_S) * self.chance.uniform(0.8, 1.4)
+        return (NEAR_S if one.zone == other.zone else FAR_S) * self.rng.uniform(0.8, 1.4)
 
     def delay(self, one: Host, other: Host) -> float:
         """Of bytes on a connection, seconds: those that are lost come later."""
--- a/lab/standins.py
+++ b/lab/standins.py
@@ -99,14 +99,14 @@
         connections: int = 1000,
         ledger: Ledger | None = None,
         work_of: Callable[[bytes], float] | None = None,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> None:
         """`work_of` gives the mean work for a target, in seconds, in place of the fixed length; `ledger` is told of
         what comes and what runs."""
         super().__init__(connections)
         self.ident = ident or f"i-{secrets.token_hex(5)}"
         self.plant, self.zone, self.slots, self.queue, self.work_s = plant, zone, slots, queue, work_s
-        self.work_of, self.ledger, self.chance = work_of, ledger, chance or random.Random()
+        self.work_of, self.ledger, self.rng = work_of, ledger, rng or random.Random()
         self.speed = 1.0
         self.call_of: Callable[[Server, RequestMessage], Coroutine[Any, Any, None] | None] = lambda server, message: (
             None
@@ -176,7 +176,7 @@
     def ill(self) -> str:
         """What befalls the next request."""
         illness = self.illness
-        return illness.how if illness is not None and self.chance.random() < illness.share else ""
+        return illness.how if illness is not None and self.rng.random() < illness.share else ""
 
     def turned_away(self, message: RequestMessage, status: int) -> Answer:
         return Answer(status, [*named(message), (b"Not-Executed", b"1"), self.load()])
@@ -184,7 +184,7 @@
     def takes_s(self, message: RequestMessage, ill: str) -> float:
         if self.work_of is None:
             return self.work_s
-        takes_s = self.work_of(message.target) * self.chance.lognormvariate(0.0, WORK_SPREAD) / self.speed
+        takes_s = self.work_of(message.target) * self.rng.lognormvariate(0.0, WORK_SPREAD) / self.speed
         if self.loop.time() - self.started_s < COLD_S:
             takes_s /= COLD_SPEED
         if ill == "slow" and self.illness is not None:
@@ -231,7 +231,7 @@
         self.running -= 1
         if self.ledger is not None:
             self.ledger.done(name_of(message), self.ident, self.loop.time())
-        if ill == "reset" or self.chance.random() < self.loses:
+        if ill == "reset" or self.rng.random() < self.loses:
             self.break_off(message, connection)
         elif ill not in ("hang", "mute"):
             self.answer(message, connection, ill)
@@ -256,7 +256,7 @@
         if (
             self.last_answer is not None
             and not connection.transport.is_closing()
-            and (self.chance.random() < self.repeats)
+            and (self.rng.random() < self.repeats)
         ):
             connection.write(self.last_answer, close=False)
         self.last_answer = answer
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -40,7 +40,7 @@
     alive: list[int]
     failing: float
     """The share of attempts that end in a reset, which proves that nothing ran."""
-    chance: random.Random
+    rng: random.Random
     envelope: Envelope = USUAL
     balancers: dict[int, Balancer] = field(default_factory=dict)
     events: list[tuple[float, int, object]] = field(default_factory=list)
@@ -67,7 +67,7 @@
                 number = self.tries[action.request]
                 self.tries[action.request] += 1
                 (self.again_s if number else self.firsts_s).append(now_s)
-                ending = pr.AttemptOutcome.RESET if self.chance.random() < self.failing else pr.AttemptOutcome.OK
+                ending = pr.AttemptOutcome.RESET if self.rng.random() < self.failing else pr.AttemptOutcome.OK
                 ended = pr.AttemptEnded(
                     action.request, number, action.server, ending, 20_000, ending is pr.AttemptOutcome.OK
                 )
@@ -139,7 +139,7 @@
         lasts_s = draw(st.floats(0.5, 8.0))
         rate, nodes = draw(st.sampled_from([0, 5, 30, 100])), draw(st.integers(1, MOST_NODES))
         for number in range(int(rate * lasts_s)):
-            fleet.at(at_s + number / rate, fleet.chance.randrange(nodes))
+            fleet.at(at_s + number / rate, fleet.rng.randrange(nodes))
         if draw(st.booleans()):
             fleet.at(at_s, draw(st.sampled_from(["kill", "add", "restart"])))
         at_s += lasts_s
@@ -158,7 +158,7 @@
     for node in fleet.alive:
         fleet.start(node, 0.0)
     for number in range(int(60 * LASTS_S)):
-        fleet.at(number / 60, fleet.chance.randrange(nodes))
+        fleet.at(number / 60, fleet.rng.randrange(nodes))
     if change:
         for at_s in range(2, int(LASTS_S), 2):
             fleet.at(at_s, change)
--- a/tests/test_chain.py
+++ b/tests/test_chain.py
@@ -27,7 +27,7 @@
     """Three members on a network that a seed may let lose, double and reorder messages."""
 
     def __init__(self, seed: int = 0, trouble: float = 0.0) -> None:
-        self.chance, self.trouble = random.Random(seed), trouble
+        self.rng, self.trouble = random.Random(seed), trouble
         self.members = {ip: member(ip) for ip in VIEW.members}
         self.disks: dict[str, list[Entry]] = {ip: [] for ip in VIEW.members}
         self.waiting: deque[tuple[str, frames.Frame | Entry]] = deque()
@@ -44,8 +44,8 @@
                 if action.ip == "client":
                     assert isinstance(action.frame, frames.WriteResult)
                     self.answers.setdefault(action.frame.request_id, action.frame.status)
-                elif self.chance.random() >= self.trouble:
-                    for _ in range(1 + (self.chance.random() < self.trouble)):
+                elif self.rng.random() >= self.trouble:
+                    for _ in range(1 + (self.rng.random() < self.trouble)):
                         self.waiting.append((action.ip, action.frame))
             elif isinstance(action, PersistEntry):
                 self.waiting.append((ip, action.entry))
@@ -55,7 +55,7 @@
                 self.published.append(action.entry.revision)
 
     def step(self) -> None:
-        if self.chance.random() < self.trouble:
+        if self.rng.random() < self.trouble:
             self.waiting.rotate(1)
         ip, what = self.waiting.popleft()
         member = self.members[ip]
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -69,11 +69,11 @@
 GROUP, SEEDS = ("10.0.0.1", "10.1.0.1", "10.2.0.1"), ("10.0.0.1", "10.3.0.1", "10.4.0.1")
 
 
-def asked(search: RootSearch, until_s: float, chance: random.Random, fleet: int = 77) -> list[tuple[float, str]]:
+def asked(search: RootSearch, until_s: float, rng: random.Random, fleet: int = 77) -> list[tuple[float, str]]:
     """Who is asked when, in steps of a tick."""
     found = []
     for tick in range(int(until_s / 0.01)):
-        target = search.next_target(tick / 100, GROUP, SEEDS, fleet, chance)
+        target = search.next_target(tick / 100, GROUP, SEEDS, fleet, rng)
         if target is not None:
             found.append((tick / 100, target))
     return found
@@ -89,13 +89,13 @@
 
 
 def test_one_that_names_nobody_gives_way_at_once_and_only_once() -> None:
-    search, chance = RootSearch("10.9.9.9"), random.Random(1)
-    first = search.next_target(0.0, GROUP, (), 77, chance)
+    search, rng = RootSearch("10.9.9.9"), random.Random(1)
+    first = search.next_target(0.0, GROUP, (), 77, rng)
     assert first is not None
-    soon_s = search.skip(first, 0.001, GROUP, chance)
+    soon_s = search.skip(first, 0.001, GROUP, rng)
     assert soon_s is not None and soon_s < 0.05
-    assert search.next_target(0.001 + soon_s, GROUP, (), 77, chance) not in (None, first)
-    assert search.skip(first, 0.05, GROUP, chance) is None
+    assert search.next_target(0.001 + soon_s, GROUP, (), 77, rng) not in (None, first)
+    assert search.skip(first, 0.05, GROUP, rng) is None
 
 
 def test_a_large_fleet_that_looks_for_the_root_asks_no_more_often_than_a_small_one_can() -> None:
--- a/tests/test_drawn_days.py
+++ b/tests/test_drawn_days.py
@@ -64,8 +64,8 @@
 
 def test_every_value_of_every_field_comes_up_in_entries_of_its_kind() -> None:
     for name, kind in TABLE.items():
-        chance = random.Random(name)
-        drawn = [draw_entry(chance, name, 1.0) for _ in range(300)]
+        rng = random.Random(name)
+        drawn = [draw_entry(rng, name, 1.0) for _ in range(300)]
         strengths = {value for values in [kind.strength, *kind.variant_strength.values()] for value in values}
         assert {entry.duration_s for entry in drawn} - {None} == set(kind.duration_s), name
         assert {entry.share for entry in drawn} - {None} == set(kind.share), name
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -258,9 +258,9 @@
 
 
 def test_an_interval_holds_the_mean_as_often_as_it_says() -> None:
-    chance, held = random.Random(1), 0
+    rng, held = random.Random(1), 0
     for _ in range(2000):
-        mean, give = experiment.interval([chance.gauss(3.0, 2.0) for _ in range(5)])
+        mean, give = experiment.interval([rng.gauss(3.0, 2.0) for _ in range(5)])
         held += abs(mean - 3.0) <= give
     assert 0.93 < held / 2000 < 0.97
     assert experiment.interval([1.0])[1] == float("inf")
--- a/tests/test_fetches.py
+++ b/tests/test_fetches.py
@@ -89,7 +89,7 @@
 
 def test_a_source_that_sends_nothing_gives_way_to_one_that_was_not_told_of() -> None:
     line = Line(3)
-    body = bytes(line.net.chance.getrandbits(8) for _ in range(60_000))
+    body = bytes(line.net.rng.getrandbits(8) for _ in range(60_000))
     got: list[bytes] = []
     mark = line.peers[0].blobs.store.put(body)
     line.peers[1].blobs.store.put(body)
@@ -102,7 +102,7 @@
 
 def test_one_that_stalls_midway_goes_on_elsewhere_where_it_stopped() -> None:
     line = Line(3)
-    body = bytes(line.net.chance.getrandbits(8) for _ in range(60_000))
+    body = bytes(line.net.rng.getrandbits(8) for _ in range(60_000))
     got: list[bytes] = []
     mark = line.peers[0].blobs.store.put(body)
     line.peers[1].blobs.store.put(body)
--- a/tests/test_footprint.py
+++ b/tests/test_footprint.py
@@ -39,10 +39,10 @@
 def test_packed_routes_find_what_the_table_finds_in_a_fraction_of_its_bytes() -> None:
     read = configuration.read_committed(many_routes(1, 2000, hosts=50, services=20))
     table, trial = RoutingTable(read), packed_blobs.Routes(read)
-    chance = random.Random(1)
-    asked = [(channel.host, channel.prefix) for channel in chance.sample(read.routes, 200)]
+    rng = random.Random(1)
+    asked = [(channel.host, channel.prefix) for channel in rng.sample(read.routes, 200)]
     paths = [path + more for _, path in asked for more in ("", "x", "x/y/", "../")] + ["/", "", "/none/", "none"]
-    for host, path in [*asked, *((chance.choice(asked)[0], path) for path in paths), ("none.example", "/find/1")]:
+    for host, path in [*asked, *((rng.choice(asked)[0], path) for path in paths), ("none.example", "/find/1")]:
         for name in (host, host.upper(), f"{host}:80", f" {host} "):
             route, shared = table.find(name, path), trial.find(name, path)
             assert (route is None) == (shared is None), (name, path)
@@ -79,15 +79,15 @@
 
 def test_the_ring_roster_gives_the_same_tree_and_each_is_watched_twice() -> None:
     """Through joins, departures, renewals, and parents that somebody has lost."""
-    chance = random.Random(2)
+    rng = random.Random(2)
     usual, ring = NodeRegistry("edge-0"), packed_blobs.RingRegistry("edge-0")
     for step in range(400):
-        number = chance.randrange(60)
-        if chance.random() < 0.2 and number:
+        number = rng.randrange(60)
+        if rng.random() < 0.2 and number:
             usual.remove(f"edge-{number}")
             ring.remove(f"edge-{number}")
         else:
-            lost = footprint.join_of(chance.randrange(60)).ip if chance.random() < 0.3 else ""
+            lost = footprint.join_of(rng.randrange(60)).ip if rng.random() < 0.3 else ""
             for roster in (usual, ring):
                 roster.register(footprint.join_of(number, lost), float(step))
         for name, known in usual.nodes.items():
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -167,8 +167,8 @@
 def test_weights_part_the_requests() -> None:
     route = RoutingTable(configuration.read(cbor2.dumps(split(90, 10)))).find("demo.example", "/find/")
     assert route is not None
-    chance = random.Random(5)
-    taken = [route.choose(chance) for _ in range(5000)]
+    rng = random.Random(5)
+    taken = [route.choose(rng) for _ in range(5000)]
     assert 0.08 < taken.count("booker") / len(taken) < 0.12
 
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -65,7 +65,7 @@
 
 
 def test_with_few_answers_the_tail_is_reckoned_wide_and_narrows_as_more_come() -> None:
-    chance = random.Random(3)
+    rng = random.Random(3)
     truth_us = 200_000 * math.exp(0.6 * balancer.TAIL_DEVIATIONS)
     waits: list[float] = []
     for count in (balancer.LEAST_SAMPLES, 80, balancer.MIN_SAMPLES - 1):
@@ -73,7 +73,7 @@
         for _ in range(40):
             seen = balancer.LatencyPercentile()
             for _ in range(count):
-                seen.add(chance.lognormvariate(math.log(200_000), 0.6))
+                seen.add(rng.lognormvariate(math.log(200_000), 0.6))
             tails.append(seen.tail(few=True))
             assert seen.tail(few=False) == 0.0
         assert sum(tail > 0.9 * truth_us for tail in tails) >= 38  # hardly ever cuts off what is only slow
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -158,8 +158,8 @@
 
 def test_slices_take_no_more_than_their_share_of_the_link() -> None:
     line = Line(5)
-    chance = line.net.chance
-    body = bytes(chance.getrandbits(8) for _ in range(60_000))
+    rng = line.net.rng
+    body = bytes(rng.getrandbits(8) for _ in range(60_000))
     got: list[bytes] = []
     mark = line.peers[0].blobs.store.put(body)
     began_s = line.net.loop.time()
@@ -174,7 +174,7 @@
 
 def test_a_relay_hands_on_what_it_has_while_the_rest_comes() -> None:
     line = Line(4)
-    body = bytes(line.net.chance.getrandbits(8) for _ in range(60_000))
+    body = bytes(line.net.rng.getrandbits(8) for _ in range(60_000))
     got: list[bytes] = []
     mark = line.peers[0].blobs.store.put(body)
     began_s = line.net.loop.time()
@@ -188,7 +188,7 @@
 
 def test_a_fetch_goes_on_from_another_source_where_it_stopped() -> None:
     line = Line(3)
-    body = bytes(line.net.chance.getrandbits(8) for _ in range(60_000))
+    body = bytes(line.net.rng.getrandbits(8) for _ in range(60_000))
     got: list[bytes] = []
     mark = line.peers[0].blobs.store.put(body)
     line.peers[1].blobs.store.put(body)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -78,7 +78,7 @@
     pair.net.loop.run_until_complete(scenario())
 
 
-async def lose_all_power(cluster: Cluster, chance: random.Random) -> float:
+async def lose_all_power(cluster: Cluster, rng: random.Random) -> float:
     """Seconds from the start of the last machine until all know the configuration and a list again."""
     await cluster.start_tree()
     cluster.order()
@@ -90,7 +90,7 @@
         await asyncio.sleep(after_s)
         cluster.start(*machine)
 
-    away = [chance.uniform(1.1, 1.75) for _ in cluster.machines]
+    away = [rng.uniform(1.1, 1.75) for _ in cluster.machines]
     await asyncio.gather(*(back(machine, after_s) for machine, after_s in zip(cluster.machines, away, strict=True)))
     return await cluster.until(
         lambda: (
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -87,9 +87,9 @@
     assert before[FILE_NAME] == after[FILE_NAME] and after[wal].startswith(before[wal])
     added = bytearray(after[wal][len(before[wal]) :])
     added = added[: int(len(added) * kept)]
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     for _ in range(spoilt if added else 0):
-        added[chance.randrange(len(added))] ^= 1 << chance.randrange(8)
+        added[rng.randrange(len(added))] ^= 1 << rng.randrange(8)
     found = load(before | {wal: before[wal] + bytes(added)})
     assert found.view == VIEW and found.entry in (entry(at + 1), entry(at + 2))
     assert found.entry == entry(at + 1) or not spoilt
