--- a/cypressbeam/cli/program.py
+++ b/cypressbeam/cli/program.py
@@ -49,7 +49,7 @@
 
 @main.command()
 def node() -> None:
-    """Run one node, told by the settings file that CYPRESSBEAM_BOOT names."""
+    """Run one node by the settings file that CYPRESSBEAM_BOOT names."""
     raise AssertionError("a node starts in __main__, without this module")
 
 
--- a/cypressbeam/consensus/bootstrap.py
+++ b/cypressbeam/consensus/bootstrap.py
@@ -1,4 +1,4 @@
-"""The founding of a system: the first view, at the very first start. Pure."""
+"""Bootstrap of a system: the first view, at the very first start. Pure."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 from cypressbeam.consensus.views import View, ip_of
 from cypressbeam.protocol import frames
 
-#: The epoch of the founding view: below all that are proposed later.
+#: The epoch of the first view: below all that are proposed later.
 BOOTSTRAP_EPOCH = 1 << 8
-#: The founder waits so long for one more machine with a disk, and asks a member again that has not agreed yet.
+#: The first seed waits so long for one more machine with a disk, and asks a member again that has not agreed yet.
 CANDIDATE_WAIT_S = 0.3
 REQUEST_INTERVAL_S = 0.4
 
--- a/cypressbeam/consensus/chain.py
+++ b/cypressbeam/consensus/chain.py
@@ -21,7 +21,7 @@
 
 #: An entry that is not committed is sent down again after so long: the link may have broken.
 RESEND_INTERVAL_S = 0.3
-#: Orders that may wait at the head; more are told to come back.
+#: Writes that may wait at the head; more are rejected with 503.
 MAX_QUEUED_WRITES = 64
 #: Characters of an answer's text: it may hold what an operator has sent, and a frame's texts have two bytes of length.
 MAX_RESULT_TEXT = 300
@@ -44,14 +44,14 @@
     queue: deque[frames.WriteRequest] = field(default_factory=deque)
     persisting: Entry | None = None
     pending_callers: list[tuple[int, str]] = field(default_factory=list)
-    """Who is to be answered for the entry under way: ids of orders, and the nodes that took them."""
+    """Who is to be answered for the entry in flight: ids of write requests, and the nodes that took the calls."""
     forwarded_s: float = 0.0
     active: bool = False
     """Every member of the chain has taken up this view, and with it the entry that it began with."""
     sealed: bool = False
     """A higher epoch was promised: nothing more is done in this one."""
     catch_up_target: int = 0
-    """The highest number that others of the chain had told when this one took up its part."""
+    """The highest number that other members of the chain had reported when the view became active."""
 
     # -- what it is ----------------------------------------------------------------------------------------
 
@@ -74,7 +74,7 @@
         return self.view.tail == self.ip
 
     def is_caught_up(self) -> bool:
-        """Whether this member has what the others of the chain had when it took up its part."""
+        """Whether this member has what the others of the chain had when the view became active."""
         return self.number >= self.catch_up_target
 
     def activate(self, now_s: float, wanted: int = 0) -> list[ChainEffect]:
@@ -92,7 +92,7 @@
     def submit(self, request: frames.WriteRequest, now_s: float) -> list[ChainEffect]:
         """A write request, at the head: it is queued, and decided in its turn."""
         if not self.is_head() or self.sealed or not self.active:
-            return []  # it is sent again, or its caller told that nobody answered
+            return []  # it is sent again, or its caller gets a time-out
         if (
             any(other.request_id == request.request_id for other in self.queue)
             or (request.request_id, request.origin) in self.pending_callers
@@ -108,7 +108,7 @@
         return self.persisting is not None or self.number > self.committed
 
     def process_queue(self, now_s: float) -> list[ChainEffect]:
-        """Orders are decided one at a time, once what came before is committed: so a refusal for another version
+        """Writes are decided one at a time, once what came before is committed: so a rejection for another version
         never names one that is lost."""
         actions: list[ChainEffect] = []
         while self.queue and self.is_head() and not self.sealed:
@@ -121,7 +121,7 @@
         return actions
 
     def coalesce_duplicates(self) -> None:
-        """An order whose configuration is under way gets the answer of the one that brought it."""
+        """A write whose configuration is in flight gets the result of the request that brought it."""
         entry = self.persisting or self.last
         if entry is None:
             return
@@ -130,8 +130,8 @@
             self.pending_callers.append((request.request_id, request.origin))
 
     def decide(self, request: frames.WriteRequest, now_s: float) -> list[ChainEffect]:
-        """All that is on disk is committed here. The rule (docs/design/orders.md): what was taken is never refused,
-        and what is refused is never taken. So whoever may yet turn out to be either is told to come back."""
+        """All that is on disk is committed here. The rule (docs/design/orders.md): what was applied is never
+        rejected, and what is rejected is never applied. So a write that may yet turn out to be either gets 503."""
         if self.digest(request.body) in self.applied_digests.values():
             return [write_result(request, 200, "taken before")]  # first, for a check may have changed since
         if deduplication.forgotten_up_to(self.applied_digests, self.number) <= request.base < self.revision:
@@ -154,11 +154,11 @@
         return [PersistEntry(self.persisting)]
 
     def base_may_become_current(self, base: int, revision: int) -> bool:
-        """Whether an order's base may come into force yet: a copy that is late would be taken then."""
+        """Whether a write's base may become current yet: a late copy of it would be applied then."""
         return self.revision < base < revision
 
     def may_have_been_applied(self, base: int, revision: int) -> bool:
-        """Whether an order may have been taken so long ago that its digest is not kept any more."""
+        """Whether a write may have been applied so long ago that its digest is not kept any more."""
         return base < revision <= deduplication.forgotten_up_to(self.applied_digests, self.number)
 
     # -- entries, down the chain ---------------------------------------------------------------------------
@@ -176,7 +176,7 @@
         return [PersistEntry(self.persisting)]
 
     def on_duplicate(self, frame: frames.ForwardEntry, now_s: float) -> list[ChainEffect]:
-        """An entry that is on this disk already: the word that it is committed may have been lost."""
+        """An entry that is on this disk already: the notice that it is committed may have been lost."""
         previous = self.view.predecessor(self.ip)
         if self.committed >= frame.number and previous is not None:
             return [SendMessage(previous, frames.CommitNotice(self.view.epoch, self.committed))]
@@ -204,7 +204,7 @@
         return actions + self.process_queue(now_s)
 
     def persist_failed(self, entry: Entry, now_s: float) -> list[ChainEffect]:
-        """The disk refused the entry: whoever asked is told to try again later."""
+        """The disk refused the entry: its callers get 503, to retry later."""
         self.persisting = None
         callers, self.pending_callers = self.pending_callers, []
         return [
@@ -230,8 +230,8 @@
         ]
 
     def resend_to_successor(self, ip: str, number: int) -> list[ChainEffect]:
-        """The next one tells that it has entries up to this number only. What is committed was on its disk: it was
-        told late, or its disk is an older copy, and then it needs the entry again."""
+        """The successor reports entries up to this number only. What is committed was on its disk: the report is
+        late, or the disk is an older copy of itself, and then it needs the entry again."""
         if (
             self.last is None
             or not self.active
@@ -256,7 +256,7 @@
         previous = self.view.predecessor(self.ip)
         if previous is not None:
             actions.append(SendMessage(previous, frames.CommitNotice(self.view.epoch, frame.number)))
-        # After a loss of all power the word on an earlier entry may come while a later one is on its way.
+        # After a loss of all power the notice of an earlier entry may come while a later one is on its way.
         if self.is_head() and self.committed == self.number:
             # The tail has answered the first; the rest had sent the same again meanwhile.
             actions += [
--- a/cypressbeam/consensus/deduplication.py
+++ b/cypressbeam/consensus/deduplication.py
@@ -1,7 +1,7 @@
-"""What was taken: the digests of all versions that led to the one in force, by revision, the lowest first.
+"""Deduplication of writes: the digests of all versions that led to the one in force, by revision, the lowest first.
 
-By these an order that is sent again is known (docs/design/orders.md). The newest `KEPT` stay, in memory and on disk;
-between machines go only those that the other lacks. Pure.
+A write that is sent again is recognised by its digest (docs/design/orders.md). The newest `MAX_DIGESTS` are kept, in
+memory and on disk; between machines go only those that the other lacks. Pure.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from cypressbeam.protocol import frames
 from cypressbeam.protocol.configuration import MAX_REVISION
 
-#: Digests that are kept: 0.54 MB of memory, 0.2 MB on disk. At eight changes a second, the most that was measured with
-#: news for a whole fleet, they go back over eight minutes; callers give up far sooner, and days hold hundreds.
+#: Digests that are kept: 0.54 MB of memory, 0.2 MB on disk. At eight changes a second, the most that was measured
+#: with updates for a whole fleet, they go back over eight minutes; callers give up far sooner, and days hold hundreds.
 MAX_DIGESTS = 4096
 RECORD = struct.Struct("!Q32s")
 
@@ -22,7 +22,7 @@
 
 def record(taken: AppliedDigests, revision: int, base: int, mark: bytes) -> None:
     """A version on top of `base` is on disk. What stands above its base was refused by a disk that kept it all the
-    same, and led nowhere; it must not be answered as taken."""
+    same, and led nowhere; it must not be answered as applied."""
     for wrong in list(takewhile(lambda known: known > base, reversed(taken))):
         del taken[wrong]
     taken[revision] = mark
@@ -55,6 +55,6 @@
 
 
 def merge(own: AppliedDigests, above: int, told: AppliedDigests) -> AppliedDigests:
-    """One's own up to a revision that all hold, and what another one told of the later ones."""
+    """One's own up to a revision that all hold, and what another member reported of the later ones."""
     both = {revision: mark for revision, mark in sorted(own.items()) if revision <= above} | told
     return dict(list(both.items())[-MAX_DIGESTS:])
--- a/cypressbeam/consensus/membership.py
+++ b/cypressbeam/consensus/membership.py
@@ -1,4 +1,4 @@
-"""Who belongs to the core, and how that changes. Pure: frames, ticks and what a machine has heard in, actions out.
+"""Who belongs to the core, and how that changes. Pure: messages, ticks and peers' liveness in, effects out.
 
 A change goes from one group to the next that has one address more, or one less: so any majority of the one meets any
 of the other, and no joint group is needed. A replacement is an add, then a remove. Each is one view (replica.py):
@@ -10,7 +10,7 @@
 to one other group and no second one, and not from memory that a restart has emptied: otherwise it makes a new view of
 the same group first, which all that was begun on the old one runs into.
 
-An order names the group that it was made for, so it may be sent again: it gets the same answer, however often.
+A change request names the group that it was made for, so it may be sent again: it gets the same answer.
 Source for the way of changes: Vertical Paxos (Lamport, Malkhi, Zhou, 2009); Raft, section 6 (Ongaro, 2014).
 """
 
@@ -27,16 +27,16 @@
 from cypressbeam.consensus.views import Entry, View, ip_of
 from cypressbeam.protocol import frames
 
-#: What an order asks for.
+#: Kinds of change.
 ADD, REMOVE, REPLACE = 1, 2, 3
 KINDS = {"add": ADD, "remove": REMOVE, "replace": REPLACE}
-#: Each member is one more sync on the way of an order.
+#: Each member is one more sync on the way of a write.
 MAX_MEMBERS = 9
-#: A stand-by is told of the newest entry again after so long, while a change waits for it.
+#: The newest entry is sent to a spare again after so long, while a change waits for it.
 CATCH_UP_INTERVAL_S = 0.2
 #: The first time with all digests, which a thin link takes a while for: up to 0.2 MB.
 FIRST_CATCH_UP_INTERVAL_S = 1.0
-#: A stand-by may be behind by so many entries: while orders go on it is never quite level, and the body of the next one
+#: A spare may lag by so many entries: while writes go on it is never quite caught up, and the body of the next one
 #: comes packed on the one before.
 MAX_SPARE_LAG = 1
 
@@ -78,7 +78,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeDecision:
-    """What becomes of a change now: an answer, and with `WAITS` maybe the group to propose, or whom to level."""
+    """What becomes of a change now: an answer, and with `WAITS` maybe the group to propose, or the spare to bring up to
+    date."""
 
     status: int
     text: str
@@ -92,7 +93,7 @@
 
 
 def find_fault(change: MembershipChange) -> ChangeDecision | None:
-    """What is wrong with a change whatever the state is: so the same order gets the same answer."""
+    """What is wrong with a change whatever the state is: so the same request gets the same answer."""
     if change.kind not in KINDS.values() or not change.base:
         return ChangeDecision(REFUSED, "add, remove or replace, and the group that it is for")
     if change.kind in (ADD, REPLACE) and change.new in change.base:
@@ -144,15 +145,15 @@
 
 
 class MembershipManager:
-    """At each machine of the core: who stands by; at the head, the changes of the group."""
+    """At each machine of the core: the spares; at the head, the changes of the group."""
 
     def __init__(self, replica: Replica, losses: int) -> None:
         self.replica = replica
         self.tolerated_losses = losses
         self.spare_entry_numbers: dict[str, int] = {}
-        """Names of machines that stand by, and the newest entry that each has told that it holds."""
+        """Names of spares, and the newest entry that each has reported."""
         self.catch_up_sent_s: dict[str, float] = {}
-        """When each machine that stands by was last told of the newest entry, by address."""
+        """When the newest entry was last sent to each spare, by address."""
         self.proposed_group: tuple[int, frozenset[str]] | None = None
         """The epoch of the view whose group was to be changed, and to which addresses."""
 
@@ -188,7 +189,7 @@
     # -- changes, at the head ------------------------------------------------------------------------------
 
     def on_change_request(self, frame: frames.MembershipChangeRequest, now_s: float) -> list[Effect]:
-        """An operator's order, sent again and again until it is done: each time the next step is begun."""
+        """An operator's request, sent again and again until it is done: each time the next step is begun."""
         replica = self.replica
         if replica.state.view is None:
             return []
@@ -221,14 +222,15 @@
         return replica.proposer.propose(now_s, group)
 
     def may_propose_group(self, epoch: int, wanted: frozenset[str]) -> bool:
-        """One other group on top of a view, ever; what this machine proposed in an earlier life it does not know."""
+        """One other group on top of a view, ever; what this machine proposed in an earlier incarnation it does not
+        know."""
         fresh = self.replica.state.installed_epoch == epoch
         return fresh and (
             self.proposed_group is None or self.proposed_group[0] != epoch or self.proposed_group[1] == wanted
         )
 
     def send_catch_up(self, ip: str, now_s: float) -> list[Effect]:
-        """Tell a stand-by of view and newest entry, so that it has both before it counts."""
+        """Send view and newest entry to a spare, so that it has both before it counts."""
         replica, view = self.replica, self.replica.state.view
         first = replica.failure_detector.peers[ip].disk_state == DiskState.EMPTY
         again_s = FIRST_CATCH_UP_INTERVAL_S if first else CATCH_UP_INTERVAL_S
@@ -256,8 +258,8 @@
         ]
 
     def on_catch_up(self, frame: frames.CatchUp, now_s: float) -> list[Effect]:
-        """At the stand-by, once the body is here. The view goes to disk if there is none yet: from then on this machine
-        promises. It is told again, and answers then."""
+        """At the spare, once the body is here. The view goes to disk if there is none yet: from then on this machine
+        promises. The message comes again, and is answered then."""
         replica = self.replica
         older = replica.state.view is not None and frame.epoch < replica.state.view.epoch
         if frame.name != replica.name or replica.name in frame.group or older or replica.state.pending_view is not None:
--- a/cypressbeam/consensus/quorum_loss.py
+++ b/cypressbeam/consensus/quorum_loss.py
@@ -1,8 +1,8 @@
 """Whether a majority of the core's members is missing, since when, and what an operator can do about it. Pure.
 
 A member is missing while it is not heard, while the machine at its address answers under another identity (its disk is
-a new one, and all that it had promised is gone with the old one), or while it tells less than it told before (its disk
-is an older copy of itself, and its word counts for nothing). Whether those who are missing will come back nobody here
+a new one, and all that it had promised is gone with the old one), or while it reports less than it did before (its disk
+is an older copy of itself, and its reports count for nothing). Whether those who are missing will come back nobody here
 can know, so the statement says what is seen, what it means meanwhile, and both ways on. It is never a reason to do
 anything by itself (docs/operations/recovery.md tells why).
 """
@@ -17,7 +17,7 @@
 from cypressbeam.consensus.failure_detection import PAUSE_THRESHOLD_S
 from cypressbeam.consensus.views import ip_of
 
-#: A majority that is missing for so long is told of: longer than a restart, a new view or a short cut takes, and well
+#: A majority that is missing for so long is reported: longer than a restart, a new view or a short cut takes, and well
 #: within 10 s. While it lasts the log says so again this often.
 REPORT_AFTER_S, REPORT_INTERVAL_S = 5.0, 60.0
 RUNBOOK = "docs/operations/recovery.md"
@@ -87,9 +87,9 @@
 def detect(
     group: Collection[str], alive: Mapping[str, str], silent_s: Mapping[str, float], rejected: Collection[str] = ()
 ) -> QuorumLoss | None:
-    """The statement on a group (names). `heard` gives who is there, by address, under which name; `silent_s` for how
-    long members have been missing, by address, as far as that is known; `refused` names those whose disks are older
-    than what they told."""
+    """The loss of a group's quorum, if it is lost. `group` has names; `alive` gives who is there, by address, under
+    which name; `silent_s` for how long members have been missing, by address, as far as that is known; `rejected`
+    names those whose disks are older than what they reported."""
     here = tuple(sorted(ip_of(name) for name in group if alive.get(ip_of(name)) == name))
     missing = tuple(
         MissingMember(ip_of(name), absence_of(name, alive, rejected), silent_s.get(ip_of(name)))
@@ -110,13 +110,13 @@
 
 @dataclass
 class QuorumMonitor:
-    """At a member of the core: who is missing, since when, and whether that is to be told."""
+    """At a member of the core: who is missing, since when, and whether that is to be reported."""
 
     missing_since_s: dict[str, float] = field(default_factory=dict)
     """By name of a member: since when it is missing, as this machine saw it without a break."""
     ticked_s: float | None = None
     loss: QuorumLoss | None = None
-    """The statement, once it is to be told."""
+    """The loss, once it is to be reported."""
     lost_s: float = 0.0
     reported_s: float = 0.0
 
--- a/cypressbeam/consensus/replacement.py
+++ b/cypressbeam/consensus/replacement.py
@@ -40,7 +40,7 @@
         self.ticked_s: float | None = None
 
     def tick(self, now_s: float) -> bool:
-        """Whether the process ran since the last tick. What it was told before says nothing of the time in which it
+        """Whether the process ran since the last tick. What it had heard before says nothing of the time in which it
         stood still, so that ends all silences."""
         stood_still = self.ticked_s is None or now_s - self.ticked_s > PAUSE_THRESHOLD_S
         self.ticked_s = now_s
@@ -63,8 +63,8 @@
     """At each machine of the core: who is silent and who is a spare; at the head, the replacements."""
 
     def __init__(self, members: MembershipManager, replace_after_s: float) -> None:
-        """A member is replaced once it was not heard lately (agreement.DEAD_S) for `replace_after_s` more seconds; 0:
-        never."""
+        """A member is replaced once it was not alive (failure_detection.FAILURE_TIMEOUT_S) for `replace_after_s`
+        more seconds; 0: never."""
         self.membership = members
         self.replica = members.replica
         self.replace_after_s = replace_after_s
@@ -123,8 +123,8 @@
         return self.membership.effects_of(verdict, now_s)
 
     def on_change_request(self, frame: frames.MembershipChangeRequest, now_s: float) -> list[Effect]:
-        """An order of an operator's, or of a member that leaves, goes before what was begun by itself: that may be
-        about to remove the very machine that the order adds."""
+        """A request of an operator, or of a member that drains, takes precedence over an automatic change: that may be
+        about to remove the very machine that the request adds."""
         pending, ordered = self.pending_change, frozenset(frame.base)
         if pending is not None and (frame.old, frame.new, ordered) != (pending.old, pending.new, pending.base):
             self.pending_change = None
@@ -198,7 +198,7 @@
     # -- for operators -----------------------------------------------------------------------------------------
 
     def describe(self, ident: int, now_s: float) -> frames.SpareAnnouncement:
-        """Who stands by, and which members are not heard here, for how many seconds."""
+        """The spares, and which members are silent here, for how many seconds."""
         silent = sorted(self.silence.since_s.items())
         return frames.SpareAnnouncement(
             ident,
--- a/cypressbeam/distribution/__init__.py
+++ b/cypressbeam/distribution/__init__.py
@@ -1,6 +1,6 @@
 """The distribution tree: how a node joins it, and how the configuration and the list of servers come down to it.
 
-`relay.py` joins the parts. Each has its own state:
+`tree_node.py` joins the parts. Each has its own state:
 
 | module | what it holds |
 | --- | --- |
@@ -12,7 +12,7 @@
 | `children` | the subscribers |
 | `heartbeats` | the root's heartbeats, and keep-alives |
 | `configuration_replica` | the configuration, and its fetch |
-| `server_list_replica` | the list of servers |
+| `endpoint_list_replica` | the list of servers |
 | `position`, `feed` | what follows from these: whether to search for the root, what each child is sent |
 | `outlier_reports` | reports of servers that fail, up the tree, and the root's findings, down it |
 """
--- a/cypressbeam/distribution/configuration_replica.py
+++ b/cypressbeam/distribution/configuration_replica.py
@@ -1,8 +1,8 @@
 """The replica of the committed configuration that goes down the distribution tree.
 
-A parent names a version (`News`), or sends what it changes (`Update`); the body is fetched from it in slices beside
-that (blobs/). Bodies are fetched one at a time, so that each is the base of the next.
-Invariant: the revision never falls.
+A parent names a version (`ConfigurationAnnouncement`), or sends what it changes (`ConfigurationDelta`); the body is
+fetched from it in chunks beside that (transport/blobs/). Bodies are fetched one at a time, so that each is the base of
+the next. Invariant: the revision never falls.
 """
 
 from __future__ import annotations
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True)
 class Announcement:
-    """What children are told of the version that is here."""
+    """What is announced to children of the version that is here."""
 
     message: frames.ConfigurationAnnouncement | frames.ConfigurationDelta | None = None
     base: int = 0
@@ -112,7 +112,7 @@
         self.revision = 0
         self.body = b""
         self.newest = (0, b"")
-        """The newest version that was told of: its revision, and its body's digest."""
+        """The newest version that was announced: its revision, and its body's digest."""
         self.announced = Announcement()
         self.transfer = ConfigurationTransfer(context.peers.blobs.fetcher)
         self.lag = Lag()
@@ -131,7 +131,7 @@
     # -- to children ---------------------------------------------------------------------------------------
 
     def for_child(self, revision: int) -> frames.Frame | None:
-        """What a child that has a revision is told, if anything."""
+        """What is announced to a child that has a revision, if anything."""
         newest, mark = self.newest if self.transfer.digest else (self.revision, b"")
         if newest <= revision:
             return None
@@ -141,7 +141,7 @@
         return frames.ConfigurationAnnouncement(newest, mark, self.epoch_of_statements())
 
     def publish(self, revision: int, body: bytes) -> None:
-        """A committed configuration. One that is not newer is no news: a node never goes back."""
+        """A committed configuration. One that is not newer is ignored: a node never goes back."""
         if revision <= self.revision:
             return
         before, former = self.revision, self.store.put(self.body) if self.body else b""
@@ -167,7 +167,7 @@
             else frames.ConfigurationAnnouncement(self.revision, mark, self.epoch_of_statements())
         )
         self.announced = Announcement(message, before)
-        if brief or mark != self.transfer.digest:  # otherwise children were told when it began to come
+        if brief or mark != self.transfer.digest:  # otherwise it was announced to children when it began to come
             self.broadcast(message)
 
     # -- from the parent -----------------------------------------------------------------------------------
@@ -198,8 +198,8 @@
         return True
 
     def fetch(self, source: str) -> None:
-        """Get the newest body, one at a time. Children are told as it begins to come, and take it as it comes. An
-        older one that does not move holds up nothing: the newest is asked for beside it."""
+        """Get the newest body, one at a time. It is announced to children as it begins to come, and they fetch it as it
+        comes. An older one that does not move holds up nothing: the newest is asked for beside it."""
         revision, mark = self.newest
         if not self.transfer.may_start(mark):
             return
--- a/cypressbeam/distribution/endpoint_list.py
+++ b/cypressbeam/distribution/endpoint_list.py
@@ -133,7 +133,7 @@
         now = {server.instance_id: server for server in polled}
         for ident, server in now.items():
             known = self.servers.get(ident)
-            # The warm-up runs on by itself: only its first figure is told.
+            # The warm-up runs on by itself: only its first figure is sent.
             same = replace(server, warmup_ms=known.warmup_ms) if known is not None else server
             now[ident] = same
             if same != known:
--- a/cypressbeam/distribution/failure_detector.py
+++ b/cypressbeam/distribution/failure_detector.py
@@ -1,4 +1,4 @@
-"""Watching the few others that a node was told of: datagrams there and back, and a word to the root on silence."""
+"""Failure detection of the few peers that a node was assigned: datagrams there and back, and a report to the root."""
 
 from __future__ import annotations
 
--- a/cypressbeam/distribution/feed.py
+++ b/cypressbeam/distribution/feed.py
@@ -43,7 +43,7 @@
             self.serve(link, frame)
 
     def serve(self, link: Link, had: frames.Subscribe) -> None:
-        """What a child lacks, and the last heartbeat while that is news."""
+        """What a child lacks, and the last heartbeat unless the child has it."""
         self.children.mark_served(link)
         epoch, beat = self.position.fence.epoch, self.position.heartbeats.last
         in_force = epoch if self.position.is_root else self.servers.epoch
@@ -61,7 +61,7 @@
             self.serve(link, had)
 
     def start_heartbeats(self, life: int) -> None:
-        """The root sends a heartbeat every `BEAT_S`, as long as its term lasts."""
+        """The root sends a heartbeat every `HEARTBEAT_INTERVAL_S`, as long as its term lasts."""
         if self.position.is_root and self.servers.endpoints.term == life:
             self.position.context.loop.call_later(HEARTBEAT_INTERVAL_S, self.start_heartbeats, life)
             self.send_heartbeat()
--- a/cypressbeam/distribution/fencing.py
+++ b/cypressbeam/distribution/fencing.py
@@ -14,7 +14,7 @@
 
 
 class EpochFence:
-    """The highest epoch that a node has seen, and the core's group as of the newest epoch that told it."""
+    """The highest epoch that a node has seen, and the core's group as of the newest epoch that named it."""
 
     def __init__(self) -> None:
         self.epoch = 0
@@ -35,7 +35,7 @@
             self.on_epoch()
 
     def rejects(self, link: Link, epoch: int) -> bool:
-        """Whether a message is of an older epoch: nothing of it is taken, and its sender is told the current one."""
+        """Whether a message is of an older epoch: it is ignored, and its sender is sent the current one."""
         if epoch < self.epoch:
             link.send(self.redirect())
             return True
--- a/cypressbeam/distribution/node_registry.py
+++ b/cypressbeam/distribution/node_registry.py
@@ -1,4 +1,4 @@
-"""Who there is, as the root knows it, and what each node is told of it: its place in the tree, and whom to watch.
+"""The nodes that the root knows, and what each is assigned: its position in the tree, and the peers to monitor.
 
 Pure. Both follow from rendezvous hashing (Thaler and Ravishankar, 1998), so a node that comes or goes moves few others.
 The roster is soft state: nodes join again and again, and one that has not for long is dropped.
@@ -193,7 +193,7 @@
     def assignment(
         self, name: str, epoch: int, members: tuple[str, ...], root: str, fronts: int, group: tuple[str, ...] = ()
     ) -> frames.ParentAssignment:
-        """What a node is told. `fronts` is how many carry traffic, 0 while that is not known."""
+        """The assignment of a node. `fronts` is how many carry traffic, 0 while that is not known."""
         record = self.nodes[name]
         watched = self.probed_peers(record)
         return frames.ParentAssignment(
--- a/cypressbeam/distribution/outlier_detection.py
+++ b/cypressbeam/distribution/outlier_detection.py
@@ -9,12 +9,12 @@
 
 from collections.abc import Iterable
 
-#: Reports count for so long; a server that was told of is not told of again within its rest.
+#: Reports count for so long; a server that was ejected is not ejected again while that lasts.
 WINDOW_S = 2.0
 EJECTION_S = 1.5
 #: So many nodes make a verdict: one may be ill itself.
 MIN_REPORTERS = 2
-#: A node that reports more than this share of all servers is ill; no more than this share is told of in a window.
+#: A node that reports more than this share of all servers is ill; no more than this share is ejected in a window.
 MAX_EJECTED_SHARE = 0.25
 MIN_EJECTABLE = 2
 
@@ -37,7 +37,7 @@
         self.ejected = {about: at_s for about, at_s in self.ejected.items() if now_s - at_s <= WINDOW_S}
 
     def report(self, node: str, zone: str, servers: Iterable[str], listed: int, now_s: float) -> list[str]:
-        """A node's report, where so many servers are listed; returns those that its zone is to be told of now."""
+        """A node's report, where so many servers are listed; returns those that are to be ejected in its zone now."""
         self.forget(now_s)
         named = [*dict.fromkeys(servers)]
         for server in named:
--- a/cypressbeam/distribution/outlier_reports.py
+++ b/cypressbeam/distribution/outlier_reports.py
@@ -55,7 +55,7 @@
             self.tree.subscription.parent.send(replace(frame, hops=frame.hops + 1))
 
     def conclude(self, frame: frames.OutlierReport) -> None:
-        """At the root: servers that fail for many are told down the tree."""
+        """At the root: servers that fail for many are announced down the tree."""
         found = self.detector.report(
             frame.name, frame.zone, frame.servers, len(self.tree.endpoints.endpoints.servers), self.context.now_s()
         )
--- a/cypressbeam/distribution/registration.py
+++ b/cypressbeam/distribution/registration.py
@@ -1,6 +1,6 @@
 """A node's registration at the root: what it says of itself, and the assignment that it was given.
 
-The root's node registry is soft state, so a node registers again every `RENEW_S`.
+The root's node registry is soft state, so a node registers again every `RENEWAL_INTERVAL_S`.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class Registration:
-    """What a node tells the root of itself, and the newest assignment (`Place`) from there."""
+    """What a node reports to the root of itself, and the newest assignment (`ParentAssignment`) from there."""
 
     def __init__(self, context: NodeContext, flags: int) -> None:
         self.context = context
@@ -49,7 +49,7 @@
         self.edge_count = 0
         """How many nodes serve clients, as far as is known; 0: not at all."""
         self.lost_parent = ""
-        """The address of a parent that was lost and that the root is to be told of."""
+        """The address of a lost parent, to be reported to the root."""
         self.registered_s = 0.0
         """When the root answered last."""
         self.due_s = 0.0
@@ -94,7 +94,7 @@
         self.edge_count = assignment.edge_count or self.edge_count
 
     def chain(self) -> tuple[str, ...]:
-        """Addresses of the core's chain, as the root told them with the assignment."""
+        """Addresses of the core's chain, as they came with the assignment."""
         return self.assignment.chain if self.assignment is not None else ()
 
     def assigned_epoch(self) -> int:
--- a/cypressbeam/distribution/root_locator.py
+++ b/cypressbeam/distribution/root_locator.py
@@ -1,7 +1,7 @@
 """How a node finds the root: it asks the one that it knows, and beside it one after another of all that may know it.
 
-`root_search.py` has the order and pace of those requests. A root that was named is asked once, and has `JOIN_S` to
-answer.
+`root_search.py` has the order and pace of those requests. A root that was named is asked once, and has
+`registration.RESPONSE_TIMEOUT_S` to answer.
 """
 
 from __future__ import annotations
--- a/cypressbeam/distribution/root_search.py
+++ b/cypressbeam/distribution/root_search.py
@@ -19,7 +19,7 @@
 
 
 class RootSearch:
-    """One node's search. It goes on over its rounds until `over` is told."""
+    """One node's search. It goes on over its rounds until it is stopped."""
 
     def __init__(self, me: str) -> None:
         self.own_ip = me
--- a/cypressbeam/distribution/subscription.py
+++ b/cypressbeam/distribution/subscription.py
@@ -46,7 +46,7 @@
 
     def subscribe(self, ip: str) -> None:
         """Subscribe at a node; the old parent goes."""
-        # Let go of first: a parent that is left on purpose is not lost, and must not be told to be.
+        # Let go of first: a parent that is left on purpose is not lost, and must not be reported as lost.
         self.unsubscribe()
         self.heard_s = self.heartbeat_s = self.context.now_s()
         self.parent = self.context.peers.link_to(ip)
--- a/cypressbeam/distribution/tree_node.py
+++ b/cypressbeam/distribution/tree_node.py
@@ -63,7 +63,7 @@
         peers.blobs.fetcher.other_sources = self.blob_sources
 
     def handlers(self) -> Handlers:
-        """The messages of the tree, but for `Join`, which is the core's at the root."""
+        """The messages of the tree, but for `JoinRequest`, which is the core's at the root."""
         return {
             frames.RootHeartbeat: self.on_heartbeat,
             frames.ConfigurationAnnouncement: self.configuration.on_announcement,
@@ -258,7 +258,7 @@
     # -- at the root ---------------------------------------------------------------------------------------
 
     def become_root(self, life: int, epoch: int) -> None:
-        """The list of this root's term goes down from here. What an earlier root told is kept until then."""
+        """The list of this root's term goes down from here. What an earlier root sent is kept until then."""
         self.fence.observe(epoch)
         self.position.is_root = True
         self.endpoints.begin_term(life)
--- a/cypressbeam/node/control_api.py
+++ b/cypressbeam/node/control_api.py
@@ -108,7 +108,8 @@
         given = [value for lower, _, value in message.headers if lower == b"base-revision"]
         if len(given) != 1 or not given[0].isdigit() or len(given[0]) > 19 or int(given[0]) > MAX_REVISION:
             raise BadRequestError(400, "Base-Revision: the number of a version is needed")
-        # Whether it is valid says the head, which knows whether it was taken: this node's program may be another one.
+        # The head judges whether it is valid, for it knows whether it was applied: this node's program may be another
+        # one.
         request_id = self.rng.getrandbits(63)
         return self.submit(frames.WriteRequest(request_id, self.ip, int(given[0]), message.body), connection)
 
--- a/cypressbeam/node/core_machine.py
+++ b/cypressbeam/node/core_machine.py
@@ -43,7 +43,7 @@
 #: What peers have reported, and the incarnation of this process, go to disk with the next write; without one, after so
 #: long.
 SAVE_MARKS_S = 1.0
-#: A member that is told to stop asks for its replacement this often.
+#: A draining member asks for its replacement this often.
 HAND_OVER_INTERVAL_S = 0.15
 #: A spare sends the members a heartbeat this often.
 SPARE_HEARTBEAT_S = 0.3
@@ -346,7 +346,7 @@
                 self.send(ip, replica.own_heartbeat(now_s))
 
     def awaits_bootstrap(self, replica: Replica) -> bool:
-        """Whether this machine waits for the first view: it is told of that by the machine that proposes it."""
+        """Whether this machine waits for the first view: the machine that proposes it sends it."""
         return replica.state.view is None and self.settings.bootstrap and not self.former_group
 
     def watch_quorum(self, replica: Replica, now_s: float) -> None:
--- a/cypressbeam/node/gateway_node.py
+++ b/cypressbeam/node/gateway_node.py
@@ -35,7 +35,8 @@
 READY_PATH = b"/-/ready"
 #: After SIGTERM new connections still come until two readiness calls, a second apart, were missed.
 DRAIN_ACCEPT_S = 2.4
-#: A node that has started takes up the news within a few milliseconds, as a rule. Clients wait for it, at most so long.
+#: A node that has started gets the configuration within a few milliseconds, as a rule. Clients wait for it, at most so
+#: long.
 ACCEPT_DELAY_MAX_S, ACCEPT_TICK_S = 0.8, 0.005
 #: All that is in hand is answered so long before the end of the grace period.
 STOP_MARGIN_S = 0.8
@@ -332,7 +333,7 @@
             self.gateway.take_fleet(self.tree.registration.edge_count or 1, place.index)
 
     def on_silent(self, name: str) -> None:
-        """A probed peer does not answer: the leader is told."""
+        """A probed peer does not answer: it is reported to the leader."""
         if self.tree.position.is_root and self.core is not None:
             self.core.leader_role.on_suspect(name)
         elif self.tree.locator.root:
@@ -401,7 +402,7 @@
 
 
 async def serve(settings: Settings, listening: socket.socket | None = None) -> None:
-    """Run a node until it is told to stop."""
+    """Run a node until it is stopped."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/cypressbeam/node/state_query.py
+++ b/cypressbeam/node/state_query.py
@@ -1,4 +1,4 @@
-"""The state of chain and view, told by any node that takes control calls: it asks each machine of the core."""
+"""The state of chain and view, at any node that takes control calls: it queries each machine of the core."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from cypressbeam.proxy.http_responses import Answer
 
 STATE = b"/-/System.State"
-#: A machine that has not answered by then is told as silent.
+#: A machine that has not answered by then is shown as silent.
 QUERY_TIMEOUT_S = 0.5
 JSON = (b"Content-Type", b"application/json")
 
@@ -53,7 +53,8 @@
         self.pending: dict[str, PendingQuery] = {}
 
     def begin(self, connection: ClientConnection) -> Answer | None:
-        """Ask the core; the answer comes once all have told, or after a while. At once where no core is known."""
+        """Ask the core; the answer comes once all have answered, or after a time-out. At once where no core is
+        known."""
         members = self.members()
         query = PendingQuery(connection)
         if not members:
--- a/cypressbeam/protocol/frames/blobs.py
+++ b/cypressbeam/protocol/frames/blobs.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChunkRequest(Frame):
-    """A request for a chunk of a packed body, to any node that may have it. The answer is `Slice` or `Lacking`."""
+    """A request for a chunk of a packed body, to any node that may have it. The answer is `Chunk` or `BlobNotFound`."""
 
     CODE = 27
     FIELDS = "bbii"
--- a/cypressbeam/protocol/frames/chain.py
+++ b/cypressbeam/protocol/frames/chain.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteResult(Frame):
-    """The reply to `Order`, from the member that decided it to the request's origin."""
+    """The reply to `WriteRequest`, from the member that decided it to the request's origin."""
 
     CODE = 11
     FIELDS = "qhs"
@@ -88,12 +88,12 @@
     request_id: int
     origin: str
     hops: int = 0
-    """As in `Order`."""
+    """As in `WriteRequest`."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReadResult(Frame):
-    """The reply to `Read`, from the tail to the request's origin."""
+    """The reply to `ReadRequest`, from the tail to the request's origin."""
 
     CODE = 15
     FIELDS = "qhd"
--- a/cypressbeam/protocol/frames/codec.py
+++ b/cypressbeam/protocol/frames/codec.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """One message. `KIND` is its code on the wire; `FORM` gives its fields in order, a letter each:
+    """One message. `CODE` is its code on the wire; `FIELDS` gives its fields in order, a letter each:
 
     c, h, i, q: an unsigned number of 1, 2, 4 or 8 bytes; e: an epoch, in 8 bytes; s: text in UTF-8, below 2 bytes of
     length; b: bytes, below 4 bytes of length; l: texts, below 2 bytes of count; d: the body of a configuration, which
--- a/cypressbeam/protocol/frames/consensus.py
+++ b/cypressbeam/protocol/frames/consensus.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BootstrapRequest(Frame):
-    """The founding node proposes the first view to its members, in the order of the chain."""
+    """The first seed proposes the first view to its members, in the order of the chain."""
 
     CODE = 16
     FIELDS = "ql"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BootstrapAck(Frame):
-    """The reply to `Found`: a view is on the member's disk, be it this one or an earlier one."""
+    """The reply to `BootstrapRequest`: a view is on the member's disk, be it this one or an earlier one."""
 
     CODE = 17
     FIELDS = "sql"
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewAnnouncement(Frame):
-    """The newest view, sent to a member whose heartbeat told of an older one."""
+    """The newest view, sent to a member whose heartbeat named an older one."""
 
     CODE = 19
     FIELDS = "qll"
@@ -148,11 +148,11 @@
     applied_digests: bytes
     """Digests of applied writes above the revision that the proposer named (deduplication.py)."""
     incarnation: int = 0
-    """As in `Pulse`."""
+    """As in `ReplicaHeartbeat`."""
     draw: int = 0
-    """As in `Pulse`."""
+    """As in `ReplicaHeartbeat`."""
     stored_epoch: int = 0
-    """The epoch of the newest view on the sender's disk; `view` may be one that it was only told of."""
+    """The epoch of the newest view on the sender's disk; `view` may be one that it only knows of."""
 
     def check(self) -> None:
         """View and entry are sound, and the entry is below the ballot."""
@@ -181,7 +181,7 @@
     applied_digests: bytes
     """Digests of applied writes above `since` (deduplication.py)."""
     digests_since: int = 0
-    """The revision up to which the receiver has told that it holds the digests."""
+    """The revision up to which the receiver has reported that it holds the digests."""
 
     def check(self) -> None:
         """View and entry are sound."""
@@ -205,7 +205,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuorumReadAck(Frame):
-    """The reply to `Confirm` of a member that has promised no higher epoch."""
+    """The reply to `QuorumReadCheck` of a member that has promised no higher epoch."""
 
     CODE = 24
     FIELDS = "qqs"
@@ -222,8 +222,8 @@
 
 @dataclass(frozen=True, slots=True)
 class RollbackNotice(Frame):
-    """Rollback detection: a member tells another one, whose heartbeat told less than an earlier one, the highest marks
-    that it told. One that has less on its disk starts with an empty one (rollback_detection.py)."""
+    """Rollback detection: a member sends another one, whose heartbeat reported less than an earlier one, the highest
+    marks that it told. One that has less on its disk starts with an empty one (rollback_detection.py)."""
 
     CODE = 48
     FIELDS = "sqqqqq"
--- a/cypressbeam/protocol/frames/membership.py
+++ b/cypressbeam/protocol/frames/membership.py
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipChangeStatus(Frame):
-    """The reply to `Change`, from the head to the request's origin: how far the change is."""
+    """The reply to `MembershipChangeRequest`, from the head to the request's origin: how far the change is."""
 
     CODE = 43
     FIELDS = "qhsl"
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CatchUpAck(Frame):
-    """The reply to `Level`: a view is on the disk of the machine that stands by, and that entry's body is there."""
+    """The reply to `CatchUp`: a view is on the disk of the machine that stands by, and that entry's body is there."""
 
     CODE = 45
     FIELDS = "sqqb"
--- a/cypressbeam/protocol/frames/status.py
+++ b/cypressbeam/protocol/frames/status.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaStatus(Frame):
-    """The reply to `Ask`: what a machine of the core holds."""
+    """The reply to `StatusQuery`: what a machine of the core holds."""
 
     CODE = 26
     FIELDS = "qsqllqqqqc"
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SpareAnnouncement(Frame):
-    """Sent beside `State`: the machines that stand by, and at the head also the members that are silent."""
+    """Sent beside `ReplicaStatus`: the spares, and at the head also the members that are silent."""
 
     CODE = 46
     FIELDS = "qslls"
--- a/cypressbeam/protocol/frames/tree.py
+++ b/cypressbeam/protocol/frames/tree.py
@@ -1,7 +1,7 @@
 """Messages of the distribution tree: joining, the assignment of a parent, and what goes from parents to children.
 
 An `epoch` here is that of the view under which the sender's statement was made (docs/design/fencing.md): a receiver
-that has seen a higher one takes nothing of the message, and replies with `Refer`.
+that has seen a higher one takes nothing of the message, and replies with `LeaderRedirect`.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 @dataclass(frozen=True, slots=True)
 class JoinRequest(Frame):
     """A node registers itself: to a seed, a machine of the core or the root; repeated, for the root's node registry is
-    soft state. The root answers with `Place`, any other node with `Refer`."""
+    soft state. The root answers with `ParentAssignment`, any other node with `LeaderRedirect`."""
 
     CODE = 1
     FIELDS = "sssccssiee"
@@ -44,8 +44,8 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderRedirect(Frame):
-    """Where the root is: the answer of a node that is not the root to `Join`, and of any node to a message of an older
-    epoch. A new root sends it unasked to the seeds."""
+    """Where the root is: the answer of a node that is not the root to `JoinRequest`, and of any node to a message of
+    an older epoch. A new root sends it unasked to the seeds."""
 
     CODE = 2
     FIELDS = "sel"
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ParentAssignment(Frame):
-    """The root's answer to `Join`: the parents and the monitored peers that it assigns to the node."""
+    """The root's answer to `JoinRequest`: the parents and the monitored peers that it assigns to the node."""
 
     CODE = 3
     FIELDS = "ellllhhhl"
@@ -86,7 +86,7 @@
 @dataclass(frozen=True, slots=True)
 class Subscribe(Frame):
     """A child subscribes at its parent and tells what it has; the parent sends what it lacks, and all updates from then
-    on. A parent that has no root itself answers with `Released`."""
+    on. A parent that has no root itself answers with `Unsubscribed`."""
 
     CODE = 4
     FIELDS = "sqqie"
@@ -95,7 +95,7 @@
     revision: int
     """Of the configuration that it has; 0: none."""
     term: int
-    """The root's term whose list of servers it has (see `Servers`); 0: none."""
+    """The root's term whose list of servers it has (see `EndpointUpdate`); 0: none."""
     sequence: int
     """That list's sequence number."""
     epoch: int = 0
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationAnnouncement(Frame):
-    """Parent to child: a configuration is committed. Its body is to be fetched from the sender (`Want`)."""
+    """Parent to child: a configuration is committed. Its body is to be fetched from the sender (`ChunkRequest`)."""
 
     CODE = 5
     FIELDS = "qbe"
@@ -157,7 +157,7 @@
     CODE = 7
     FIELDS = "qiqhie"
     term: int
-    """The root's term, as in `Servers`."""
+    """The root's term, as in `EndpointUpdate`."""
     sequence: int
     """The newest sequence number of the list of servers."""
     revision: int
--- a/cypressbeam/protocol/settings.py
+++ b/cypressbeam/protocol/settings.py
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What one process is told. Addresses are host and port; sizes are in the units of their names."""
+    """The settings of one process. Addresses are host and port; sizes are in the units of their names."""
 
     node: str
     ip: str
--- a/cypressbeam/storage/store.py
+++ b/cypressbeam/storage/store.py
@@ -27,7 +27,7 @@
 log = logging.getLogger(__name__)
 
 FORMAT_VERSION = 2
-#: Entries whose bodies are kept; of older ones the newest digests stay, by which a repeated order is known.
+#: Entries whose bodies are kept; of older ones the newest digests stay, by which a repeated write is recognised.
 BODIES_KEPT = 3
 FILE_NAME = "state.db"
 #: What belongs to the database file: its log, and the journal that there is while it is made.
@@ -69,7 +69,7 @@
     pending_marks: HighWaterMarks = NO_MARKS
     """That of this start, which the first write puts on disk."""
     reported_marks: dict[str, HighWaterMarks] = field(default_factory=dict)
-    """The most that other members have told."""
+    """The most that other members have reported."""
 
 
 class Storage(Protocol):
@@ -91,8 +91,8 @@
         """Write something that says nothing, to see whether the disk takes writes."""
 
     def stage_marks(self, marks: dict[str, HighWaterMarks]) -> bool:
-        """What others have told goes to disk with the next write, as does the incarnation of this start. Whether one
-        should be made for that: not for numbers of entries, which each member's own entry tells near enough."""
+        """What others have reported goes to disk with the next write, as does the incarnation of this start. Whether
+        one should be made for that: not for numbers of entries, which each member's own entry tells near enough."""
 
     def close(self) -> None:
         """Begin to close; what is under way is done first."""
@@ -254,7 +254,7 @@
         )
 
     async def write(self, what: Callable[[Any], None]) -> None:
-        """Do it, with the incarnation of this start and what others have told in the same transaction."""
+        """Do it, with the incarnation of this start and what others have reported in the same transaction."""
         marks, raised = self.staged_marks, self.pending_marks
 
         def save(database: Any) -> None:
@@ -294,7 +294,7 @@
         await self.write(save)
 
     async def save_entry(self, entry: Entry) -> None:
-        """A new version; old ones go, their digests stay, by which a repeated order is known."""
+        """A new version; old ones go, their digests stay, by which a repeated write is recognised."""
 
         def save(database: Any) -> None:
             write_entry(database, entry)
@@ -354,8 +354,8 @@
 
 
 def write_entry(database: Any, entry: Entry) -> None:
-    """As `taken.note` has it in memory: what stands above the base was refused by this disk, and is there all the
-    same."""
+    """As `deduplication.record` has it in memory: what stands above the base was refused by this disk, and is there all
+    the same."""
     mark = digest(entry.body)
     database.execute("delete from taken where revision > ?", (entry.base,))
     database.execute(
--- a/cypressbeam/transport/blobs/fetcher.py
+++ b/cypressbeam/transport/blobs/fetcher.py
@@ -29,7 +29,7 @@
 #: up to so many times.
 MOST_WAYS, MAX_STALL_FACTOR, MOST_WINDOWS = 2, 3, 4
 GIVE_UP_S = 6.0
-#: One that has been quiet for so long gives way to a source that is told of now, or to a newer version.
+#: One that has been quiet for so long gives way to a source that is announced now, or to a newer version.
 QUIET_S = 0.3
 TICK_S = 0.1
 
--- a/cypressbeam/transport/blobs/server.py
+++ b/cypressbeam/transport/blobs/server.py
@@ -22,7 +22,7 @@
     at: int
     end: int
     base: bytes | None = None
-    """What it is packed on; None while that can't be told, for the body is on its way here itself."""
+    """What it is packed on; None while that is unknown, for the body is on its way here itself."""
 
 
 class ChunkServer:
--- a/cypressbeam/transport/blobs/store.py
+++ b/cypressbeam/transport/blobs/store.py
@@ -25,7 +25,7 @@
         """By the digests of the body and of the base that it is packed on."""
 
     def put(self, body: bytes) -> bytes:
-        """Hold a body, so that those who are told of it find it here; returns its digest."""
+        """Hold a body, so that those to whom it is announced find it here; returns its digest."""
         mark = digest(body)
         self.blobs[mark] = body
         self.blobs.move_to_end(mark)
--- a/cypressbeam/transport/peers.py
+++ b/cypressbeam/transport/peers.py
@@ -85,7 +85,7 @@
         else:
             try:
                 self.transport.write(data)
-            except RuntimeError as err:  # uvloop raises it where a connection is over and its loss was never told
+            except RuntimeError as err:  # uvloop raises it where a connection is over and its loss was never signalled
                 log.warning("connection to node %s failed: %s", self.ip, err)
                 self.mark_closed()
 
@@ -154,7 +154,7 @@
         self.mark_closed()
 
     def mark_closed(self) -> None:
-        """The connection is over; told once."""
+        """The connection is over; signalled once."""
         if not self.closed:
             self.closed = True
             self.peers.on_link_closed(self)
--- a/lab/histories/plans.py
+++ b/lab/histories/plans.py
@@ -1,7 +1,7 @@
 """What happens in a history of the core, from its seed: its shape, its troubles, and the operators' calls.
 
-Other modules may add kinds of trouble: a class of its own with `begin` and `end`, put into `troubles.KINDS` by name,
-and steps of that kind in a plan.
+Other modules may add kinds of fault: a class of its own with `begin` and `end`, put into `fault_injection.KINDS` by
+name, and steps of that kind in a plan.
 """
 
 from __future__ import annotations
--- a/lab/packed_blobs.py
+++ b/lab/packed_blobs.py
@@ -100,10 +100,11 @@
 
 
 class RingRegistry(NodeRegistry):
-    """The roster without work that grows with all nodes for each join: numbers are counted as nodes come and go, a
-    zone's order keeps each node's rank, and a node watches those that follow it on a ring of hashes.
+    """The node registry without work that grows with all nodes for each join: numbers are counted as nodes come and
+    go, a zone's order keeps each node's rank, and a node watches those that follow it on a ring of hashes.
 
-    Orders and parents are those of `Roster`; who watches whom is not, and each is watched by as many as it watches.
+    Orders and parents are those of `NodeRegistry`; who watches whom is not, and each is watched by as many as it
+    watches.
     """
 
     def __init__(self, me: str) -> None:
--- a/lab/rules_orders.py
+++ b/lab/rules_orders.py
@@ -257,10 +257,10 @@
     orders(
         "an edge node passes on what it can't read",
         CONTROL,
-        "        # Whether it is valid says the head",
+        "        # The head judges whether it is valid",
         '        if not message.body.startswith(b"\\xa4"):\n'
         '            raise BadRequestError(400, "no configuration")\n'
-        "        # Whether it is valid says the head",
+        "        # The head judges whether it is valid",
     ),
     orders("an edge node refuses a base that is no number", CONTROL, "or not given[0].isdigit()", ""),
     orders(
--- a/tests/test_identifiers.py
+++ b/tests/test_identifiers.py
@@ -113,3 +113,52 @@
     ]
     found = [str(path.relative_to(ROOT)) for path in files if THEMED.search(path.read_text(encoding="utf-8"))]
     assert [name for name in found if name != "docs/GLOSSARY.md"] == []
+
+
+#: In backticks, and no name of the code: keys and headers that the pages give, variables of the environment.
+OUTSIDE_NAMES = frozenset(["syncS", "recoveryS", "Range", "EDGE_CONFIG"])
+BACKTICKED = re.compile(r"`([A-Za-z_][\w.]*)`")
+MODULE_CONSTANT = re.compile(r"\b([a-z_]+)\.([A-Z][A-Z0-9_]{2,})\b")
+SOURCE_FILE = re.compile(r"\b([a-z_]+\.py)\b")
+
+
+def comments_and_docstrings(path: Path) -> list[str]:
+    """The prose of a source file."""
+    text = path.read_text(encoding="utf-8")
+    return [
+        token.string
+        for token in tokenize.generate_tokens(io.StringIO(text).readline)
+        if token.type == tokenize.COMMENT or (token.type == tokenize.STRING and token.string.startswith('"""'))
+    ]
+
+
+def unknown_names(prose: str, names: set[str], modules: set[str]) -> set[str]:
+    """What a comment or docstring names and the code does not have."""
+    found = {
+        name
+        for name in BACKTICKED.findall(prose)
+        if name not in OUTSIDE_NAMES and not name.endswith(".py") and name.rpartition(".")[2] not in names
+    }
+    found |= {name for name in SOURCE_FILE.findall(prose) if name.removesuffix(".py") not in modules}
+    return found | {
+        f"{module}.{name}"
+        for module, name in MODULE_CONSTANT.findall(prose)
+        if module not in modules or name not in names
+    }
+
+
+def test_each_name_in_a_comment_or_docstring_is_one_of_the_code() -> None:
+    sources = sorted((ROOT / "cypressbeam").rglob("*.py"))
+    modules = {path.stem for path in sources} | {path.parent.name for path in sources}
+    names = modules.union(*(identifiers(path) for path in sources))
+    found = {
+        str(path.relative_to(ROOT)): sorted(unknown)
+        for path in sources
+        if (unknown := set().union(*(unknown_names(prose, names, modules) for prose in comments_and_docstrings(path))))
+    }
+    assert found == {}
+    assert unknown_names("`Keeper` of relay.py, or agreement.DEAD_S", names, modules) == {
+        "Keeper",
+        "relay.py",
+        "agreement.DEAD_S",
+    }
