--- a/cypressbeam/admin/backup.py
+++ b/cypressbeam/admin/backup.py
@@ -21,14 +21,14 @@
 async def backup(where: Address, file: Path) -> str:
     """What is lost with all disks is the configuration: the rest is agreed on anew. The file is whole or not there."""
     body = await read(where)
-    told = await read_state(where)
+    state = await read_state(where)
     number = configuration.read(body).revision
     data = cbor2.dumps(
         {
             "format": BACKUP_FORMAT,
             "revision": number,
             "digest": configuration.digest(body),
-            "epoch": told["epoch"],
+            "epoch": state["epoch"],
             "body": body,
         }
     )
--- a/cypressbeam/admin/membership.py
+++ b/cypressbeam/admin/membership.py
@@ -12,7 +12,7 @@
 from cypressbeam.admin.calls import call, reason_of
 from cypressbeam.admin.errors import RequestRefusedError
 from cypressbeam.admin.status import describe_quorum_loss, read_state
-from cypressbeam.consensus.views import ip_of
+from cypressbeam.consensus.views import ip_of, majority
 from cypressbeam.node.control_api import MEMBERS
 from cypressbeam.protocol.address import Address
 
@@ -21,23 +21,22 @@
 CHANGE_AGAIN_S, CHANGE_S = 0.3, 60.0
 
 
-def describe_members(told: dict[str, Any]) -> str:
+def describe_members(state: dict[str, Any]) -> str:
     """A line for each member and for each machine that stands by."""
-    answers = {member["ip"]: member for member in told["members"]}
-    silent = dict(line.split(" ") for line in told["silent"])
-    group, chain = told["group"], told["chain"]
-    lines = [
-        f"epoch {told['epoch']}: {len(group)} members, {len(group) // 2 + 1} are a majority, {len(chain)} whole copies"
-    ]
+    answers = {member["ip"]: member for member in state["members"]}
+    silent = dict(line.split(" ") for line in state["silent"])
+    group, chain = state["group"], state["chain"]
+    members, needed = len(group), majority(len(group))
+    lines = [f"epoch {state['epoch']}: {members} members, {needed} are a majority, {len(chain)} whole copies"]
     for name in group:
         ip = ip_of(name)
         place = f"copy {chain.index(name) + 1} of {len(chain)}" if name in chain else "no copy that counts"
         quiet = "" if answers.get(ip, {}).get("answers") else ", does not answer"
         quiet += f", not heard for {silent[ip]} s" if ip in silent else ""
         lines.append(f"  {name:32} {place}{quiet}")
-    lines += [f"  {name:32} stands by" for name in told["standingBy"]]
-    lines += [f"a replacement is under way: {told['waits']}"] if told["waits"] else []
-    return "\n".join([*lines, *describe_quorum_loss(told)])
+    lines += [f"  {name:32} stands by" for name in state["standingBy"]]
+    lines += [f"a replacement is under way: {state['waits']}"] if state["waits"] else []
+    return "\n".join([*lines, *describe_quorum_loss(state)])
 
 
 async def change_members(
@@ -45,8 +44,8 @@
 ) -> dict[str, Any]:
     """Add, remove or replace a member, by addresses, and wait until it is done; `tell` hears what it waits for. The
     order names the group that it was made for, so it is safe to send it again. Raises Refused, or TimeoutError."""
-    told = await read_state(where)
-    base = {ip_of(name) for name in told["group"]}
+    state = await read_state(where)
+    base = {ip_of(name) for name in state["group"]}
     if change == "replace" and {old, new} <= base:
         base.discard(new)  # half of it was done before
     body = json.dumps({"change": change, "old": old, "new": new, "base": sorted(base)}).encode()
--- a/cypressbeam/admin/status.py
+++ b/cypressbeam/admin/status.py
@@ -17,21 +17,21 @@
     answer = await call(where, "GET", STATE)
     if answer.status != 200:
         raise RequestRefusedError(f"{answer.status}: {answer.body.decode(errors='replace').strip()}")
-    told: dict[str, Any] = msgspec.json.decode(answer.body)
-    return told
+    state: dict[str, Any] = msgspec.json.decode(answer.body)
+    return state
 
 
-def describe_state(told: dict[str, Any]) -> str:
+def describe_state(state: dict[str, Any]) -> str:
     """A line for the node, one for the chain and one for each machine of the core."""
-    node = told["node"]
+    node = state["node"]
     lines = [
         f"node {node['name']} at {node['ip']}: revision {node['revision']}, {node['servers']} servers"
         f" (list {node['list']}), news from {node['parent'] or 'itself'}, {node['fronts']} nodes carry traffic",
         f"it has seen epoch {node['epoch']}, and the root's word "
         + (f"{node['age_s']:.1f} s ago" if node["age_s"] is not None else "never"),
-        f"epoch {told['epoch']}, chain {' > '.join(told['chain']) or 'not known'}",
+        f"epoch {state['epoch']}, chain {' > '.join(state['chain']) or 'not known'}",
     ]
-    for member in told["members"]:
+    for member in state["members"]:
         if not member["answers"]:
             lines.append(f"  {member['ip']:15} does not answer")
             continue
@@ -40,10 +40,10 @@
             f" lag {member['lag']}, {'active' if member['active'] else 'not active'},"
             f" disk {'works' if member['disk'] else 'refuses'}{', root' if member['root'] else ''}"
         )
-    return "\n".join([*lines, *describe_quorum_loss(told)])
+    return "\n".join([*lines, *describe_quorum_loss(state)])
 
 
-def describe_quorum_loss(told: dict[str, Any]) -> list[str]:
+def describe_quorum_loss(state: dict[str, Any]) -> list[str]:
     """Lines on a missing majority of the core; none while one answers."""
-    loss = told.get("quorumLoss")
+    loss = state.get("quorumLoss")
     return [f"! {line}" for line in loss["text"]] if loss is not None else []
--- a/cypressbeam/cli/state.py
+++ b/cypressbeam/cli/state.py
@@ -20,8 +20,8 @@
 
     Shows the epoch, each machine of the core with its revision and how many entries it lags behind, and the node.
     """
-    told = run_call(status.read_state(where))
-    click.echo(as_json(told) if plain else status.describe_state(told))
+    state = run_call(status.read_state(where))
+    click.echo(as_json(state) if plain else status.describe_state(state))
 
 
 @click.command()
@@ -29,8 +29,8 @@
 @click.option("--json", "plain", is_flag=True, help="The whole answer as JSON.")
 def members(where: Address, plain: bool) -> None:
     """Who belongs to the core: its group, which of them hold whole copies, who is missing, and who stands by."""
-    told = run_call(status.read_state(where))
-    click.echo(as_json(told) if plain else membership.describe_members(told))
+    state = run_call(status.read_state(where))
+    click.echo(as_json(state) if plain else membership.describe_members(state))
 
 
 @click.command("backup")
--- a/cypressbeam/consensus/chain.py
+++ b/cypressbeam/consensus/chain.py
@@ -110,15 +110,15 @@
     def process_queue(self, now_s: float) -> list[ChainEffect]:
         """Writes are decided one at a time, once what came before is committed: so a rejection for another version
         never names one that is lost."""
-        actions: list[ChainEffect] = []
+        effects: list[ChainEffect] = []
         while self.queue and self.is_head() and not self.sealed:
             request = self.queue[0]
             if self.has_uncommitted():
                 self.coalesce_duplicates()
                 break
             self.queue.popleft()
-            actions += self.decide(request, now_s)
-        return actions
+            effects += self.decide(request, now_s)
+        return effects
 
     def coalesce_duplicates(self) -> None:
         """A write whose configuration is in flight gets the result of the request that brought it."""
@@ -192,16 +192,16 @@
         if not self.is_tail():
             return self.forward_to_successor(now_s)
         self.committed = entry.number
-        actions: list[ChainEffect] = [Publish(entry)]
-        actions += [
+        effects: list[ChainEffect] = [Publish(entry)]
+        effects += [
             SendMessage(origin, frames.WriteResult(request_id, 200, "taken"))
             for request_id, origin in self.pending_callers
         ]
         self.pending_callers = []
         previous = self.view.predecessor(self.ip)
         if previous is not None:
-            actions.append(SendMessage(previous, frames.CommitNotice(self.view.epoch, entry.number)))
-        return actions + self.process_queue(now_s)
+            effects.append(SendMessage(previous, frames.CommitNotice(self.view.epoch, entry.number)))
+        return effects + self.process_queue(now_s)
 
     def persist_failed(self, entry: Entry, now_s: float) -> list[ChainEffect]:
         """The disk refused the entry: its callers get 503, to retry later."""
@@ -252,20 +252,20 @@
         if frame.epoch != self.view.epoch or self.sealed or not self.committed < frame.number <= self.number:
             return []
         self.committed = frame.number
-        actions: list[ChainEffect] = []
+        effects: list[ChainEffect] = []
         previous = self.view.predecessor(self.ip)
         if previous is not None:
-            actions.append(SendMessage(previous, frames.CommitNotice(self.view.epoch, frame.number)))
+            effects.append(SendMessage(previous, frames.CommitNotice(self.view.epoch, frame.number)))
         # After a loss of all power the notice of an earlier entry may come while a later one is on its way.
         if self.is_head() and self.committed == self.number:
             # The tail has answered the first; the rest had sent the same again meanwhile.
-            actions += [
+            effects += [
                 SendMessage(origin, frames.WriteResult(request_id, 200, "taken"))
                 for request_id, origin in self.pending_callers[1:]
             ]
             self.pending_callers = []
-            actions += self.process_queue(now_s)
-        return actions
+            effects += self.process_queue(now_s)
+        return effects
 
     def tick(self, now_s: float) -> list[ChainEffect]:
         """Send an entry again that was not acknowledged for long."""
--- a/cypressbeam/consensus/deduplication.py
+++ b/cypressbeam/consensus/deduplication.py
@@ -20,26 +20,26 @@
 AppliedDigests = dict[int, bytes]
 
 
-def record(taken: AppliedDigests, revision: int, base: int, mark: bytes) -> None:
+def record(applied: AppliedDigests, revision: int, base: int, digest: bytes) -> None:
     """A version on top of `base` is on disk. What stands above its base was refused by a disk that kept it all the
     same, and led nowhere; it must not be answered as applied."""
-    for wrong in list(takewhile(lambda known: known > base, reversed(taken))):
-        del taken[wrong]
-    taken[revision] = mark
-    while len(taken) > MAX_DIGESTS:
-        del taken[next(iter(taken))]
+    for refused in list(takewhile(lambda known: known > base, reversed(applied))):
+        del applied[refused]
+    applied[revision] = digest
+    while len(applied) > MAX_DIGESTS:
+        del applied[next(iter(applied))]
 
 
-def forgotten_up_to(taken: AppliedDigests, number: int) -> int:
+def forgotten_up_to(applied: AppliedDigests, number: int) -> int:
     """The revision up to which the digests of the first `number` versions are not kept any more, 0 if all are."""
-    if len(taken) >= number:
+    if len(applied) >= number:
         return 0
-    return next(iter(taken)) - 1 if taken else MAX_REVISION
+    return next(iter(applied)) - 1 if applied else MAX_REVISION
 
 
-def pack(taken: AppliedDigests, above: int = 0) -> bytes:
+def pack(applied: AppliedDigests, above: int = 0) -> bytes:
     """Those above a revision."""
-    return b"".join(RECORD.pack(revision, mark) for revision, mark in sorted(taken.items()) if revision > above)
+    return b"".join(RECORD.pack(revision, digest) for revision, digest in sorted(applied.items()) if revision > above)
 
 
 def unpack(data: bytes) -> AppliedDigests:
@@ -54,7 +54,7 @@
     return dict(found)
 
 
-def merge(own: AppliedDigests, above: int, told: AppliedDigests) -> AppliedDigests:
+def merge(own: AppliedDigests, above: int, reported: AppliedDigests) -> AppliedDigests:
     """One's own up to a revision that all hold, and what another member reported of the later ones."""
-    both = {revision: mark for revision, mark in sorted(own.items()) if revision <= above} | told
-    return dict(list(both.items())[-MAX_DIGESTS:])
+    merged = {revision: digest for revision, digest in sorted(own.items()) if revision <= above} | reported
+    return dict(list(merged.items())[-MAX_DIGESTS:])
--- a/cypressbeam/consensus/membership.py
+++ b/cypressbeam/consensus/membership.py
@@ -24,7 +24,7 @@
 from cypressbeam.consensus.failure_detection import NEVER_S
 from cypressbeam.consensus.replica import Replica
 from cypressbeam.consensus.state import DiskState
-from cypressbeam.consensus.views import Entry, View, ip_of
+from cypressbeam.consensus.views import NO_ENTRY, Entry, View, ip_of, majority
 from cypressbeam.protocol import frames
 
 #: Kinds of change.
@@ -87,11 +87,6 @@
     catch_up: str = ""
 
 
-def majority(count: int) -> int:
-    """How many of so many members are a majority."""
-    return count // 2 + 1
-
-
 def find_fault(change: MembershipChange) -> ChangeDecision | None:
     """What is wrong with a change whatever the state is: so the same request gets the same answer."""
     if change.kind not in KINDS.values() or not change.base:
@@ -166,9 +161,9 @@
             return {}
         members = {ip_of(name) for name in view.group}
         return {
-            ip: heard.name
-            for ip, heard in self.replica.failure_detector.peers.items()
-            if ip not in members and heard.disk_works and self.replica.failure_detector.is_alive(ip, now_s)
+            ip: peer.name
+            for ip, peer in self.replica.failure_detector.peers.items()
+            if ip not in members and peer.disk_works and self.replica.failure_detector.is_alive(ip, now_s)
         }
 
     def is_active_head(self, now_s: float) -> bool:
@@ -181,10 +176,10 @@
         view, newest = self.replica.state.view, self.replica.state.newest_entry()
         assert view is not None
         number = newest.number if newest is not None else 0
-        standing_by = self.spares(now_s)
+        spares = self.spares(now_s)
         least = max(number - MAX_SPARE_LAG, min(number, 1))
-        level = frozenset(name for name in standing_by.values() if self.spare_entry_numbers.get(name, -1) >= least)
-        return MembershipState(view, self.tolerated_losses, standing_by, level)
+        caught_up = frozenset(name for name in spares.values() if self.spare_entry_numbers.get(name, -1) >= least)
+        return MembershipState(view, self.tolerated_losses, spares, caught_up)
 
     # -- changes, at the head ------------------------------------------------------------------------------
 
@@ -237,7 +232,7 @@
         if view is None or now_s - self.catch_up_sent_s.get(ip, NEVER_S) < again_s:
             return []
         self.catch_up_sent_s[ip] = now_s
-        entry = replica.state.newest_entry() or Entry(0, 0, 0, 0, b"")
+        entry = replica.state.newest_entry() or NO_ENTRY
         return [
             SendMessage(
                 ip,
@@ -265,8 +260,8 @@
         if frame.name != replica.name or replica.name in frame.group or older or replica.state.pending_view is not None:
             return []
         if replica.state.disk_state != DiskState.EMPTY:
-            mark = replica.state.digest(frame.body) if frame.number else b""
-            return [SendMessage(frame.origin, frames.CatchUpAck(replica.name, frame.epoch, frame.number, mark))]
+            body_digest = replica.state.digest(frame.body) if frame.number else b""
+            return [SendMessage(frame.origin, frames.CatchUpAck(replica.name, frame.epoch, frame.number, body_digest))]
         entry = None
         if frame.number:
             entry = Entry(frame.number, frame.entry_epoch, frame.revision, frame.base, frame.body)
--- a/cypressbeam/consensus/quorum_loss.py
+++ b/cypressbeam/consensus/quorum_loss.py
@@ -15,7 +15,7 @@
 from enum import StrEnum
 
 from cypressbeam.consensus.failure_detection import PAUSE_THRESHOLD_S
-from cypressbeam.consensus.views import ip_of
+from cypressbeam.consensus.views import ip_of, majority
 
 #: A majority that is missing for so long is reported: longer than a restart, a new view or a short cut takes, and well
 #: within 10 s. While it lasts the log says so again this often.
@@ -62,7 +62,7 @@
     @property
     def majority(self) -> int:
         """How many members are needed."""
-        return self.members // 2 + 1
+        return majority(self.members)
 
     def lines(self) -> list[str]:
         """For an operator: what is seen, what that means, and what to do."""
--- a/cypressbeam/consensus/replacement.py
+++ b/cypressbeam/consensus/replacement.py
@@ -118,9 +118,9 @@
         if change is None:
             self.status = ""
             return self.catch_up_spares(now_s)
-        verdict = next_step(change, self.membership.state(now_s))
-        self.status = verdict.text
-        return self.membership.effects_of(verdict, now_s)
+        decision = next_step(change, self.membership.state(now_s))
+        self.status = decision.text
+        return self.membership.effects_of(decision, now_s)
 
     def on_change_request(self, frame: frames.MembershipChangeRequest, now_s: float) -> list[Effect]:
         """A request of an operator, or of a member that drains, takes precedence over an automatic change: that may be
@@ -165,12 +165,12 @@
     def catch_up_spares(self, now_s: float) -> list[Effect]:
         """A new spare gets view and entry at once; the others the newest entry while a member is silent."""
         known = self.membership.state(now_s)
-        actions: list[Effect] = []
+        effects: list[Effect] = []
         for ip, name in known.spares.items():
             new = self.replica.failure_detector.peers[ip].disk_state == DiskState.EMPTY
             if new or (self.silence.since_s and name not in known.caught_up):
-                actions += self.membership.send_catch_up(ip, now_s)
-        return actions
+                effects += self.membership.send_catch_up(ip, now_s)
+        return effects
 
     # -- at a member that is told to stop ----------------------------------------------------------------------
 
@@ -197,11 +197,11 @@
 
     # -- for operators -----------------------------------------------------------------------------------------
 
-    def describe(self, ident: int, now_s: float) -> frames.SpareAnnouncement:
+    def describe(self, request_id: int, now_s: float) -> frames.SpareAnnouncement:
         """The spares, and which members are silent here, for how many seconds."""
         silent = sorted(self.silence.since_s.items())
         return frames.SpareAnnouncement(
-            ident,
+            request_id,
             self.replica.name,
             tuple(sorted(self.membership.spares(now_s).values())),
             tuple(f"{ip} {now_s - since_s:.0f}" for ip, since_s in silent),
--- a/cypressbeam/consensus/state.py
+++ b/cypressbeam/consensus/state.py
@@ -10,7 +10,7 @@
 from enum import IntEnum
 
 from cypressbeam.consensus.chain import ChainReplica
-from cypressbeam.consensus.views import Entry, View, ip_of
+from cypressbeam.consensus.views import Entry, View, ip_of, majority
 
 
 class DiskState(IntEnum):
@@ -73,7 +73,7 @@
 
     def quorum_size(self, group: tuple[str, ...]) -> int:
         """How many members of a group are a majority."""
-        return len(group) // 2 + 1
+        return majority(len(group))
 
     def is_voter(self) -> bool:
         """Whether the view counts this machine in its group."""
--- a/cypressbeam/consensus/views.py
+++ b/cypressbeam/consensus/views.py
@@ -16,6 +16,11 @@
     return name.partition("/")[0]
 
 
+def majority(count: int) -> int:
+    """How many of so many members are a majority."""
+    return count // 2 + 1
+
+
 @dataclass(frozen=True, slots=True)
 class View:
     """What a majority of the group before it has agreed on."""
--- a/cypressbeam/distribution/configuration_replica.py
+++ b/cypressbeam/distribution/configuration_replica.py
@@ -37,9 +37,9 @@
         self.earlier_digest = b""
         """That of one before it, which does not move: it is waited for beside the newest."""
 
-    def may_start(self, mark: bytes) -> bool:
+    def may_start(self, blob_digest: bytes) -> bool:
         """Whether a body may be fetched now, for none before it is on its way and moves."""
-        if not self.digest or self.digest == mark:
+        if not self.digest or self.digest == blob_digest:
             return True
         if self.fetcher.is_arriving(self.digest):
             return False
@@ -132,13 +132,13 @@
 
     def for_child(self, revision: int) -> frames.Frame | None:
         """What is announced to a child that has a revision, if anything."""
-        newest, mark = self.newest if self.transfer.digest else (self.revision, b"")
+        newest, blob_digest = self.newest if self.transfer.digest else (self.revision, b"")
         if newest <= revision:
             return None
-        mark = mark or self.store.put(self.body)
+        blob_digest = blob_digest or self.store.put(self.body)
         if not self.transfer.digest and revision == self.announced.base and self.announced.message is not None:
             return replace(self.announced.message, epoch=self.epoch_of_statements())
-        return frames.ConfigurationAnnouncement(newest, mark, self.epoch_of_statements())
+        return frames.ConfigurationAnnouncement(newest, blob_digest, self.epoch_of_statements())
 
     def publish(self, revision: int, body: bytes) -> None:
         """A committed configuration. One that is not newer is ignored: a node never goes back."""
@@ -146,28 +146,28 @@
             return
         before, former = self.revision, self.store.put(self.body) if self.body else b""
         self.revision, self.body = revision, body
-        mark = self.store.put(body)
+        blob_digest = self.store.put(body)
         if revision > self.newest[0]:
-            self.newest = (revision, mark)
+            self.newest = (revision, blob_digest)
         if revision == self.newest[0]:
             self.lag.end()
-        self.announce(mark, before, former)
+        self.announce(blob_digest, before, former)
         if self.transfer.digest != self.newest[1] or revision == self.newest[0]:
             self.transfer.end()
         if revision == self.newest[0]:
             self.transfer.end_earlier()
         self.on_committed(revision, body)
 
-    def announce(self, mark: bytes, before: int, former: bytes) -> None:
+    def announce(self, blob_digest: bytes, before: int, former: bytes) -> None:
         """Tell children of the version that is here, in what it changes where that is little."""
-        brief = self.store.inline_delta(mark, former)
+        brief = self.store.inline_delta(blob_digest, former)
         message = (
-            frames.ConfigurationDelta(self.revision, mark, former, brief, self.epoch_of_statements())
+            frames.ConfigurationDelta(self.revision, blob_digest, former, brief, self.epoch_of_statements())
             if brief
-            else frames.ConfigurationAnnouncement(self.revision, mark, self.epoch_of_statements())
+            else frames.ConfigurationAnnouncement(self.revision, blob_digest, self.epoch_of_statements())
         )
         self.announced = Announcement(message, before)
-        if brief or mark != self.transfer.digest:  # otherwise it was announced to children when it began to come
+        if brief or blob_digest != self.transfer.digest:  # otherwise it was announced to children when it began to come
             self.broadcast(message)
 
     # -- from the parent -----------------------------------------------------------------------------------
@@ -189,24 +189,24 @@
             else:
                 self.publish(frame.revision, body)
 
-    def should_fetch(self, revision: int, mark: bytes) -> bool:
+    def should_fetch(self, revision: int, blob_digest: bytes) -> bool:
         """Whether a version that a node tells of is to be got; then it is the newest one."""
         if revision <= self.revision or revision < self.newest[0]:
             return False
-        self.newest = (revision, mark)
+        self.newest = (revision, blob_digest)
         self.lag.begin(self.context.now_s())
         return True
 
     def fetch(self, source: str) -> None:
         """Get the newest body, one at a time. It is announced to children as it begins to come, and they fetch it as it
         comes. An older one that does not move holds up nothing: the newest is asked for beside it."""
-        revision, mark = self.newest
-        if not self.transfer.may_start(mark):
+        revision, blob_digest = self.newest
+        if not self.transfer.may_start(blob_digest):
             return
-        if self.transfer.digest != mark:
-            self.transfer.digest = mark
-            self.broadcast(frames.ConfigurationAnnouncement(revision, mark, self.epoch_of_statements()))
-        self.fetcher.fetch(mark, source, lambda body: self.complete_fetch(revision, body, source), key=FETCH_KEY)
+        if self.transfer.digest != blob_digest:
+            self.transfer.digest = blob_digest
+            self.broadcast(frames.ConfigurationAnnouncement(revision, blob_digest, self.epoch_of_statements()))
+        self.fetcher.fetch(blob_digest, source, lambda body: self.complete_fetch(revision, body, source), key=FETCH_KEY)
 
     def complete_fetch(self, revision: int, body: bytes, source: str) -> None:
         """A body is here; the next one may be wanted already."""
--- a/cypressbeam/distribution/endpoint_list.py
+++ b/cypressbeam/distribution/endpoint_list.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One life of a server. `warmup_ms` is how much longer it was slow when the root first saw it."""
+    """One incarnation of a server. `warmup_ms` is how much longer it was slow when the root first saw it."""
 
     instance_id: str
     service: str
@@ -112,18 +112,20 @@
                 at += 1 + length
             if at > len(data):
                 raise frames.FrameError("a row ends behind the frame")
-            ident, plant, zone = texts
-            servers.append(Endpoint(ident, plant, (".".join(map(str, host)), port), zone, capacity, state, warmup_ms))
+            instance_id, service, zone = texts
+            servers.append(
+                Endpoint(instance_id, service, (".".join(map(str, host)), port), zone, capacity, state, warmup_ms)
+            )
     except (struct.error, IndexError, UnicodeDecodeError) as err:
         raise frames.FrameError(f"rows: {err}") from None
     return servers
 
 
 class EndpointList:
-    """A node's copy of the list. A life is one root's; changes follow on one another within it."""
+    """A node's copy of the list. A term is one root's; changes follow one another within it."""
 
-    def __init__(self, life: int = 0) -> None:
-        self.term = life
+    def __init__(self, term: int = 0) -> None:
+        self.term = term
         self.sequence = 0
         self.servers: dict[str, Endpoint] = {}
 
@@ -131,14 +133,14 @@
         """At the root: take up a whole list from the platform; returns what changed, for the children."""
         changed = []
         now = {server.instance_id: server for server in polled}
-        for ident, server in now.items():
-            known = self.servers.get(ident)
+        for instance_id, server in now.items():
+            known = self.servers.get(instance_id)
             # The warm-up runs on by itself: only its first figure is sent.
             same = replace(server, warmup_ms=known.warmup_ms) if known is not None else server
-            now[ident] = same
+            now[instance_id] = same
             if same != known:
                 changed.append(same)
-        changed += [replace(known, state=GONE) for ident, known in self.servers.items() if ident not in now]
+        changed += [replace(known, state=GONE) for instance_id, known in self.servers.items() if instance_id not in now]
         if not changed and self.sequence:
             return None
         self.servers = now
--- a/cypressbeam/distribution/endpoint_list_replica.py
+++ b/cypressbeam/distribution/endpoint_list_replica.py
@@ -18,22 +18,22 @@
         """The newest epoch in which the list that is here was in force."""
         self.on_change: Callable[[], None] = lambda: None
 
-    def begin_term(self, life: int) -> None:
+    def begin_term(self, term: int) -> None:
         """This node is the root: its own list goes down from here."""
-        self.endpoints = EndpointList(life)
+        self.endpoints = EndpointList(term)
 
-    def is_at(self, life: int, seq: int) -> bool:
+    def is_at(self, term: int, sequence: int) -> bool:
         """Whether the list that is here is that of a term and sequence number."""
-        return (life, seq) == (self.endpoints.term, self.endpoints.sequence)
+        return (term, sequence) == (self.endpoints.term, self.endpoints.sequence)
 
-    def confirm(self, beat: frames.RootHeartbeat) -> None:
+    def confirm(self, heartbeat: frames.RootHeartbeat) -> None:
         """A heartbeat names the list that is in force in its epoch."""
-        if self.is_at(beat.term, beat.sequence):
-            self.epoch = beat.epoch
+        if self.is_at(heartbeat.term, heartbeat.sequence):
+            self.epoch = heartbeat.epoch
 
-    def is_missing(self, beat: frames.RootHeartbeat) -> bool:
+    def is_missing(self, heartbeat: frames.RootHeartbeat) -> bool:
         """Whether a heartbeat names a list that is not here."""
-        return bool(beat.sequence) and not self.is_at(beat.term, beat.sequence)
+        return bool(heartbeat.sequence) and not self.is_at(heartbeat.term, heartbeat.sequence)
 
     def for_child(self, had: frames.Subscribe, in_force: int, epoch: int) -> frames.EndpointUpdate | None:
         """The whole list, if a child has another one and the list that is here, in force in one epoch, is that of the
--- a/cypressbeam/node/state_query.py
+++ b/cypressbeam/node/state_query.py
@@ -125,11 +125,11 @@
         """Where no majority of the core answers, or none of it leads and one says that it hears no majority: what that
         means and what to do. Where nobody answers, of the machines that were asked."""
         group = newest.group if newest is not None else tuple(query.queried)
-        heard = {ip: state.name for ip, state in query.answers.items()}
+        alive = {ip: state.name for ip, state in query.answers.items()}
         silent_s = parse_silences(query.silent_members)
         if not any(state.flags & frames.IS_ROOT for state in query.answers.values()):
-            heard = {ip: name for ip, name in heard.items() if ip not in silent_s}
-        loss = detect(group, heard, silent_s)
+            alive = {ip: name for ip, name in alive.items() if ip not in silent_s}
+        loss = detect(group, alive, silent_s)
         return {"here": loss.here, "missing": loss.missing, "text": loss.lines()} if loss is not None else None
 
 
--- a/cypressbeam/protocol/frames/codec.py
+++ b/cypressbeam/protocol/frames/codec.py
@@ -118,7 +118,7 @@
 
 
 def _unpack_digest(data: bytes, at: int) -> tuple[bytes, int]:
-    mark = data[at : at + DIGEST_BYTES]
-    if len(mark) < DIGEST_BYTES:
+    digest = data[at : at + DIGEST_BYTES]
+    if len(digest) < DIGEST_BYTES:
         raise FrameError("a digest ends behind the frame")
-    return (mark if any(mark) else b""), at + DIGEST_BYTES
+    return (digest if any(digest) else b""), at + DIGEST_BYTES
--- a/cypressbeam/protocol/settings.py
+++ b/cypressbeam/protocol/settings.py
@@ -78,8 +78,8 @@
     def error(self, key: str, wanted: str) -> SettingsError:
         """What is wrong with a key: what was found, and what is wanted."""
         found = self.values.get(key)
-        told = "is missing" if found is None else f"is {found!r}"
-        return SettingsError(f"{self.path}: {key} {told}; {wanted} is wanted")
+        found_text = "is missing" if found is None else f"is {found!r}"
+        return SettingsError(f"{self.path}: {key} {found_text}; {wanted} is wanted")
 
     def text(self, key: str) -> str:
         """A value that must be there. Raises SettingsError, as all of these."""
--- a/cypressbeam/storage/store.py
+++ b/cypressbeam/storage/store.py
@@ -81,7 +81,7 @@
     async def save_promise(self, epoch: int) -> None:
         """Put a promise on disk; a lower one changes nothing."""
 
-    async def save_view(self, view: View, entry: Entry | None, taken: dict[int, bytes]) -> None:
+    async def save_view(self, view: View, entry: Entry | None, applied_digests: dict[int, bytes]) -> None:
         """Put a view on disk, with the entry and the digests that it begins with in place of what was there."""
 
     async def save_entry(self, entry: Entry) -> None:
@@ -275,9 +275,9 @@
         """Put a promise on disk; a lower one changes nothing."""
         await self.write(lambda database: write_promise(database, epoch))
 
-    async def save_view(self, view: View, entry: Entry | None, taken: dict[int, bytes]) -> None:
+    async def save_view(self, view: View, entry: Entry | None, applied_digests: dict[int, bytes]) -> None:
         """The view, and what it begins with in place of what was there."""
-        taken = dict(taken)  # the caller's may change before the thread gets to it
+        applied_digests = dict(applied_digests)  # the caller's may change before the thread gets to it
 
         def save(database: Any) -> None:
             write_promise(database, view.epoch)
@@ -287,7 +287,7 @@
                 (view.epoch, ",".join(view.chain), ",".join(view.group), view.initial_number),
             )
             database.execute("delete from entry")
-            write_digests(database, taken)
+            write_digests(database, applied_digests)
             if entry is not None:
                 write_entry(database, entry)
 
@@ -325,7 +325,7 @@
 
 def without_numbers(marks: dict[str, HighWaterMarks]) -> dict[str, HighWaterMarks]:
     """Without the numbers of entries."""
-    return {name: replace(mark, number=0) for name, mark in marks.items()}
+    return {name: replace(reported, number=0) for name, reported in marks.items()}
 
 
 def write_promise(database: Any, epoch: int) -> None:
@@ -341,28 +341,32 @@
         database.execute("insert or replace into meta values ('marks', ?)", (packed,))
 
 
-def write_digests(database: Any, taken: dict[int, bytes]) -> None:
+def write_digests(database: Any, applied_digests: dict[int, bytes]) -> None:
     """These and no others; as a rule nearly all stand there already."""
     known = dict(database.execute("select revision, digest from taken"))
     database.executemany(
-        "delete from taken where revision = ?", [(revision,) for revision in known if revision not in taken]
+        "delete from taken where revision = ?", [(revision,) for revision in known if revision not in applied_digests]
     )
     database.executemany(
         "insert or replace into taken values (?, ?)",
-        [(revision, mark) for revision, mark in taken.items() if known.get(revision) != mark],
+        [
+            (revision, entry_digest)
+            for revision, entry_digest in applied_digests.items()
+            if known.get(revision) != entry_digest
+        ],
     )
 
 
 def write_entry(database: Any, entry: Entry) -> None:
     """As `deduplication.record` has it in memory: what stands above the base was refused by this disk, and is there all
     the same."""
-    mark = digest(entry.body)
+    entry_digest = digest(entry.body)
     database.execute("delete from taken where revision > ?", (entry.base,))
     database.execute(
         "insert or replace into entry values (?, ?, ?, ?, ?, ?)",
-        (entry.number, entry.epoch, entry.revision, entry.base, mark, entry.body),
+        (entry.number, entry.epoch, entry.revision, entry.base, entry_digest, entry.body),
     )
-    database.execute("insert or replace into taken values (?, ?)", (entry.revision, mark))
+    database.execute("insert or replace into taken values (?, ?)", (entry.revision, entry_digest))
     database.execute(
         "delete from taken where revision <= (select revision from taken order by revision desc limit 1 offset ?)",
         (MAX_DIGESTS,),
@@ -371,9 +375,9 @@
 
 def read_all(database: Any) -> LoadedState:
     """Raises TornError if a body is not what its digest says, or something is missing."""
-    (told,) = database.execute("pragma quick_check(1)").fetchone()
-    if told != "ok":
-        raise CorruptStateError(told.splitlines()[0])
+    (report,) = database.execute("pragma quick_check(1)").fetchone()
+    if report != "ok":
+        raise CorruptStateError(report.splitlines()[0])
     try:
         return read_rows(database)
     except (KeyError, TypeError, ValueError) as err:
@@ -385,16 +389,16 @@
     meta = dict(database.execute("select key, value from meta where key != 'tried'"))
     row = database.execute("select epoch, chain, members, began from view").fetchone()
     view = View(row[0], tuple(row[1].split(",")), tuple(row[2].split(",")), row[3]) if row else None
-    taken = dict(database.execute("select revision, digest from taken order by revision"))
+    applied_digests = dict(database.execute("select revision, digest from taken order by revision"))
     last = None
-    mark = b""
-    for number, epoch, revision, base, mark, body in database.execute(
+    entry_digest = b""
+    for number, epoch, revision, base, entry_digest, body in database.execute(
         "select number, epoch, revision, base, digest, body from entry order by number"
     ):
         last = Entry(number, epoch, revision, base, body)
-        if digest(body) != mark:
+        if digest(body) != entry_digest:
             raise CorruptStateError(f"entry {last.number} does not match its digest")
-    if last is not None and taken[last.revision] != mark:
+    if last is not None and applied_digests[last.revision] != entry_digest:
         raise CorruptStateError(f"entry {last.number} does not match the digest that was taken")
     own = HighWaterMarks(meta.get("incarnation", 0), meta.get("draw", 0))
     # The first start of a disk has its incarnation on it already.
@@ -408,7 +412,7 @@
         int(meta["promised"]),
         view,
         last,
-        taken,
+        applied_digests,
         own,
         raised,
         unpack_marks(meta.get("marks", "")),
--- a/cypressbeam/transport/blobs/fetcher.py
+++ b/cypressbeam/transport/blobs/fetcher.py
@@ -89,23 +89,23 @@
         self.other_sources: Callable[[], list[str]] = list
         """Whom to turn to for what nobody sends who has named it, the best first."""
 
-    def fetch(self, mark: bytes, source: str, then: Callable[[bytes], None], key: object = None) -> None:
+    def fetch(self, blob_digest: bytes, source: str, then: Callable[[bytes], None], key: object = None) -> None:
         """Get a body: `then` is called with it, at once if it is here; of several with one key the last counts. A body
         that can't be got is given up without a word, for whoever has named it names it again."""
-        body = self.store.get(mark)
+        body = self.store.get(blob_digest)
         if body is not None:
             then(body)
             return
-        fetch = self.fetches.get(mark)
+        fetch = self.fetches.get(blob_digest)
         if fetch is None:
             now_s = self.loop.time()
-            fetch = self.fetches[mark] = Fetch([source], now_s, now_s, now_s, self.window)
-            self.request(mark, fetch)
+            fetch = self.fetches[blob_digest] = Fetch([source], now_s, now_s, now_s, self.window)
+            self.request(blob_digest, fetch)
         elif source not in fetch.sources:
             fetch.spent.discard(source)
             fetch.sources.insert(0, source)
             if self.loop.time() - max(fetch.moved_s, fetch.asked_s) > QUIET_S:
-                self.request(mark, fetch)
+                self.request(blob_digest, fetch)
             else:
                 fetch.sources.append(fetch.sources.pop(0))
         fetch.then[key if key is not None else then] = then
@@ -113,25 +113,25 @@
             self.ticking = True
             self.loop.call_later(TICK_S, self.tick)
 
-    def is_arriving(self, mark: bytes) -> bool:
+    def is_arriving(self, blob_digest: bytes) -> bool:
         """Whether a body is on its way here, and has moved lately; that it was asked for again says nothing."""
-        fetch = self.fetches.get(mark)
+        fetch = self.fetches.get(blob_digest)
         return fetch is not None and self.loop.time() - fetch.moved_s <= QUIET_S
 
-    def is_pending(self, mark: bytes) -> bool:
+    def is_pending(self, blob_digest: bytes) -> bool:
         """Whether a body is asked for, though nothing may come."""
-        return mark in self.fetches
+        return blob_digest in self.fetches
 
-    def cancel(self, mark: bytes, key: object) -> None:
+    def cancel(self, blob_digest: bytes, key: object) -> None:
         """Whoever has waited for a body under this key does not any more."""
-        fetch = self.fetches.get(mark)
+        fetch = self.fetches.get(blob_digest)
         if fetch is not None and fetch.then.pop(key, None) is not None and not fetch.then:
-            del self.fetches[mark]
+            del self.fetches[blob_digest]
             self.on_moved()
 
-    def describe(self, mark: bytes) -> str:
+    def describe(self, blob_digest: bytes) -> str:
         """How a fetch stands, for the log."""
-        fetch = self.fetches.get(mark)
+        fetch = self.fetches.get(blob_digest)
         if fetch is None:
             return "nobody is asked for it"
         now_s = self.loop.time()
@@ -141,7 +141,7 @@
             f" {' '.join(fetch.sources)}"
         )
 
-    def request(self, mark: bytes, fetch: Fetch) -> None:
+    def request(self, blob_digest: bytes, fetch: Fetch) -> None:
         """Ask the first source for the next window."""
         now_s = fetch.asked_s = self.loop.time()
         waits_s = STALL_S if fetch.asked_again < 2 else STALL_S * PATIENCE
@@ -154,16 +154,16 @@
         bases = fetch.base
         if fetch.total < 0 and not fetch.whole:
             bases = b"".join(self.store.blobs)
-        link.send(frames.ChunkRequest(mark, bases, at, fetch.window))
+        link.send(frames.ChunkRequest(blob_digest, bases, at, fetch.window))
 
-    def request_elsewhere(self, mark: bytes, fetch: Fetch) -> None:
+    def request_elsewhere(self, blob_digest: bytes, fetch: Fetch) -> None:
         """Ask the next source, and for more: each window takes long now. What the one before still sends is taken as
         well."""
         fetch.asked_again += 1
         fetch.window = min(2 * fetch.window, MOST_WINDOWS * self.window)
         fetch.sources += [ip for ip in self.other_sources() if ip not in fetch.sources and ip not in fetch.spent]
         fetch.sources.append(fetch.sources.pop(0))
-        self.request(mark, fetch)
+        self.request(blob_digest, fetch)
 
     def tick(self) -> None:
         """Look after all fetches, every `TICK_S` while there are any."""
@@ -172,12 +172,12 @@
         if self.ticking:
             self.loop.call_later(TICK_S, self.tick)
         now_s = self.loop.time()
-        for mark, fetch in [*self.fetches.items()]:
+        for blob_digest, fetch in [*self.fetches.items()]:
             if now_s - fetch.moved_s > GIVE_UP_S:
-                log.warning("blob %s: fetch given up, no source sends it", mark.hex()[:8])
-                del self.fetches[mark]
+                log.warning("blob %s: fetch given up, no source sends it", blob_digest.hex()[:8])
+                del self.fetches[blob_digest]
             elif now_s >= fetch.due_s:
-                self.request_elsewhere(mark, fetch)
+                self.request_elsewhere(blob_digest, fetch)
 
     def on_chunk(self, link: Connection, frame: frames.Chunk) -> None:
         """A chunk has come."""
@@ -211,19 +211,19 @@
             self.request_more(link, frame.digest, fetch)
         self.on_moved()
 
-    def request_more(self, link: Connection, mark: bytes, fetch: Fetch) -> None:
+    def request_more(self, link: Connection, blob_digest: bytes, fetch: Fetch) -> None:
         """Half of what was asked for has come. At a full link, where a window takes long, there may be more of it on
         the way."""
         if fetch.way_s > MOST_WAYS * WINDOW_S:
             fetch.window = min(2 * fetch.window, MOST_WINDOWS * self.window)
         if link is fetch.link:
             more = fetch.window - (fetch.wanted - len(fetch.got))
-            link.send(frames.ChunkRequest(mark, fetch.base, fetch.wanted, more))
+            link.send(frames.ChunkRequest(blob_digest, fetch.base, fetch.wanted, more))
             fetch.wanted += more
         elif link.ip in fetch.sources:  # it was slow, another was asked, and it is before that one: it goes on
             fetch.sources.remove(link.ip)
             fetch.sources.insert(0, link.ip)
-            self.request(mark, fetch)
+            self.request(blob_digest, fetch)
 
     def on_not_found(self, link: Connection, frame: frames.BlobNotFound) -> None:
         """A source does not have it; the next one may. Where there is none the fetch is over: a version that was
@@ -242,43 +242,43 @@
             fetch.begin_anew()
             self.request(frame.digest, fetch)
 
-    def finish(self, mark: bytes, fetch: Fetch) -> None:
+    def finish(self, blob_digest: bytes, fetch: Fetch) -> None:
         """All bytes have come: unpack them, and compare the digest."""
         try:
             body = delta.unpack(bytes(fetch.got), fetch.base_body)
-            if digest(body) != mark:
+            if digest(body) != blob_digest:
                 raise delta.DeltaError("it is not what its digest says")
         except delta.DeltaError as err:
-            log.error("blob %s from %s is corrupt: %s", mark.hex()[:8], fetch.sources[0], err)
+            log.error("blob %s from %s is corrupt: %s", blob_digest.hex()[:8], fetch.sources[0], err)
             fetch.begin_anew()
             fetch.whole = True
-            self.request_elsewhere(mark, fetch)
+            self.request_elsewhere(blob_digest, fetch)
             return
-        self.store.keep_packed((mark, fetch.base), bytes(fetch.got))
-        self.arrived(mark, body)
+        self.store.keep_packed((blob_digest, fetch.base), bytes(fetch.got))
+        self.arrived(blob_digest, body)
 
-    def arrived(self, mark: bytes, body: bytes) -> None:
+    def arrived(self, blob_digest: bytes, body: bytes) -> None:
         """It is here: whoever waits for it gets it, and may hand it on."""
-        fetch = self.fetches.pop(mark, None)
+        fetch = self.fetches.pop(blob_digest, None)
         self.store.put(body)
         for then in [*fetch.then.values()] if fetch is not None else []:
             then(body)
         self.on_moved()
 
-    def open_brief(self, mark: bytes, base: bytes, data: bytes) -> bytes | None:
+    def open_brief(self, blob_digest: bytes, base: bytes, data: bytes) -> bytes | None:
         """The body that a frame brought packed; None where its base is not here, or where it is not what its digest
         says: it is to be fetched then."""
         if base not in self.store.blobs:
             return None
         try:
             body = delta.unpack(data, self.store.blobs[base])
-            if digest(body) != mark:
+            if digest(body) != blob_digest:
                 raise delta.DeltaError("it is not what its digest says")
         except delta.DeltaError as err:
-            log.error("blob %s: inline delta is corrupt: %s", mark.hex()[:8], err)
+            log.error("blob %s: inline delta is corrupt: %s", blob_digest.hex()[:8], err)
             return None
-        self.store.keep_packed((mark, base), data)
-        self.arrived(mark, body)
+        self.store.keep_packed((blob_digest, base), data)
+        self.arrived(blob_digest, body)
         return body
 
     def link_lost(self, link: Connection) -> None:
--- a/cypressbeam/transport/blobs/server.py
+++ b/cypressbeam/transport/blobs/server.py
@@ -54,13 +54,13 @@
             self.serving[key] = Serving(bases, frame.offset, frame.offset + frame.length)
         self.pump()
 
-    def settle_base(self, mark: bytes, serving: Serving) -> None:
+    def settle_base(self, blob_digest: bytes, serving: Serving) -> None:
         """Choose what a body is packed on: the newest that both sides have, or what it comes packed on here, which can
         be handed on as it comes. One that goes on names only the base that it has begun with; where that is not here
         it begins anew."""
-        fetch = self.fetcher.fetches.get(mark)
-        if mark in self.store.blobs:
-            both_have = (base for base in reversed(serving.bases) if base in self.store.blobs and base != mark)
+        fetch = self.fetcher.fetches.get(blob_digest)
+        if blob_digest in self.store.blobs:
+            both_have = (base for base in reversed(serving.bases) if base in self.store.blobs and base != blob_digest)
             serving.base = next(both_have, b"")
         elif fetch is not None and fetch.total >= 0 and (not fetch.base or fetch.base in serving.bases):
             serving.base = fetch.base
@@ -72,13 +72,13 @@
         ):
             serving.at, serving.end = 0, serving.end - serving.at
 
-    def form(self, mark: bytes, base: bytes) -> tuple[bytes | bytearray, int] | None:
+    def form(self, blob_digest: bytes, base: bytes) -> tuple[bytes | bytearray, int] | None:
         """A packed body, as much of it as is here, and its size in all; None if there is none, or its size is not
         known yet."""
-        data = self.store.packed_on(mark, base)
+        data = self.store.packed_on(blob_digest, base)
         if data is not None:
             return data, len(data)
-        fetch = self.fetcher.fetches.get(mark)
+        fetch = self.fetcher.fetches.get(blob_digest)
         if fetch is not None and fetch.base == base and fetch.total >= 0:
             return fetch.got, fetch.total
         return None
@@ -93,15 +93,15 @@
                 self.pumping = True
                 self.loop.call_later(self.free_s - now_s, self.pump_again)
                 return
-            (link, mark), serving, part, total = ready
-            self.serving[link, mark] = self.serving.pop((link, mark))  # to the end of the turns
+            (link, blob_digest), serving, part, total = ready
+            self.serving[link, blob_digest] = self.serving.pop((link, blob_digest))  # to the end of the turns
             assert serving.base is not None
-            link.send(frames.Chunk(mark, serving.base, total, serving.at, part))
+            link.send(frames.Chunk(blob_digest, serving.base, total, serving.at, part))
             serving.at += len(part)
             self.handed_bytes += len(part)
             self.free_s = max(self.free_s, now_s) + len(part) / self.rate.per_s
             if serving.at >= total:
-                self.serving.pop((link, mark), None)
+                self.serving.pop((link, blob_digest), None)
 
     def pump_again(self) -> None:
         """The link is free again."""
--- a/cypressbeam/transport/blobs/store.py
+++ b/cypressbeam/transport/blobs/store.py
@@ -26,18 +26,18 @@
 
     def put(self, body: bytes) -> bytes:
         """Hold a body, so that those to whom it is announced find it here; returns its digest."""
-        mark = digest(body)
-        self.blobs[mark] = body
-        self.blobs.move_to_end(mark)
+        blob_digest = digest(body)
+        self.blobs[blob_digest] = body
+        self.blobs.move_to_end(blob_digest)
         while len(self.blobs) > self.max_blobs:
             self.blobs.popitem(last=False)
-        return mark
+        return blob_digest
 
-    def get(self, mark: bytes) -> bytes | None:
+    def get(self, blob_digest: bytes) -> bytes | None:
         """A held body; it counts as new then."""
-        body = self.blobs.get(mark)
+        body = self.blobs.get(blob_digest)
         if body is not None:
-            self.blobs.move_to_end(mark)
+            self.blobs.move_to_end(blob_digest)
         return body
 
     def keep_packed(self, key: tuple[bytes, bytes], data: bytes) -> bytes:
@@ -48,15 +48,17 @@
             self.packed.popitem(last=False)
         return data
 
-    def packed_on(self, mark: bytes, base: bytes) -> bytes | None:
+    def packed_on(self, blob_digest: bytes, base: bytes) -> bytes | None:
         """A held body, packed on a base that is held or on none (b""); None if either is not here."""
-        data = self.packed.get((mark, base))
-        if data is None and mark in self.blobs and (not base or base in self.blobs):
-            data = self.keep_packed((mark, base), delta.pack(self.blobs[mark], self.blobs[base] if base else b""))
+        data = self.packed.get((blob_digest, base))
+        if data is None and blob_digest in self.blobs and (not base or base in self.blobs):
+            data = self.keep_packed(
+                (blob_digest, base), delta.pack(self.blobs[blob_digest], self.blobs[base] if base else b"")
+            )
         return data
 
-    def inline_delta(self, mark: bytes, base: bytes) -> bytes:
+    def inline_delta(self, blob_digest: bytes, base: bytes) -> bytes:
         """A held body packed on another one, if that is little; else nothing."""
-        both = base in self.blobs and mark in self.blobs and mark != base
-        data = self.packed_on(mark, base) if both else None
+        both = base in self.blobs and blob_digest in self.blobs and blob_digest != base
+        data = self.packed_on(blob_digest, base) if both else None
         return data if data is not None and len(data) <= MAX_INLINE_DELTA_BYTES else b""
--- a/lab/histories/simulated_core.py
+++ b/lab/histories/simulated_core.py
@@ -24,7 +24,7 @@
 from cypressbeam.consensus.high_water_marks import HighWaterMarks
 from cypressbeam.consensus.quorum_reads import CONFIRMATION_TIMEOUT_S
 from cypressbeam.consensus.replica import REFUSALS, Replica
-from cypressbeam.consensus.views import Entry, View, ip_of
+from cypressbeam.consensus.views import Entry, View, ip_of, majority
 from cypressbeam.protocol import frames
 from lab.histories.disks import Copies, Disk
 from lab.histories.downstream import Announcement
@@ -79,7 +79,7 @@
         self.write_s = QUICK_WRITE_S if quick else WRITE_S
         self.lying, self.same_name = lying, same_name
         group = self.ips[: machines - standing_by]
-        enough = len(group) // 2 + 1
+        enough = majority(len(group))
         self.observer = Observer(DOWNSTREAM, enough)
         self.copies = copies or enough
         self.disks = {ip: Disk(f"{ip}/0") for ip in self.ips}
--- a/lab/rules_core.py
+++ b/lab/rules_core.py
@@ -130,7 +130,7 @@
     state(
         "word of a commit goes up the chain",
         CHAIN,
-        "            actions.append(SendMessage(previous, frames.CommitNotice(self.view.epoch, frame.number)))\n"
+        "            effects.append(SendMessage(previous, frames.CommitNotice(self.view.epoch, frame.number)))\n"
         "        # After",
         "            pass\n        # After",
     ),
@@ -251,7 +251,7 @@
         "if len(proposal.promises) >= self.state.quorum_size(proposal.group) and not proposal.quorum_s:",
         "if not proposal.quorum_s:",
     ),
-    state("more than half is a majority", STATE, "return len(group) // 2 + 1", "return (len(group) + 1) // 2"),
+    state("more than half is a majority", STATE, "return majority(len(group))", "return (len(group) + 1) // 2"),
     state(
         "the newest entry by epoch, then number, is what a view begins with",
         REPAIR,
@@ -697,14 +697,14 @@
         "        )",
         "return self.pending_marks is not None or self.staged_marks != self.stored_marks",
     ),
-    disk("a body is what its digest says", STORE, "        if digest(body) != mark:\n", "        if False:\n"),
+    disk("a body is what its digest says", STORE, "        if digest(body) != entry_digest:\n", "        if False:\n"),
     disk(
         "the newest entry is the one that was taken",
         STORE,
-        "if last is not None and taken[last.revision] != mark:",
+        "if last is not None and applied_digests[last.revision] != entry_digest:",
         "if False:",
     ),
-    disk("all pages are checked at load", STORE, '    if told != "ok":\n', "    if False:\n"),
+    disk("all pages are checked at load", STORE, '    if report != "ok":\n', "    if False:\n"),
     disk(
         "what is no state is set aside",
         STORE,
--- a/lab/rules_fencing.py
+++ b/lab/rules_fencing.py
@@ -152,10 +152,10 @@
     fencing(
         "news carries the epoch under which it stands",
         CONFIGURATION_REPLICA,
-        "else frames.ConfigurationAnnouncement(self.revision, mark, self.epoch_of_statements())\n"
+        "else frames.ConfigurationAnnouncement(self.revision, blob_digest, self.epoch_of_statements())\n"
         "        )\n"
         "        self.announced",
-        "else frames.ConfigurationAnnouncement(self.revision, mark, 0))\n        self.announced",
+        "else frames.ConfigurationAnnouncement(self.revision, blob_digest, 0))\n        self.announced",
     ),
     fencing(
         "a small change carries the epoch",
@@ -166,8 +166,8 @@
     fencing(
         "what a child lacks is told under the epoch of now",
         CONFIGURATION_REPLICA,
-        "        return frames.ConfigurationAnnouncement(newest, mark, self.epoch_of_statements())",
-        "        return frames.ConfigurationAnnouncement(newest, mark, 0)",
+        "        return frames.ConfigurationAnnouncement(newest, blob_digest, self.epoch_of_statements())",
+        "        return frames.ConfigurationAnnouncement(newest, blob_digest, 0)",
     ),
     fencing(
         "a small change that a child lacks is told under the epoch of now",
@@ -178,8 +178,8 @@
     fencing(
         "a relay that begins to fetch tells of it under its beat's epoch",
         CONFIGURATION_REPLICA,
-        "self.broadcast(frames.ConfigurationAnnouncement(revision, mark, self.epoch_of_statements()))",
-        "self.broadcast(frames.ConfigurationAnnouncement(revision, mark, 0))",
+        "self.broadcast(frames.ConfigurationAnnouncement(revision, blob_digest, self.epoch_of_statements()))",
+        "self.broadcast(frames.ConfigurationAnnouncement(revision, blob_digest, 0))",
     ),
     fencing(
         "a node's own news stands under its beat's epoch, not under what it has seen",
@@ -202,7 +202,7 @@
     fencing(
         "a list that a beat confirms is in force",
         ENDPOINT_LIST,
-        "            self.epoch = beat.epoch\n",
+        "            self.epoch = heartbeat.epoch\n",
         "            pass\n",
     ),
     fencing(
--- a/lab/rules_orders.py
+++ b/lab/rules_orders.py
@@ -142,7 +142,7 @@
     orders(
         "the tail answers the first asker",
         CHAIN,
-        "        actions += [\n"
+        "        effects += [\n"
         '            SendMessage(origin, frames.WriteResult(request_id, 200, "taken"))\n'
         "            for request_id, origin in self.pending_callers\n"
         "        ]\n",
@@ -151,7 +151,7 @@
     orders(
         "the head answers the others",
         CHAIN,
-        "            actions += [\n"
+        "            effects += [\n"
         '                SendMessage(origin, frames.WriteResult(request_id, 200, "taken"))\n'
         "                for request_id, origin in self.pending_callers[1:]\n"
         "            ]\n",
@@ -175,8 +175,8 @@
     orders(
         "what waited is decided once the entry is committed",
         CHAIN,
-        "return actions + self.process_queue(now_s)",
-        "return actions",
+        "return effects + self.process_queue(now_s)",
+        "return effects",
     ),
     orders(
         "a refusal waits for a majority's word",
@@ -191,29 +191,31 @@
         "REFUSALS = (PRECONDITION_FAILED,)",
     ),
     orders("a refusal's text fits into its frame", CHAIN, "text[:MAX_RESULT_TEXT]", "text"),
-    orders("an entry drops the digests above its base", DEDUPLICATION, "        del taken[wrong]\n", "        pass\n"),
+    orders(
+        "an entry drops the digests above its base", DEDUPLICATION, "        del applied[refused]\n", "        pass\n"
+    ),
     orders("on disk too", STORE, '    database.execute("delete from taken where revision > ?", (entry.base,))\n', ""),
     orders(
         "the newest digests are kept, in memory",
         DEDUPLICATION,
-        "    while len(taken) > MAX_DIGESTS:\n        del taken[next(iter(taken))]\n",
+        "    while len(applied) > MAX_DIGESTS:\n        del applied[next(iter(applied))]\n",
         "",
     ),
     orders("and on disk", STORE, "        (MAX_DIGESTS,),\n", "        (10**9,),\n"),
     orders(
-        "digests are missing when there are fewer than entries", DEDUPLICATION, "if len(taken) >= number:", "if True:"
+        "digests are missing when there are fewer than entries", DEDUPLICATION, "if len(applied) >= number:", "if True:"
     ),
     orders(
         "all below the lowest are missing then",
         DEDUPLICATION,
-        "return next(iter(taken)) - 1 if taken else MAX_REVISION",
-        "return 0 if taken else MAX_REVISION",
+        "return next(iter(applied)) - 1 if applied else MAX_REVISION",
+        "return 0 if applied else MAX_REVISION",
     ),
     orders(
         "without any all may be",
         DEDUPLICATION,
-        "return next(iter(taken)) - 1 if taken else MAX_REVISION",
-        "return next(iter(taken)) - 1 if taken else 0",
+        "return next(iter(applied)) - 1 if applied else MAX_REVISION",
+        "return next(iter(applied)) - 1 if applied else 0",
     ),
     orders("digests that cannot be are refused: cut off", DEDUPLICATION, "if len(data) % RECORD.size:", "if False:"),
     orders("too many", DEDUPLICATION, "if len(found) > MAX_DIGESTS:", "if False:"),
@@ -221,8 +223,8 @@
     orders(
         "one's own digests count up to the revision that all hold",
         DEDUPLICATION,
-        "for revision, mark in sorted(own.items()) if revision <= above} | told",
-        "for revision, mark in sorted(own.items())} | told",
+        "for revision, digest in sorted(own.items()) if revision <= above} | reported",
+        "for revision, digest in sorted(own.items())} | reported",
     ),
     orders(
         "a proposer names the base of its newest entry",
