--- a/lab/fetches.py
+++ b/lab/fetches.py
@@ -39,7 +39,7 @@
 
 
 @dataclass
-class Found:
+class Measurements:
     """Of one case: seconds for which nodes were behind, of all seeds together; and the bound."""
 
     behind_s: list[float] = field(default_factory=list)
@@ -151,7 +151,7 @@
         own_s = len(delta.pack(newest, self.before)) * 8e-6 / (EDGE_MBPS / 2)
         return BOUND_S + own_s + 2 * FULL_S[1] * self.ways
 
-    async def watch_storm(self, found: Found) -> None:
+    async def watch_storm(self, found: Measurements) -> None:
         """The most that each node is behind: since when a version is in force that is newer than its own."""
         cluster = self.cluster
         root = cluster.root
@@ -171,7 +171,7 @@
             await asyncio.sleep(0.02)
         found.behind_s += most_s.values()
 
-    async def lag(self, found: Found) -> None:
+    async def lag(self, found: Measurements) -> None:
         """How long each node is behind the newest version, counted from its commit at the root."""
         cluster = self.cluster
         root = cluster.root
@@ -187,7 +187,7 @@
             await asyncio.sleep(0.01)
         found.behind_s += [MOST_S] * len(waiting)
 
-    async def play(self, case: str, found: Found) -> None:
+    async def play(self, case: str, found: Measurements) -> None:
         cluster = self.cluster
         # In a storm an older version that moves comes first: the newest is packed on it.
         self.ways = ("full links" in case) * (2 if "storm" in case else 1)
@@ -228,9 +228,9 @@
 )
 
 
-def measure(case: str, seeds: Iterable[int], edges: int = EDGES) -> Found:
+def measure(case: str, seeds: Iterable[int], edges: int = EDGES) -> Measurements:
     """Play a case for each seed. Raises AssertionError where a callback of a node failed."""
-    found = Found()
+    found = Measurements()
     for seed in seeds:
         fleet = Fleet(seed, edges)
         try:
--- a/lab/footprint.py
+++ b/lab/footprint.py
@@ -40,7 +40,7 @@
 from lab.system import System
 
 T = TypeVar("T")
-Found = dict[str, float]
+Measurements = dict[str, float]
 
 #: Servers of a service, as at the target: 28,000 in 1,100 services.
 EACH = 25
@@ -90,7 +90,7 @@
 # -- routes ------------------------------------------------------------------------------------------------
 
 
-def routes(size: int) -> Found:
+def routes(size: int) -> Measurements:
     """A configuration of so many routes on 60 hosts: reading it, its table, one changed route."""
     services = services_of(size)
     base = many_routes(1, size, services=services)
@@ -115,7 +115,7 @@
     return found | trial_routes(read, table)
 
 
-def changed(base: bytes, body: bytes) -> Found:
+def changed(base: bytes, body: bytes) -> Measurements:
     """Packing and unpacking, whole and where only a route has changed."""
     whole, whole_ms = timed(lambda: delta.pack(body))
     part, part_ms = timed(lambda: delta.pack(body, base))
@@ -141,7 +141,7 @@
     return 1000 * timed(look)[1] / LOOKUPS
 
 
-def trial_routes(read: configuration.Configuration, table: RoutingTable) -> Found:
+def trial_routes(read: configuration.Configuration, table: RoutingTable) -> Measurements:
     made, build_ms = timed(lambda: packed_blobs.Routes(read))
     wanted = [(channel.host, channel.prefix + "x") for channel in read.routes]
     one = read.routes[len(read.routes) // 2]
@@ -160,7 +160,7 @@
     }
 
 
-def tenants(size: int) -> Found:
+def tenants(size: int) -> Measurements:
     """So many routes, each on a host of its own, against as many on 60 hosts."""
     own = configuration.read_committed(many_routes(1, size, hosts=size))
     few = configuration.read_committed(many_routes(1, size))
@@ -186,7 +186,7 @@
     )
 
 
-def servers(size: int) -> Found:
+def servers(size: int) -> Measurements:
     """So many servers in a 25th as many services: the list at the root and at a node, and the data plane's part."""
     services = max(size // EACH, 1)
     rows = [server(number, services) for number in range(size)]
@@ -245,7 +245,7 @@
     )
 
 
-async def planes(rows: Sequence[endpoint_list.Endpoint], services: int) -> Found:
+async def planes(rows: Sequence[endpoint_list.Endpoint], services: int) -> Measurements:
     """A data plane with those servers and a route to each service: what it holds, and what its timers do while it is
     idle, as a share of a core: one after another, so less than in a process that wakes for each (`lab hollow`)."""
     body = many_routes(1, services, services=services)
@@ -279,7 +279,7 @@
     }
 
 
-def services(size: int) -> Found:
+def services(size: int) -> Measurements:
     """So many services of one server each."""
     rows = [server(number, size) for number in range(size)]
     found = asyncio.run(planes(rows, size))
@@ -293,7 +293,7 @@
     }
 
 
-def samples(size: int) -> Found:
+def samples(size: int) -> Measurements:
     """So many answers in one class's percentiles; and as many classes with a thousand answers each."""
 
     def fill() -> LatencyPercentile:
@@ -319,7 +319,7 @@
     )
 
 
-def nodes(size: int) -> Found:
+def nodes(size: int) -> Measurements:
     """The root's roster of so many nodes: all join, renew, and one goes and comes back amid renewals."""
     found = roster_costs(NodeRegistry, size)
     trial = roster_costs(packed_blobs.RingRegistry, size)
@@ -328,16 +328,16 @@
     }
 
 
-def roster_costs(kind: type[NodeRegistry], size: int) -> Found:
-    roster = kind("edge-0")
+def roster_costs(kind: type[NodeRegistry], size: int) -> Measurements:
+    registry = kind("edge-0")
 
     def tell(number: int, at_s: float) -> frames.ParentAssignment:
-        roster.register(join_of(number), at_s)
-        return roster.assignment(f"edge-{number}", 1, ("10.0.0.1",) * 5, "10.0.0.1", size)
+        registry.register(join_of(number), at_s)
+        return registry.assignment(f"edge-{number}", 1, ("10.0.0.1",) * 5, "10.0.0.1", size)
 
     def churn() -> None:
         for number in range(1, 6):
-            roster.remove(f"edge-{number}")
+            registry.remove(f"edge-{number}")
             tell(0, 2.0)
             tell(number, 2.0)
 
@@ -357,7 +357,7 @@
     }
 
 
-def digests(size: int) -> Found:
+def digests(size: int) -> Measurements:
     """So many versions that were taken, by number and digest."""
     return {
         "taken_kb": held(
@@ -366,12 +366,12 @@
     }
 
 
-def connections(size: int) -> Found:
+def connections(size: int) -> Measurements:
     """So many clients' connections that rest, at one listener; the client's end, a bare socket, is in it too."""
     return asyncio.run(resting(size))
 
 
-async def resting(size: int) -> Found:
+async def resting(size: int) -> Measurements:
     gate = Gateway(settings_of("edge-1", "127.0.0.1", "zone-0", Task([], [], [1, 2])))
     frontend = Frontend(gate, size + 10, 0, gate.limits)
     await frontend.listen("127.0.0.1", 0)
@@ -390,12 +390,12 @@
     return found
 
 
-def requests(size: int) -> Found:
+def requests(size: int) -> Measurements:
     """Requests in a row over one real node with so many routes, on a kept connection; servers that answer at once."""
     return asyncio.run(asked(size))
 
 
-async def asked(size: int) -> Found:
+async def asked(size: int) -> Measurements:
     """Processor time is the node's alone; times are of the whole way, with the stand-in servers in it."""
     platform = Platform(page=1000)
     await platform.listen()
@@ -434,7 +434,7 @@
 
 
 #: Families: what is measured, at which sizes, and the size at the target.
-FAMILIES: dict[str, tuple[Callable[[int], Found], tuple[int, ...], int]] = {
+FAMILIES: dict[str, tuple[Callable[[int], Measurements], tuple[int, ...], int]] = {
     "routes": (routes, (1000, 10_000, 48_000), 48_000),
     "tenants": (tenants, (1000, 10_000, 48_000), 85_000),
     "servers": (servers, (1000, 10_000, 28_000), 28_000),
@@ -447,12 +447,12 @@
 }
 
 
-def play(name: str, size: int) -> Found:
+def play(name: str, size: int) -> Measurements:
     logging.disable(logging.CRITICAL)  # the data plane warns of a loop that is late, as it is here on purpose
     return FAMILIES[name][0](size)
 
 
-def measure(name: str, sizes: Sequence[int], repeat: int) -> dict[int, list[Found]]:
+def measure(name: str, sizes: Sequence[int], repeat: int) -> dict[int, list[Measurements]]:
     """Each size so many times, each time in a process of its own, one after another."""
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(1, context, max_tasks_per_child=1) as pool:
@@ -473,7 +473,7 @@
     return (max(values) - min(values)) / abs(middle) if middle else 0.0
 
 
-def rows(found: dict[int, list[Found]], target: int) -> list[dict[str, Any]]:
+def rows(found: dict[int, list[Measurements]], target: int) -> list[dict[str, Any]]:
     """Of each figure: the median at each size, slope an item, exponent, spread at the largest size, and the value at
     the target: as measured where that size was played, else along the line."""
     made = []
@@ -499,7 +499,7 @@
     return f"{value:.3g}" if abs(value) < 1000 else f"{value:.0f}"
 
 
-def table(name: str, found: dict[int, list[Found]], target: int) -> str:
+def table(name: str, found: dict[int, list[Measurements]], target: int) -> str:
     """A family as a Markdown table."""
     sizes = [*found]
     lines = [
--- a/lab/histories/operators.py
+++ b/lab/histories/operators.py
@@ -44,7 +44,7 @@
 
 
 @dataclass
-class Order:
+class PendingWrite:
     """One change, and all that was ever answered to any copy of it."""
 
     call: Call
@@ -65,8 +65,8 @@
     def __init__(self, world: World, seed: int) -> None:
         self.world = world
         self.rng = random.Random(f"operators {seed}")
-        self.orders: list[Order] = []
-        self.copies: dict[int, Order] = {}
+        self.orders: list[PendingWrite] = []
+        self.copies: dict[int, PendingWrite] = {}
         """By the number of the frame that carries one."""
         self.known = 0
         self.seen = [0]
@@ -136,13 +136,13 @@
         number = (base // 10 + 1) * 10 + self.rng.choice((0, 0, 0, 2, 3))
         call = Call(ident, f"crowd {ident}", "replace", self.world.now_s, base=base, body=b"%d:c%d" % (number, ident))
         self.world.callers.calls[ident] = call
-        order = Order(call, self.world.now_s + self.rng.uniform(*PATIENCE_S))
+        order = PendingWrite(call, self.world.now_s + self.rng.uniform(*PATIENCE_S))
         self.orders.append(order)
         for _ in range(self.rng.choice((1, 1, 2, 3))):
             self.send(order)
         self.world.at(self.rng.uniform(*LATER_S), "crowd", "repeat", order)
 
-    def send(self, order: Order) -> None:
+    def send(self, order: PendingWrite) -> None:
         """One copy through one machine, which sends it on again until its own patience ends."""
         ident = next(self.world.numbers) + 1
         self.copies[ident] = order
@@ -159,11 +159,11 @@
         if times > 1:
             self.world.at(AGAIN_S, "crowd", "press", ident, times - 1)
 
-    def turn(self, order: Order) -> None:
+    def turn(self, order: PendingWrite) -> None:
         if order.open(self.world.now_s):
             self.send(order)
 
-    def repeat(self, order: Order) -> None:
+    def repeat(self, order: PendingWrite) -> None:
         """Long after: only by those who were not refused, as the pages have it."""
         if order.call.status in (0, 200):
             self.send(order)
--- a/lab/mutation.py
+++ b/lab/mutation.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class RuleResult:
     """What became of one rule."""
 
     rule: Rule
@@ -106,18 +106,18 @@
     return tuple(dict.fromkeys(names))
 
 
-def try_without(rule: Rule) -> Outcome:
+def try_without(rule: Rule) -> RuleResult:
     """Play the rule's tests on a copy of the tree that lacks it. Raises RuleListError."""
     with scratch() as tree:
         path = tree / rule.file
         path.write_text(without(rule, path.read_text(encoding="utf-8")), encoding="utf-8")
         code, said = run_tests(tree, rule.tests)
     if code in (PASSED, FAILED):
-        return Outcome(rule, noticed_by(said) if code == FAILED else ())
-    return Outcome(rule, (), (said.strip().splitlines() or ["nothing was said"])[-1])
+        return RuleResult(rule, noticed_by(said) if code == FAILED else ())
+    return RuleResult(rule, (), (said.strip().splitlines() or ["nothing was said"])[-1])
 
 
-def table(outcomes: Iterable[Outcome]) -> str:
+def table(outcomes: Iterable[RuleResult]) -> str:
     """Markdown: rule, page, which tests noticed."""
     lines = ["| rule | page | noticed by |", "| --- | --- | --- |"]
     for outcome in outcomes:
--- a/lab/partitions.py
+++ b/lab/partitions.py
@@ -67,7 +67,7 @@
 
 
 @dataclass
-class Found:
+class Measurements:
     """Of one history: seconds, and what was not as it should be."""
 
     root_s: list[float] = field(default_factory=list)
@@ -133,7 +133,7 @@
         self.rng = random.Random(f"history {seed}")
         self.cluster = CutCluster(edges, seed, cores=self.case.cores)
         self.cluster.history = self
-        self.found = Found()
+        self.found = Measurements()
         self.struck: list[Machine] = []
         self.pulses: dict[tuple[str, str], float] = {}
         """When a machine of the core had a pulse of another one last."""
@@ -339,7 +339,7 @@
                 raise result
 
 
-def play(seed: int, case: Case | None = None, edges: int = EDGES) -> tuple[Case, Found]:
+def play(seed: int, case: Case | None = None, edges: int = EDGES) -> tuple[Case, Measurements]:
     history = History(seed, case, edges)
     try:
         history.cluster.run(history.play())
@@ -381,7 +381,7 @@
 class Report:
     """Of many histories: times by who is cut off and which way, and the first histories that broke something."""
 
-    rows: dict[str, Found] = field(default_factory=dict)
+    rows: dict[str, Measurements] = field(default_factory=dict)
     broken: list[tuple[int, str]] = field(default_factory=list)
     played: int = 0
 
@@ -391,9 +391,9 @@
         self.broken += other.broken
         self.played += other.played
 
-    def take(self, name: str, found: Found) -> None:
-        row = self.rows.setdefault(name, Found())
-        for item in fields(Found):
+    def take(self, name: str, found: Measurements) -> None:
+        row = self.rows.setdefault(name, Measurements())
+        for item in fields(Measurements):
             getattr(row, item.name).extend(getattr(found, item.name))
 
     def table(self) -> str:
--- a/lab/power_loss_recovery.py
+++ b/lab/power_loss_recovery.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True)
-class Found:
+class Measurements:
     """Seconds from the last machine's start; infinite where it never came."""
 
     case: Case
@@ -67,7 +67,7 @@
     """One loss of all power."""
 
     def __init__(self, seed: int, case: Case) -> None:
-        self.found = Found(case)
+        self.found = Measurements(case)
         self.case = case
         self.rng = random.Random(f"closing history {seed}")
         self.cluster = Replacing(EDGES, seed, core_mbps=case.mbps, edge_mbps=case.mbps, routes=ROUTES, cores=case.cores)
@@ -146,14 +146,14 @@
         await self.measure(confirmed)
 
 
-def play(seed: int, case: Case | None = None) -> Found:
+def play(seed: int, case: Case | None = None) -> Measurements:
     """One history. Raises AssertionError where a callback of a node failed."""
     history = History(seed, case or Case.drawn(seed))
     history.cluster.play_out(history.play())
     return history.found
 
 
-def broken(found: Found) -> str:
+def broken(found: Measurements) -> str:
     """What a history breaks, if anything."""
     if found.older:
         return f"{found.older} told an older version than the confirmed one"
--- a/lab/replacements.py
+++ b/lab/replacements.py
@@ -78,7 +78,7 @@
 
 
 @dataclass(slots=True)
-class Found:
+class Measurements:
     """What one history showed."""
 
     case: Case
@@ -133,7 +133,7 @@
 
     def __init__(self, seed: int, case: Case) -> None:
         self.case = case
-        self.found = Found(case)
+        self.found = Measurements(case)
         self.rng = random.Random(f"history {seed}")
         self.cluster = Replacing(4, seed, core_mbps=case.mbps, edge_mbps=case.mbps, routes=ROUTES, cores=case.cores)
         self.spares = case.cores
@@ -278,14 +278,14 @@
             await self.lose_another()
 
 
-def play(seed: int, case: Case | None = None) -> Found:
+def play(seed: int, case: Case | None = None) -> Measurements:
     """One history. Raises AssertionError where a callback of a node failed."""
     history = History(seed, case or Case.drawn(seed))
     history.cluster.play_out(history.play())
     return history.found
 
 
-def broken(found: Found) -> str:
+def broken(found: Measurements) -> str:
     """What a history breaks, if anything."""
     worst_s = max(found.replaced_s, default=0.0)
     if worst_s > SYNC_S + LEEWAY_S:
--- a/tests/test_fencing_rules.py
+++ b/tests/test_fencing_rules.py
@@ -358,23 +358,23 @@
 
 
 def test_one_that_does_not_hear_the_root_feeds_nobody_until_it_does() -> None:
-    roster = NodeRegistry("root")
+    registry = NodeRegistry("root")
     for name in ("root", "one", "two"):
-        roster.register(
+        registry.register(
             frames.JoinRequest(name, name, "a", frames.SERVES_CLIENTS, 1, "", epoch=SECOND, acknowledged_epoch=SECOND),
             0.0,
             SECOND,
         )
-    first = next(known.name for known in roster.order("a") if known.name != "root")
+    first = next(known.name for known in registry.order("a") if known.name != "root")
 
     def join(at_s: float, fed: int) -> bool:
         """Whether it may feed others after this join."""
-        roster.register(
+        registry.register(
             frames.JoinRequest(first, first, "a", frames.SERVES_CLIENTS, 1, "", epoch=SECOND, acknowledged_epoch=fed),
             at_s,
             SECOND,
         )
-        return roster.order("a")[1].name == first
+        return registry.order("a")[1].name == first
 
     assert join(1.0, FIRST) and join(1.2, FIRST)
     assert not join(1.0 + DEAF_S, FIRST) and not join(1.7, FIRST)
--- a/tests/test_footprint.py
+++ b/tests/test_footprint.py
@@ -102,8 +102,8 @@
             ring.remove(f"edge-{number}")
         else:
             lost = footprint.join_of(rng.randrange(60)).ip if rng.random() < 0.3 else ""
-            for roster in (usual, ring):
-                roster.register(footprint.join_of(number, lost), float(step))
+            for registry in (usual, ring):
+                registry.register(footprint.join_of(number, lost), float(step))
         for name, known in usual.nodes.items():
             assert ring.parents(ring.nodes[name], "r") == usual.parents(known, "r")
             assert ring.edge_count(known.zone) == usual.edge_count(known.zone)
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -250,12 +250,12 @@
 
 @pytest.mark.parametrize("nodes", [1, 10, 300])
 def test_trees_reach_all_without_a_circle(nodes: int) -> None:
-    roster = NodeRegistry("root")
+    registry = NodeRegistry("root")
     for i in range(nodes):
-        roster.register(
+        registry.register(
             frames.JoinRequest(f"n{i}", f"10.0.{i // 250}.{i % 250}", f"z{i % 3}", frames.SERVES_CLIENTS, 0, ""), 0.0
         )
-    places = {known.ip: roster.assignment(name, 1, ("t",), "root", nodes) for name, known in roster.nodes.items()}
+    places = {known.ip: registry.assignment(name, 1, ("t",), "root", nodes) for name, known in registry.nodes.items()}
     children: dict[str, int] = {}
     for ip, place in places.items():
         up, hops = ip, 0
@@ -269,39 +269,39 @@
 
 
 def test_a_lost_parent_gets_no_children_until_it_joins_again() -> None:
-    roster = NodeRegistry("root")
+    registry = NodeRegistry("root")
     joins = [frames.JoinRequest(f"n{i}", f"10.0.0.{i}", "z", frames.SERVES_CLIENTS, 1, "") for i in range(4)]
     for join in joins:
-        roster.register(join, 0.0)
-    first = roster.order("z")[0]
+        registry.register(join, 0.0)
+    first = registry.order("z")[0]
     child = next(join for join in joins if join.name != first.name)
-    assert roster.assignment(child.name, 1, (), "root", 4).parents[0] == first.ip
-    roster.register(replace(child, lost_parent=first.ip), 1.0)
-    assert first.ip not in roster.assignment(child.name, 1, (), "root", 4).parents
-    roster.register(next(join for join in joins if join.name == first.name), 2.0)
-    assert roster.assignment(child.name, 1, (), "root", 4).parents[0] == first.ip
-    assert roster.expire(11.5) == [join.name for join in joins if join.name not in (first.name,)]
+    assert registry.assignment(child.name, 1, (), "root", 4).parents[0] == first.ip
+    registry.register(replace(child, lost_parent=first.ip), 1.0)
+    assert first.ip not in registry.assignment(child.name, 1, (), "root", 4).parents
+    registry.register(next(join for join in joins if join.name == first.name), 2.0)
+    assert registry.assignment(child.name, 1, (), "root", 4).parents[0] == first.ip
+    assert registry.expire(11.5) == [join.name for join in joins if join.name not in (first.name,)]
 
 
 def test_fast_links_feed_more_than_thin_ones_and_slow_nodes_none() -> None:
-    roster = NodeRegistry("root")
+    registry = NodeRegistry("root")
     core = frames.JoinRequest("core", "10.0.1.1", "z", frames.MAY_BE_MEMBER, 1, "", kbps=30_000)
     edges = [
         frames.JoinRequest(f"n{i}", f"10.0.0.{i}", "z", frames.SERVES_CLIENTS, 1, "", kbps=2_750) for i in range(30)
     ]
     for join in [core, *edges]:
-        roster.register(join, 0.0)
+        registry.register(join, 0.0)
 
     def fed() -> Counter[str]:
-        return Counter(roster.assignment(join.name, 1, (), "root", 30).parents[0] for join in [core, *edges])
+        return Counter(registry.assignment(join.name, 1, (), "root", 30).parents[0] for join in [core, *edges])
 
     by_ip = fed()
     assert by_ip["root"] == 1 and by_ip[core.ip] == MAX_FAN_OUT  # and not 10.9 x 4
     assert max(count for ip, count in by_ip.items() if ip not in ("root", core.ip)) <= FAN_OUT
     relay = next(join for join in edges if by_ip[join.ip])
-    roster.register(replace(relay, flags=frames.SERVES_CLIENTS | frames.IS_OVERLOADED), 1.0)
+    registry.register(replace(relay, flags=frames.SERVES_CLIENTS | frames.IS_OVERLOADED), 1.0)
     assert fed()[relay.ip] == 0
-    roster.register(replace(core, flags=frames.MAY_BE_MEMBER | frames.IS_OVERLOADED), 1.0)
+    registry.register(replace(core, flags=frames.MAY_BE_MEMBER | frames.IS_OVERLOADED), 1.0)
     assert fed()[core.ip] == 0 and sum(fed().values()) == 31
 
 
@@ -452,14 +452,14 @@
 
 
 def test_a_node_that_joins_again_keeps_its_place() -> None:
-    roster = NodeRegistry("root")
+    registry = NodeRegistry("root")
     joins = [frames.JoinRequest(f"n{i}", f"10.0.0.{i}", "z", frames.SERVES_CLIENTS, 1, "") for i in range(9)]
     for join in joins:
-        roster.register(join, 0.0)
-    before = [roster.assignment(join.name, 1, (), "root", 9).parents for join in joins]
+        registry.register(join, 0.0)
+    before = [registry.assignment(join.name, 1, (), "root", 9).parents for join in joins]
     for now_s, join in enumerate(joins):
-        roster.register(join, float(now_s))
-    assert [roster.assignment(join.name, 1, (), "root", 9).parents for join in joins] == before
+        registry.register(join, float(now_s))
+    assert [registry.assignment(join.name, 1, (), "root", 9).parents for join in joins] == before
 
 
 def test_a_beat_that_comes_again_neither_goes_on_nor_counts_as_heard(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_mutation.py
+++ b/tests/test_mutation.py
@@ -9,7 +9,7 @@
 from click.testing import CliRunner
 
 from lab import mutation
-from lab.mutation import ROOT, RULES, Outcome, RuleListError, noticed_by, table, try_without, without
+from lab.mutation import ROOT, RULES, RuleListError, RuleResult, noticed_by, table, try_without, without
 from lab.rules import Rule
 
 SAMPLE = Rule(
@@ -62,7 +62,7 @@
 def test_what_pytest_says_is_told_as_a_table() -> None:
     said = "FAILED tests/test_a.py::test_one[x-1] - assert\nFAILED tests/test_a.py::test_one[y]\nERROR tests/b.py\n"
     assert noticed_by(said) == ("test_one",)
-    rows = table([Outcome(SAMPLE, ("test_one",)), Outcome(SAMPLE, ())]).splitlines()[2:]
+    rows = table([RuleResult(SAMPLE, ("test_one",)), RuleResult(SAMPLE, ())]).splitlines()[2:]
     assert rows == ["| a sample | orders | `test_one` |", "| a sample | orders | **nobody** |"]
 
 
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -17,30 +17,30 @@
 
 
 def test_two_nodes_of_a_zone_make_a_verdict_for_it_once_in_a_rest() -> None:
-    verdicts = OutlierDetector()
-    assert verdicts.report("n1", "a", ["s1"], LISTED, 10.0) == []
-    assert verdicts.report("n1", "a", ["s1"], LISTED, 10.1) == []  # the same one again
-    assert verdicts.report("n2", "b", ["s1"], LISTED, 10.2) == []  # of another zone: it may fail for one alone
-    assert verdicts.report("n3", "a", ["s1", "s2", "s1"], LISTED, 10.3) == ["s1"]
-    assert verdicts.report("n4", "a", ["s1"], LISTED, 10.4) == []  # told of just now
-    assert verdicts.report("n4", "a", ["s1"], LISTED, 10.3 + EJECTION_S) == ["s1"]
+    detector = OutlierDetector()
+    assert detector.report("n1", "a", ["s1"], LISTED, 10.0) == []
+    assert detector.report("n1", "a", ["s1"], LISTED, 10.1) == []  # the same one again
+    assert detector.report("n2", "b", ["s1"], LISTED, 10.2) == []  # of another zone: it may fail for one alone
+    assert detector.report("n3", "a", ["s1", "s2", "s1"], LISTED, 10.3) == ["s1"]
+    assert detector.report("n4", "a", ["s1"], LISTED, 10.4) == []  # told of just now
+    assert detector.report("n4", "a", ["s1"], LISTED, 10.3 + EJECTION_S) == ["s1"]
 
 
 def test_reports_fade_and_leave_nothing_behind() -> None:
-    verdicts = OutlierDetector()
-    verdicts.report("n1", "a", ["s1"], LISTED, 10.0)
-    assert verdicts.report("n2", "a", ["s1"], LISTED, 10.1 + WINDOW_S) == []
-    verdicts.report("n2", "a", ["s1"], LISTED, 11.0 + WINDOW_S)
-    verdicts.forget(100.0)
-    assert not verdicts.reports and not verdicts.ejected
+    detector = OutlierDetector()
+    detector.report("n1", "a", ["s1"], LISTED, 10.0)
+    assert detector.report("n2", "a", ["s1"], LISTED, 10.1 + WINDOW_S) == []
+    detector.report("n2", "a", ["s1"], LISTED, 11.0 + WINDOW_S)
+    detector.forget(100.0)
+    assert not detector.reports and not detector.ejected
 
 
 def test_a_node_that_is_ill_itself_and_a_day_on_which_all_fails_empty_no_zone() -> None:
-    verdicts = OutlierDetector()
+    detector = OutlierDetector()
     everything = [f"s{number}" for number in range(LISTED)]
-    assert verdicts.report("ill", "a", everything, LISTED, 10.0) == []
-    assert verdicts.report("well", "a", ["s1"], LISTED, 10.1) == []  # the other reporter does not count
-    assert verdicts.report("well-too", "a", ["s1"], LISTED, 10.2) == ["s1"]
+    assert detector.report("ill", "a", everything, LISTED, 10.0) == []
+    assert detector.report("well", "a", ["s1"], LISTED, 10.1) == []  # the other reporter does not count
+    assert detector.report("well-too", "a", ["s1"], LISTED, 10.2) == ["s1"]
     busy = OutlierDetector()
     told = []
     for number in range(LISTED):  # a few of each node, so that none looks ill
