--- a/cypressbeam/balancing/__init__.py
+++ b/cypressbeam/balancing/__init__.py
@@ -1,6 +1,6 @@
-"""The decisions of a reverse proxy that spreads requests over HTTP servers, without sockets or clocks.
+"""Load balancing of HTTP requests over a set of servers, free of I/O and clocks.
 
-`Balancer` is the state machine; everything else here is the plain data that goes in and comes out of it.
+`Balancer` is the state machine; the other names are the types of its settings, events and actions.
 """
 
 from cypressbeam.balancing.balancer import Balancer
