--- a/tests/test_four_rules.py
+++ b/tests/test_four_rules.py
@@ -161,7 +161,7 @@
         if name in d.owed:
             d.end(name, pr.AttemptOutcome.OK)
     budget = 3.0 * 0.2 * span_requests / 4
-    assert 1 <= d.cold_peak("new") <= budget and balancer.COLD_MARGIN < 1.0
+    assert 1 <= d.cold_peak("new") <= budget and balancer.COLD_BUDGET_SHARE < 1.0
 
 
 def test_all_servers_cold_or_failing_still_answers_every_request() -> None:
@@ -259,6 +259,6 @@
     name = d.arrive()
     request = d.balancer.requests[name]
     d.balancer.actions = []
-    d.balancer.end(request)
-    d.balancer.end(request)
+    d.balancer.finish(request)
+    d.balancer.finish(request)
     assert sum(isinstance(a, (pr.Refuse, pr.Fail)) for a in d.balancer.actions) == 1
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -66,16 +66,16 @@
 
 def test_with_few_answers_the_tail_is_reckoned_wide_and_narrows_as_more_come() -> None:
     rng = random.Random(3)
-    truth_us = 200_000 * math.exp(0.6 * balancer.TAIL_DEVIATIONS)
+    truth_us = 200_000 * math.exp(0.6 * balancer.TAIL_Z_SCORE)
     waits: list[float] = []
-    for count in (balancer.LEAST_SAMPLES, 80, balancer.MIN_SAMPLES - 1):
+    for count in (balancer.MIN_LOGNORMAL_SAMPLES, 80, balancer.MIN_SAMPLES - 1):
         tails = []
         for _ in range(40):
             seen = balancer.LatencyPercentile()
             for _ in range(count):
                 seen.add(rng.lognormvariate(math.log(200_000), 0.6))
-            tails.append(seen.tail(few=True))
-            assert seen.tail(few=False) == 0.0
+            tails.append(seen.tail_us(allow_estimate=True))
+            assert seen.tail_us(allow_estimate=False) == 0.0
         assert sum(tail > 0.9 * truth_us for tail in tails) >= 38  # hardly ever cuts off what is only slow
         waits.append(sum(tails) / len(tails))
     assert 6 * truth_us > waits[0] > waits[1] > waits[2] > truth_us
@@ -85,7 +85,7 @@
     """Seen on pss-prairie-gate-grown: a lookup at a server that had fallen mute was held until its client gave up."""
     d = Driver(settings(proxies=60))
     d.members(*(entry(f"s{i}") for i in range(60)))
-    settle(d, balancer.LEAST_SAMPLES + 10, 10 * MS)
+    settle(d, balancer.MIN_LOGNORMAL_SAMPLES + 10, 10 * MS)
     d.pass_time(2 * balancer.HOUSEKEEPING_US)
     name = d.arrive()
     (sent,) = d.sends(name)
@@ -101,7 +101,7 @@
 
 
 def test_budget_by_hand() -> None:
-    budget = balancer.RetryBudget(BURST)
+    budget = balancer.TokenBucket(BURST)
     assert sum(budget.spend(S) for _ in range(50)) == BURST
     for _ in range(math.ceil(2 / SHARE) + 1):
         budget.earn(SHARE)
@@ -160,7 +160,7 @@
 def test_no_retries_while_servers_seem_unwell() -> None:
     d = driver("s0", "s1")
     for server in d.balancer.servers.values():
-        server.success = balancer.WELL_FLEET - 0.05
+        server.success = balancer.MIN_FLEET_SUCCESS - 0.05
     name = d.arrive()
     actions = d.end(name, pr.AttemptOutcome.ERROR)
     assert d.answers(name) == [pr.Refuse]
@@ -173,7 +173,7 @@
     server = d.balancer.servers["s0"]
     server.latency_us, server.service_us, server.queue = 50_000.0, 20_000.0, 2.0
     server.out[("x", 0)] = d.now_us
-    d.balancer.refresh(server)
+    d.balancer.refresh_server(server)
     assert server.rank == pytest.approx(50_000 - 20_000 + (1 + 1 * 3 + 2) ** 3 * 20_000)
 
 
@@ -210,7 +210,7 @@
 def test_overload_is_refused_at_once_and_said() -> None:
     d = driver("s0")
     for server in d.balancer.servers.values():
-        server.pace_us = 400.0 * MS
+        server.response_interval_us = 400.0 * MS
     d.arrive(ANYWHERE)
     d.arrive(ANYWHERE)
     name = d.arrive(ANYWHERE)
@@ -222,13 +222,13 @@
 def test_a_refused_client_is_told_when_there_will_be_room(allowed: bool, most_us: int) -> None:
     d = driver("s0", retry_advice=allowed, max_advice_us=most_us)
     for server in d.balancer.servers.values():
-        server.pace_us = 400.0 * MS
+        server.response_interval_us = 400.0 * MS
     for _ in range(3):
         name = d.arrive(ANYWHERE)
     (refusal,) = d.final[name]
     assert isinstance(refusal, pr.Refuse)
     server = d.balancer.servers["s0"]
-    over_us = d.balancer.delay_us(server) - ANYWHERE.latency_target_us / d.balancer.spread
+    over_us = d.balancer.expected_delay_us(server) - ANYWHERE.latency_target_us / d.balancer.latency_spread
     assert over_us > 90 * MS
     if not allowed:
         assert refusal.retry_after_us == 0
@@ -257,7 +257,7 @@
         d.pass_time(5 * MS)
         d.end(name, pr.AttemptOutcome.OK)
     d.pass_time(2 * balancer.TRIAL_US)
-    assert d.balancer.due(server)
+    assert d.balancer.trial_due(server)
 
 
 def after_faults(among: int, of: int) -> list[bool]:
@@ -266,7 +266,7 @@
     for number in range(among):
         server = d.balancer.servers[f"s{number}"]
         for ending in (pr.AttemptOutcome.OK, pr.AttemptOutcome.OK, pr.AttemptOutcome.RESET):
-            d.balancer.observe(
+            d.balancer.record_attempt(
                 d.balancer.requests[d.arrive(SAFE)],
                 server,
                 pr.AttemptEnded("r", 0, server.entry.server, ending, 10 * MS, False, None),
@@ -285,7 +285,7 @@
     d = driver("s0", "s1", "s2", proxies=40)
     for name, endings in (("s0", "x" * 5), ("s1", "ooox" * 4), ("s2", "ooox" * 4)):
         for ending in endings:
-            d.balancer.observe(
+            d.balancer.record_attempt(
                 d.balancer.requests[d.arrive(SAFE)],
                 d.balancer.servers[name],
                 pr.AttemptEnded(
@@ -307,10 +307,10 @@
     d = driver("s0", "s1")
     settle(d, 60, 10 * MS)
     server = d.balancer.servers["s0"]
-    server.tick(d.now_us, math.inf)
+    server.update_waited(d.now_us, math.inf)
     server.out[("x", 0)] = d.now_us
     d.pass_time(1 * S)
-    assert d.balancer.delay_us(server) >= 0.8 * S / balancer.SLACK_PACE
+    assert d.balancer.expected_delay_us(server) >= 0.8 * S / balancer.INTERVAL_SLACK
     for _ in range(20):
         name = d.arrive()
         assert d.sends(name) == ["s1"]
@@ -325,13 +325,15 @@
     server = d.balancer.servers["s0"]
     lost = d.arrive()
     assert d.sends(lost) == ["s0"]
-    d.pass_time(int(2 * d.balancer.presumed_lost_us))
-    assert server.outstanding(d.now_us, d.balancer.presumed_lost_us)[0] == 1 and d.balancer.delay_us(server) > 0
+    d.pass_time(int(2 * d.balancer.lost_after_us))
+    assert server.outstanding(d.now_us, d.balancer.lost_after_us)[0] == 1 and d.balancer.expected_delay_us(server) > 0
     later = d.arrive()
     assert d.sends(later) == ["s0"]
     d.pass_time(5 * MS)
     d.end(later, pr.AttemptOutcome.OK)
-    assert server.outstanding(d.now_us, d.balancer.presumed_lost_us)[0] == 0 and d.balancer.delay_us(server) == 0.0
+    assert (
+        server.outstanding(d.now_us, d.balancer.lost_after_us)[0] == 0 and d.balancer.expected_delay_us(server) == 0.0
+    )
     assert len(server.out) == 1  # it is still out at the server
 
 
@@ -339,9 +341,9 @@
     """A reported 0 ranked a new server first whatever it had in hand."""
     d = driver("s0", "s1")
     server = d.balancer.servers["s0"]
-    server.learn(pr.Report(queue=0.0, service_us=0.0))
+    server.apply_report(pr.Report(queue=0.0, service_us=0.0))
     assert server.service_us is None
-    server.learn(pr.Report(queue=0.0, service_us=9000.0))
+    server.apply_report(pr.Report(queue=0.0, service_us=9000.0))
     assert server.service_us == 9000.0
 
 
@@ -351,7 +353,7 @@
         name = d.arrive(key=f"k{number}")
         d.pass_time(5 * MS)
         d.end(name, pr.AttemptOutcome.OK)
-    assert len(d.balancer.met) == len(d.balancer.affinity) == 50
+    assert len(d.balancer.key_servers) == len(d.balancer.affinity) == 50
     out = d.arrive(key="last")
     gone = d.sends(out)[0]
     d.feed(pr.ListChanged(9, pr.ListScope.CHANGES, (entry(gone, state=pr.ServerState.GONE),)))
@@ -359,8 +361,10 @@
     assert gone in d.balancer.servers  # something is still out there
     d.end(out, pr.AttemptOutcome.OK)
     for _ in range(3):
-        d.pass_time(balancer.KEY_MEMORY_US)
-    assert not (d.balancer.met or d.balancer.met_before or d.balancer.affinity or d.balancer.previous_affinity)
+        d.pass_time(balancer.KEY_RETENTION_US)
+    assert not (
+        d.balancer.key_servers or d.balancer.previous_key_servers or d.balancer.affinity or d.balancer.previous_affinity
+    )
     assert gone not in d.balancer.servers and len(d.balancer.servers) == 1
 
 
@@ -376,15 +380,15 @@
 def test_class_never_answered_does_not_push_the_others_aside() -> None:
     d = driver("s0", "s1")
     settle(d, 60, 10 * MS)
-    assert set(d.balancer.standing.values()) == {1.0}
+    assert set(d.balancer.limit_factors.values()) == {1.0}
 
 
 def test_reported_slowness_counts_as_choked() -> None:
     d = driver("s0")
     server = d.balancer.servers["s0"]
-    server.usual_us, server.service_us = 100.0, 100.0 * balancer.SLOW_SERVICE - 1
+    server.baseline_service_us, server.service_us = 100.0, 100.0 * balancer.SLOW_SERVICE_RATIO - 1
     assert not d.balancer.is_saturated(server)
-    server.service_us = 100.0 * balancer.SLOW_SERVICE + 1
+    server.service_us = 100.0 * balancer.SLOW_SERVICE_RATIO + 1
     assert d.balancer.is_saturated(server)
 
 
@@ -392,22 +396,22 @@
     """Seen in icbf3aa: new servers were filled without bound until their first answer, and choked."""
     d = driver("s0")
     d.members(entry("new", started_us=d.now_us), scope=pr.ListScope.CHANGES)
-    d.balancer.servers["s0"].pace_us = 30.0 * MS
+    d.balancer.servers["s0"].response_interval_us = 30.0 * MS
     d.balancer.refresh_all()
     new = d.balancer.servers["new"]
-    assert d.balancer.delay_us(new) == 0.0
-    new.out[("x", 0)] = new.since_us = d.now_us
-    assert d.balancer.delay_us(new) == pytest.approx(30 * MS / 0.2)
+    assert d.balancer.expected_delay_us(new) == 0.0
+    new.out[("x", 0)] = new.wait_updated_us = d.now_us
+    assert d.balancer.expected_delay_us(new) == pytest.approx(30 * MS / 0.2)
 
 
 def test_seldom_but_prompt_answers_are_no_choke() -> None:
     """Seen on cardiff: once the load fell, servers with little in hand counted as choked and rested."""
     d = driver("s0")
     server = d.balancer.servers["s0"]
-    server.usual_pace_us, server.pace_us = 10.0, 10.0 * balancer.CHOKED + 1
-    server.usual_latency_us = server.latency_us = 100.0
+    server.baseline_interval_us, server.response_interval_us = 10.0, 10.0 * balancer.SATURATION_RATIO + 1
+    server.baseline_latency_us = server.latency_us = 100.0
     assert not d.balancer.is_saturated(server)
-    server.latency_us = 100.0 * balancer.CHOKED + 1
+    server.latency_us = 100.0 * balancer.SATURATION_RATIO + 1
     assert d.balancer.is_saturated(server)
 
 
@@ -416,12 +420,14 @@
     d = driver("s0", "s1", warm_keys=True)
     settle(d, 40, 10 * MS)
     for server in d.balancer.servers.values():
-        server.out[("x", 0)] = server.since_us = d.now_us
+        server.out[("x", 0)] = server.wait_updated_us = d.now_us
         server.waited_us = 0
     d.balancer.refresh_all()
-    limit_us = SAFE.latency_target_us / d.balancer.spread
+    limit_us = SAFE.latency_target_us / d.balancer.latency_spread
     for server in d.balancer.servers.values():
-        server.pace_us = server.usual_pace_us = limit_us * (balancer.AWAY + 1.0) / 2
+        server.response_interval_us = server.baseline_interval_us = (
+            limit_us * (balancer.UNKNOWN_KEY_LIMIT_FACTOR + 1.0) / 2
+        )
     d.balancer.affinity["k"] = "nowhere"
     assert d.answers(d.arrive(key="k")) == [pr.Refuse]
     d.balancer.affinity["l"] = "s0"
@@ -434,10 +440,10 @@
     d.members(entry("near"), entry("far", zone="b"), scope=pr.ListScope.SAVED)
     for server in d.balancer.servers.values():
         server.latency_us = server.service_us = 10_000.0
-        d.balancer.refresh(server)
+        d.balancer.refresh_server(server)
     near, far = d.balancer.servers["near"], d.balancer.servers["far"]
     assert near.rank == pytest.approx(10_000)
-    assert far.rank == pytest.approx((1 + balancer.CROSSING * 0.04) ** 3 * 10_000)
+    assert far.rank == pytest.approx((1 + balancer.CROSS_ZONE_LOAD * 0.04) ** 3 * 10_000)
 
 
 def test_uncrowded_latency_is_not_lifted_by_a_jam() -> None:
@@ -445,12 +451,12 @@
     d = driver("s0")
     settle(d, 40, 10 * MS)
     server = d.balancer.servers["s0"]
-    before = server.usual_latency_us or 0.0
+    before = server.baseline_latency_us or 0.0
     settle(d, 20, 100 * MS)
     assert (server.latency_us or 0.0) > 5 * before
-    assert (server.usual_latency_us or 0.0) < 3 * before
+    assert (server.baseline_latency_us or 0.0) < 3 * before
     settle(d, 60, 10 * MS)
-    assert (server.usual_latency_us or 0.0) < 1.6 * before
+    assert (server.baseline_latency_us or 0.0) < 1.6 * before
 
 
 def test_a_class_waits_by_its_own_aim() -> None:
@@ -458,7 +464,7 @@
     patient = pr.RequestClass("patient", pr.Repeat.SAFE, latency_target_us=2 * S, deadline_us=4 * S)
     d = Driver(settings(classes=(SAFE, patient)))
     d.members(entry("s0"), scope=pr.ListScope.SAVED)
-    d.balancer.servers["s0"].pace_us = 400.0 * MS
+    d.balancer.servers["s0"].response_interval_us = 400.0 * MS
     assert d.sends(d.arrive(patient)) and d.sends(d.arrive(patient))
     assert not d.sends(d.arrive(SAFE))
     assert d.sends(d.arrive(patient))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,10 +21,10 @@
     many = fleet(200, tuple(entry(f"s{i}") for i in range(40)))
     users = {f"s{i}": 0 for i in range(40)}
     for one in many:
-        assert balancer.POOL_LEAST <= len(one.pool) <= 10
+        assert balancer.MIN_POOL_SIZE <= len(one.pool) <= 10
         for server in one.pool:
             users[server.entry.server] += 1
-    each = 200 * balancer.POOL_LEAST / 40  # the least set is the larger one here
+    each = 200 * balancer.MIN_POOL_SIZE / 40  # the least set is the larger one here
     assert max(users.values()) <= each + 5
     assert min(users.values()) >= each - 5
 
@@ -126,9 +126,9 @@
 def test_a_server_that_reports_slower_service_is_drawn_less() -> None:
     one = fleet(40, tuple(entry(f"s{i}") for i in range(20)))[0]
     for name, server in one.servers.items():
-        server.learn(pr.Report(0.0, (40.0 if name == "s0" else 10.0) * MS))
+        server.apply_report(pr.Report(0.0, (40.0 if name == "s0" else 10.0) * MS))
     one.refresh_all()
-    drawn = one.capacity_of(one.servers["s0"]) / one.capacity_of(one.servers["s1"])
+    drawn = one.estimated_capacity(one.servers["s0"]) / one.estimated_capacity(one.servers["s1"])
     assert abs(drawn - 0.25) < 0.01
 
 
@@ -173,26 +173,26 @@
         d.pass_time(600 * MS)
         if name in d.owed:
             d.end(name, pr.AttemptOutcome.OK)
-    assert d.balancer.throttle.should_shed() > 0.3
+    assert d.balancer.throttle.shed_share() > 0.3
     few.members(*(entry(f"s{i}") for i in range(10)), scope=pr.ListScope.SAVED)
-    few.balancer.throttle.passing = 0.1
+    few.balancer.throttle.admission = 0.1
     assert all(few.sends(few.arrive()) for _ in range(20))  # few proxies see queues in their own attempts
     for _ in range(400):
         name = d.arrive(SAFE)
         d.pass_time(50 * MS)
         if name in d.owed:
             d.end(name, pr.AttemptOutcome.OK)
-    assert d.balancer.throttle.should_shed() == 0.0
+    assert d.balancer.throttle.shed_share() == 0.0
 
 
 def test_a_late_answer_among_prompt_ones_is_chance() -> None:
     throttle = balancer.AdaptiveThrottle()
     for n, good in enumerate((True, True, False)):
-        throttle.count(good, n * 100 * MS)
-    assert throttle.should_shed() == 0.0
+        throttle.record(good, n * 100 * MS)
+    assert throttle.shed_share() == 0.0
     for n in range(10):
-        throttle.count(False, S + n * 100 * MS)
-    assert throttle.should_shed() > 0.4
+        throttle.record(False, S + n * 100 * MS)
+    assert throttle.shed_share() > 0.4
 
 
 def test_a_throttle_refuses_the_cheap_before_the_dear() -> None:
@@ -216,34 +216,39 @@
         return sent
 
     assert set(play(100).values()) == {100}
-    d.balancer.throttle.passing = 0.5
-    d.balancer.throttle.judged = 1e9  # so that it stays there
+    d.balancer.throttle.admission = 0.5
+    d.balancer.throttle.recent_count = 1e9  # so that it stays there
     sent = play(400)
     assert sent["payment"] > 350 and 100 < sent["profile"] < 260 and sent["map"] < 80
     assert 500 < sum(sent.values()) < 700  # half of the work in all, as the throttle says
 
 
 def test_what_one_class_does_not_need_is_left_to_the_others() -> None:
-    demand = balancer.TenantDemand(["cheap", "dear"])
+    demand = balancer.ClassDemand(["cheap", "dear"])
     value_per_work = {"cheap": 0.1, "dear": 1.0}
     for n in range(100):
-        demand.count("cheap" if n % 4 else "dear", 1.0, 1000 * n)
-    assert demand.passing("dear", 1.0, value_per_work) == demand.passing("cheap", 1.0, value_per_work) == 1.0
+        demand.record("cheap" if n % 4 else "dear", 1.0, 1000 * n)
+    assert (
+        demand.admitted_share("dear", 1.0, value_per_work) == demand.admitted_share("cheap", 1.0, value_per_work) == 1.0
+    )
     for share in (0.1, 0.25, 0.5, 0.9):
-        passed = {name: demand.passing(name, share, value_per_work) * asked for name, asked in demand.asked.items()}
-        assert abs(sum(passed.values()) - share * sum(demand.asked.values())) < 1e-6
-        assert passed["dear"] / demand.asked["dear"] >= passed["cheap"] / demand.asked["cheap"]
+        passed = {
+            name: demand.admitted_share(name, share, value_per_work) * asked
+            for name, asked in demand.offered_work.items()
+        }
+        assert abs(sum(passed.values()) - share * sum(demand.offered_work.values())) < 1e-6
+        assert passed["dear"] / demand.offered_work["dear"] >= passed["cheap"] / demand.offered_work["cheap"]
 
 
 def test_throttle_opens_soon_after_a_burst() -> None:
     """Seen in ib51557: a throttle that counted its own refusals as bad stayed shut at half the load."""
     throttle = balancer.AdaptiveThrottle()
     for n in range(40):
-        throttle.count(False, n * 25 * MS)
+        throttle.record(False, n * 25 * MS)
     now_us = S
-    while throttle.should_shed() > 0.0:
-        now_us += int(150 * MS / (1.0 - throttle.should_shed()))  # 7 arrivals a second, less what is refused
-        throttle.count(True, now_us)
+    while throttle.shed_share() > 0.0:
+        now_us += int(150 * MS / (1.0 - throttle.shed_share()))  # 7 arrivals a second, less what is refused
+        throttle.record(True, now_us)
     assert now_us < 60 * S
 
 
@@ -264,7 +269,7 @@
     d.members(*(entry(f"s{i}") for i in range(10)), scope=pr.ListScope.SAVED)
     refused = {"loud": 0, "calm": 0}
     for n in range(80):
-        d.balancer.throttle.passing = 1.1
+        d.balancer.throttle.admission = 1.1
         tenant = "calm" if n % 8 == 0 else "loud"
         name = f"t{n}"
         actions = d.balancer.handle(d.now_us, pr.RequestArrived(name, "safe", d.now_us + S, tenant))
@@ -286,17 +291,17 @@
     """Seen in review: the cancelled attempt of a client that left before the aim passed for a good answer."""
     d = Driver(settings(proxies=200))
     d.members(*(entry(f"s{i}") for i in range(10)), scope=pr.ListScope.SAVED)
-    d.balancer.throttle.passing = 1.0
+    d.balancer.throttle.admission = 1.0
     name = d.arrive()
     d.pass_time(50 * MS)
     d.gone(name)
     d.end(name, pr.AttemptOutcome.CANCELLED)
-    assert d.balancer.throttle.passing == 1.0
+    assert d.balancer.throttle.admission == 1.0
     name = d.arrive()
     d.pass_time(SAFE.latency_target_us + MS)
     d.gone(name)
     d.end(name, pr.AttemptOutcome.CANCELLED)
-    assert d.balancer.throttle.passing < 1.0
+    assert d.balancer.throttle.admission < 1.0
 
 
 def test_a_tenant_over_its_share_keeps_its_share() -> None:
@@ -305,7 +310,7 @@
     d.members(*(entry(f"s{i}") for i in range(10)), scope=pr.ListScope.SAVED)
     served = 0
     for n in range(400):  # four a second, and its part here is one
-        d.balancer.throttle.passing = 1.1
+        d.balancer.throttle.admission = 1.1
         d.now_us += 250 * MS
         for action in d.balancer.handle(d.now_us, pr.RequestArrived(f"t{n}", "safe", d.now_us + S, "loud")):
             if isinstance(action, pr.Send):
@@ -343,7 +348,7 @@
     d = Driver(settings(proxies=200))
     d.members(*(entry(f"s{i}") for i in range(60)), scope=pr.ListScope.SAVED)
     for server in d.balancer.pool:
-        server.success = balancer.WELL_FLEET - 0.05
+        server.success = balancer.MIN_FLEET_SUCCESS - 0.05
     name = d.arrive()
     d.end(name, pr.AttemptOutcome.ERROR)
     assert d.answers(name) == [pr.Refuse]
@@ -361,7 +366,7 @@
         d.pass_time(600 * MS if near or late_away else 20 * MS)
         if name in d.owed:
             d.end(name, pr.AttemptOutcome.OK)
-    d.balancer.throttle.passing = 0.1
+    d.balancer.throttle.admission = 0.1
     return d
 
 
@@ -376,7 +381,7 @@
         if name in d.owed:
             d.end(name, pr.AttemptOutcome.OK)
     assert len(sent) == 40 and sum(server.startswith("b") for server in sent) > 25
-    assert d.balancer.throttle.should_shed() > 0.5  # what other zones answer in time does not open it here
+    assert d.balancer.throttle.shed_share() > 0.5  # what other zones answer in time does not open it here
 
 
 def test_what_would_be_late_there_too_is_refused() -> None:
