--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,191 +1,194 @@
-"""What each of hundreds of proxies does by itself so that all together behave."""
+"""Behaviour that emerges from many independent balancers, up to hundreds of proxies."""
 
 from __future__ import annotations
 
 from itertools import pairwise
 
-from cypressbeam import balancing as pr
+from cypressbeam import balancing
 from cypressbeam.balancing import balancer
 from tests.driver import ANYWHERE, CELLED, MS, SAFE, UNSAFE, Driver, S, entry, settings
 
 
-def fleet(proxies: int, servers: tuple[pr.ServerEntry, ...], **changes: object) -> list[pr.Balancer]:
-    many = [pr.Balancer(settings(proxies=proxies, own_name=me, **changes), me) for me in range(proxies)]
-    for one in many:
-        one.handle(100 * S, pr.ListChanged(1, pr.ListScope.WHOLE, servers))
-    return many
+def make_fleet(proxies: int, servers: tuple[balancing.ServerEntry, ...], **changes: object) -> list[balancing.Balancer]:
+    fleet = [
+        balancing.Balancer(settings(proxies=proxies, own_name=index, **changes), index) for index in range(proxies)
+    ]
+    for proxy in fleet:
+        proxy.handle(100 * S, balancing.ListChanged(1, balancing.ListScope.WHOLE, servers))
+    return fleet
 
 
-def test_working_sets_are_small_and_cover_all_servers_evenly() -> None:
-    """Seen on lahore big-2: 200 proxies, each connected to all servers, found half of the tables full."""
-    many = fleet(200, tuple(entry(f"s{i}") for i in range(40)))
-    users = {f"s{i}": 0 for i in range(40)}
-    for one in many:
-        assert balancer.MIN_POOL_SIZE <= len(one.pool) <= 10
-        for server in one.pool:
-            users[server.entry.server] += 1
-    each = 200 * balancer.MIN_POOL_SIZE / 40  # the least set is the larger one here
-    assert max(users.values()) <= each + 5
-    assert min(users.values()) >= each - 5
+def test_pools_are_small_and_cover_all_servers_evenly() -> None:
+    """If each of 200 proxies connects to every server, the connection tables of the servers fill up."""
+    fleet = make_fleet(200, tuple(entry(f"s{i}") for i in range(40)))
+    proxies_of = {f"s{i}": 0 for i in range(40)}
+    for proxy in fleet:
+        assert balancer.MIN_POOL_SIZE <= len(proxy.pool) <= 10
+        for server in proxy.pool:
+            proxies_of[server.entry.server] += 1
+    expected = 200 * balancer.MIN_POOL_SIZE / 40  # here the minimum pool size applies
+    assert max(proxies_of.values()) <= expected + 5
+    assert min(proxies_of.values()) >= expected - 5
 
 
-def test_forty_proxies_use_a_part_of_sixty_servers_each_and_all_of_them_together() -> None:
-    """Seen on join+vast: a proxy that used all 60 heard of each once in 2.5 s and knew none of them."""
+def test_each_of_forty_proxies_uses_a_part_of_sixty_servers() -> None:
+    """A proxy that uses all 60 servers gets a response from each once in 2.5 s, too rarely to judge any of them."""
     rows = tuple(entry(f"{zone}{i}", zone) for zone in "abcd" for i in range(15))
-    many = fleet(40, rows)
-    for one in many:
-        zones = [server.entry.zone for server in one.pool]
+    fleet = make_fleet(40, rows)
+    for proxy in fleet:
+        zones = [server.entry.zone for server in proxy.pool]
         assert zones.count("a") == 15 and len(zones) <= 24
-    away = {server.entry.server for one in many for server in one.pool if server.entry.zone != "a"}
-    assert len(away) == 45
+    remote_servers = {server.entry.server for proxy in fleet for server in proxy.pool if server.entry.zone != "a"}
+    assert len(remote_servers) == 45
 
 
 def test_few_proxies_use_every_server() -> None:
-    assert all(len(one.pool) == 40 for one in fleet(3, tuple(entry(f"s{i}") for i in range(40))))
+    assert all(len(proxy.pool) == 40 for proxy in make_fleet(3, tuple(entry(f"s{i}") for i in range(40))))
 
 
-def test_working_set_prefers_the_own_zone_and_keeps_some_elsewhere() -> None:
+def test_pool_prefers_the_own_zone_and_includes_others() -> None:
     rows = tuple(entry(f"{zone}{i}", zone) for zone in "ab" for i in range(20))
-    for one in fleet(200, rows):
-        zones = [server.entry.zone for server in one.pool]
+    for proxy in make_fleet(200, rows):
+        zones = [server.entry.zone for server in proxy.pool]
         assert zones.count("a") > zones.count("b") > 0
 
 
-def test_hundreds_of_proxies_together_stay_within_a_cold_servers_budget() -> None:
-    """Seen on jakarta big-1: one send a span from each proxy was 3.7 times what a cold server could do."""
+def test_hundreds_of_proxies_together_stay_within_the_budget_of_a_cold_server() -> None:
+    """One request from each proxy within the span was 3.7 times what a cold server could handle."""
     rows = tuple(entry(f"s{i}") for i in range(29))
-    many = fleet(300, (*rows, entry("new", started_us=100 * S)))
+    fleet = make_fleet(300, (*rows, entry("new", started_us=100 * S)))
     sent = arrivals = 0
     now_us = 100 * S
-    for n in range(4000):  # the load of two seconds at about full capacity
+    for n in range(4000):  # two seconds of load near full capacity
         now_us += 500
-        one = many[n * 7 % 300]
-        for action in one.handle(now_us, pr.RequestArrived(f"r{n}", "safe", now_us + S)):
-            if isinstance(action, pr.Send):
+        proxy = fleet[n * 7 % 300]
+        for action in proxy.handle(now_us, balancing.RequestArrived(f"r{n}", "safe", now_us + S)):
+            if isinstance(action, balancing.Send):
                 arrivals += 1
                 sent += action.server == "new"
-    budget = 3.0 * 0.2 * arrivals / 30  # multiple x cold share x a warm server's part of all work
+    budget = 3.0 * 0.2 * arrivals / 30  # overload multiple x cold share x a warm server's share
     assert arrivals > 3500 and 0 < sent <= budget
 
 
-def spread(many: list[pr.Balancer], count: int) -> dict[str, int]:
-    """How many of so many requests each server gets, all answered at once."""
+def serve_all(fleet: list[balancing.Balancer], count: int) -> dict[str, int]:
+    """Serve a number of requests, all answered promptly, and count them by server."""
     sent: dict[str, int] = {}
     now_us = 101 * S
     for n in range(count):
         now_us += MS
-        one, name = many[n % len(many)], f"r{n}"
-        for action in one.handle(now_us, pr.RequestArrived(name, "safe", now_us + S)):
-            if isinstance(action, pr.Send):
+        proxy, name = fleet[n % len(fleet)], f"r{n}"
+        for action in proxy.handle(now_us, balancing.RequestArrived(name, "safe", now_us + S)):
+            if isinstance(action, balancing.Send):
                 sent[action.server] = sent.get(action.server, 0) + 1
-                report = pr.Report(0.0, 10.0 * MS)
-                ended = pr.AttemptEnded(name, 0, action.server, pr.AttemptOutcome.OK, 100, True, report)
-                one.handle(now_us + 100, ended)
+                report = balancing.Report(0.0, 10.0 * MS)
+                ended = balancing.AttemptEnded(name, 0, action.server, balancing.AttemptOutcome.OK, 100, True, report)
+                proxy.handle(now_us + 100, ended)
     return sent
 
 
-def test_cold_servers_carry_their_part_while_most_are_cold() -> None:
-    """Seen on join+vast: 36 of 60 servers were cold and got 2% of all requests; the warm ones jammed."""
+def test_cold_servers_take_their_share_while_most_servers_are_cold() -> None:
+    """With 36 of 60 servers cold, these got only 2% of all requests while the warm ones were overloaded."""
     warm = tuple(entry(f"w{i}") for i in range(24))
-    many = fleet(40, (*warm, *(entry(f"c{i}", started_us=100 * S) for i in range(36))))
-    sent = spread(many, 4000)
-    capacity = 24 + 36 * 0.2  # they start at a fifth, and warm up in ten seconds
+    fleet = make_fleet(40, (*warm, *(entry(f"c{i}", started_us=100 * S) for i in range(36))))
+    sent = serve_all(fleet, 4000)
+    capacity = 24 + 36 * 0.2  # they start at a fifth and reach full capacity in ten seconds
     cold = [sent.get(f"c{i}", 0) for i in range(36)]
     assert 0.7 * 36 * 0.2 / capacity < sum(cold) / 4000 < 2.0 * 36 * 0.2 / capacity
-    assert max(cold) < 3.0 * 4000 / capacity * 0.45  # none near the fall, at three times its warmth of then
+    assert max(cold) < 3.0 * 4000 / capacity * 0.45  # none near overload, at three times its capacity by then
 
 
-def crossed(one: pr.Balancer, count: int, near_us: int) -> float:
-    """The share of so many requests that went to zone b, where answers are prompt, and not to zone a."""
-    away = 0
+def remote_share(proxy: balancing.Balancer, count: int, local_latency_us: int) -> float:
+    """The share of requests that went to zone b, where responses are prompt, instead of the local zone a."""
+    remote_count = 0
     for n in range(count):
-        name, sent_us = f"r{one.now_us}", one.now_us + 40 * MS
-        for action in one.handle(sent_us, pr.RequestArrived(name, "safe", sent_us + S)):
-            if isinstance(action, pr.Send):
-                far = action.server.startswith("b")
-                away += far
-                took_us = 10 * MS if far else near_us
-                ended = pr.AttemptEnded(name, 0, action.server, pr.AttemptOutcome.OK, took_us, True)
-                one.handle(sent_us + 10 * MS, ended)
+        name, sent_us = f"r{proxy.now_us}", proxy.now_us + 40 * MS
+        for action in proxy.handle(sent_us, balancing.RequestArrived(name, "safe", sent_us + S)):
+            if isinstance(action, balancing.Send):
+                remote = action.server.startswith("b")
+                remote_count += remote
+                latency_us = 10 * MS if remote else local_latency_us
+                ended = balancing.AttemptEnded(name, 0, action.server, balancing.AttemptOutcome.OK, latency_us, True)
+                proxy.handle(sent_us + 10 * MS, ended)
         if n % 5 == 0:
-            one.refresh_all()
-    return away / count
+            proxy.refresh_all()
+    return remote_count / count
 
 
-def test_requests_cross_more_while_answers_near_by_come_late() -> None:
-    """Seen on zone+vast 3: 12 servers of one zone took 30 requests a second each, those of another 5."""
+def test_more_requests_leave_their_zone_while_local_responses_are_late() -> None:
+    """A fixed price kept 30 requests per second on each of 12 servers of one zone, and 5 on those of another."""
     rows = tuple(entry(f"{zone}{i}", zone) for zone in "ab" for i in range(30))
-    one = fleet(40, rows, prices=pr.Prices(cross_zone=0.08))[0]
-    prompt = crossed(one, 300, 10 * MS)
-    late = crossed(one, 300, 600 * MS)
-    crossed(one, 1500, 10 * MS)
-    after = crossed(one, 300, 10 * MS)
+    proxy = make_fleet(40, rows, prices=balancing.Prices(cross_zone=0.08))[0]
+    prompt = remote_share(proxy, 300, 10 * MS)
+    late = remote_share(proxy, 300, 600 * MS)
+    remote_share(proxy, 1500, 10 * MS)
+    after = remote_share(proxy, 300, 10 * MS)
     assert prompt < 0.1 and late > 0.25 and after < 0.1
 
 
-def test_a_server_that_reports_slower_service_is_drawn_less() -> None:
-    one = fleet(40, tuple(entry(f"s{i}") for i in range(20)))[0]
-    for name, server in one.servers.items():
-        server.apply_report(pr.Report(0.0, (40.0 if name == "s0" else 10.0) * MS))
-    one.refresh_all()
-    drawn = one.estimated_capacity(one.servers["s0"]) / one.estimated_capacity(one.servers["s1"])
-    assert abs(drawn - 0.25) < 0.01
+def test_server_with_a_longer_service_time_is_sampled_less() -> None:
+    proxy = make_fleet(40, tuple(entry(f"s{i}") for i in range(20)))[0]
+    for name, server in proxy.servers.items():
+        server.apply_report(balancing.Report(0.0, (40.0 if name == "s0" else 10.0) * MS))
+    proxy.refresh_all()
+    capacity_ratio = proxy.estimated_capacity(proxy.servers["s0"]) / proxy.estimated_capacity(proxy.servers["s1"])
+    assert abs(capacity_ratio - 0.25) < 0.01
 
 
-def faulty(d: Driver, seconds: int, kind: pr.RequestClass, bad: str) -> list[int]:
-    """When (microseconds) requests went to a server that answers all with errors; the others are prompt."""
-    met = []
+def failures_seen(d: Driver, seconds: int, request_class: balancing.RequestClass, faulty_server: str) -> list[int]:
+    """When requests reached a server that answers everything with errors; the others are prompt."""
+    failure_times_us = []
     for _ in range(seconds * 20):
-        name = d.arrive(kind)
-        while name in d.owed and d.attempts[name]:
-            d.pass_time(20 * MS)
+        name = d.arrive(request_class)
+        while name in d.unanswered and d.attempts[name]:
+            d.advance(20 * MS)
             if d.attempts[name][-1][2] is None:
-                ill = d.attempts[name][-1][0] == bad
-                met += [d.now_us] if ill else []
-                d.end(name, pr.AttemptOutcome.ERROR if ill else pr.AttemptOutcome.OK)
-        d.pass_time(30 * MS)
-    return met
+                failed = d.attempts[name][-1][0] == faulty_server
+                failure_times_us += [d.now_us] if failed else []
+                d.end_attempt(name, balancing.AttemptOutcome.ERROR if failed else balancing.AttemptOutcome.OK)
+        d.advance(30 * MS)
+    return failure_times_us
 
 
-def test_where_many_share_a_server_one_fault_is_enough_and_trials_grow_rare() -> None:
-    """Seen on zone+vast and join+vast: fast errors were met by each of 40 proxies, again and again."""
+def test_with_many_proxies_one_fault_ejects_and_trials_become_rarer() -> None:
+    """A server with fast errors must not receive requests from each of 40 proxies again and again."""
     d = Driver(settings(proxies=40))
-    d.members(*(entry(f"s{i}") for i in range(20)))
-    met = faulty(d, 60, SAFE, d.balancer.pool[0].entry.server)
-    assert 3 <= len(met) <= 7
-    gaps = [after - before for before, after in pairwise(met)]
+    d.update_list(*(entry(f"s{i}") for i in range(20)))
+    failure_times_us = failures_seen(d, 60, SAFE, d.balancer.pool[0].entry.server)
+    assert 3 <= len(failure_times_us) <= 7
+    gaps = [after - before for before, after in pairwise(failure_times_us)]
     assert gaps[0] >= 1.5 * S and gaps[2] >= 6 * S
 
 
-def test_an_unsafe_request_is_never_a_trial() -> None:
+def test_unsafe_requests_are_never_trials() -> None:
     d = Driver(settings(proxies=40))
-    d.members(*(entry(f"s{i}") for i in range(20)))
-    assert len(faulty(d, 60, UNSAFE, d.balancer.pool[0].entry.server)) == 1
+    d.update_list(*(entry(f"s{i}") for i in range(20)))
+    assert len(failures_seen(d, 60, UNSAFE, d.balancer.pool[0].entry.server)) == 1
 
 
-def test_late_answers_throttle_and_prompt_ones_release() -> None:
-    """Seen on lahore big-2: no proxy held more than an attempt or two, and queues grew until all was late."""
+def test_throttle_closes_on_late_responses_and_opens_on_prompt_ones() -> None:
+    """With one or two attempts in flight per proxy, none sees queues grow until all responses are late."""
     d = Driver(settings(proxies=200))
-    few = Driver(settings(proxies=3))
-    d.members(*(entry(f"s{i}") for i in range(10)), scope=pr.ListScope.SAVED)
+    few_proxies = Driver(settings(proxies=3))
+    d.update_list(*(entry(f"s{i}") for i in range(10)), scope=balancing.ListScope.SAVED)
     for _ in range(60):
         name = d.arrive(UNSAFE)
-        d.pass_time(600 * MS)
-        if name in d.owed:
-            d.end(name, pr.AttemptOutcome.OK)
+        d.advance(600 * MS)
+        if name in d.unanswered:
+            d.end_attempt(name, balancing.AttemptOutcome.OK)
     assert d.balancer.throttle.shed_share() > 0.3
-    few.members(*(entry(f"s{i}") for i in range(10)), scope=pr.ListScope.SAVED)
-    few.balancer.throttle.admission = 0.1
-    assert all(few.sends(few.arrive()) for _ in range(20))  # few proxies see queues in their own attempts
+    few_proxies.update_list(*(entry(f"s{i}") for i in range(10)), scope=balancing.ListScope.SAVED)
+    few_proxies.balancer.throttle.admission = 0.1
+    # With few proxies the throttle isn't used, since they see queues in their own attempts.
+    assert all(few_proxies.sends(few_proxies.arrive()) for _ in range(20))
     for _ in range(400):
         name = d.arrive(SAFE)
-        d.pass_time(50 * MS)
-        if name in d.owed:
-            d.end(name, pr.AttemptOutcome.OK)
+        d.advance(50 * MS)
+        if name in d.unanswered:
+            d.end_attempt(name, balancing.AttemptOutcome.OK)
     assert d.balancer.throttle.shed_share() == 0.0
 
 
-def test_a_late_answer_among_prompt_ones_is_chance() -> None:
+def test_throttle_ignores_a_single_late_response() -> None:
     throttle = balancer.AdaptiveThrottle()
     for n, good in enumerate((True, True, False)):
         throttle.record(good, n * 100 * MS)
@@ -195,35 +198,35 @@
     assert throttle.shed_share() > 0.4
 
 
-def test_a_throttle_refuses_the_cheap_before_the_dear() -> None:
-    """Seen on join+vast: with half of the servers cold, payments were refused as readily as map views."""
-    kinds = tuple(
-        pr.RequestClass(name, pr.Repeat.SAFE, 500 * MS, S, value=worth)
-        for name, worth in (("map", 1.0), ("profile", 5.0), ("payment", 10.0))
+def test_throttle_refuses_classes_of_low_value_first() -> None:
+    """With half of the servers cold, payments must not be refused as readily as map views."""
+    classes = tuple(
+        balancing.RequestClass(name, balancing.Repeat.SAFE, 500 * MS, S, value=value)
+        for name, value in (("map", 1.0), ("profile", 5.0), ("payment", 10.0))
     )
-    d = Driver(settings(proxies=200, classes=kinds, worth_by_work=True))
-    d.members(*(entry(f"s{i}") for i in range(10)), scope=pr.ListScope.SAVED)
+    d = Driver(settings(proxies=200, classes=classes, worth_by_work=True))
+    d.update_list(*(entry(f"s{i}") for i in range(10)), scope=balancing.ListScope.SAVED)
 
     def play(rounds: int) -> dict[str, int]:
-        sent = dict.fromkeys((kind.name for kind in kinds), 0)
+        sent = dict.fromkeys((request_class.name for request_class in classes), 0)
         for _ in range(rounds):
-            for kind in kinds:
-                name = d.arrive(kind, hint_us=50 * MS)
-                d.pass_time(5 * MS)
+            for request_class in classes:
+                name = d.arrive(request_class, hint_us=50 * MS)
+                d.advance(5 * MS)
                 if d.sends(name):
-                    sent[kind.name] += 1
-                    d.end(name, pr.AttemptOutcome.OK)
+                    sent[request_class.name] += 1
+                    d.end_attempt(name, balancing.AttemptOutcome.OK)
         return sent
 
     assert set(play(100).values()) == {100}
     d.balancer.throttle.admission = 0.5
-    d.balancer.throttle.recent_count = 1e9  # so that it stays there
+    d.balancer.throttle.recent_count = 1e9  # keeps the admission level nearly constant
     sent = play(400)
     assert sent["payment"] > 350 and 100 < sent["profile"] < 260 and sent["map"] < 80
-    assert 500 < sum(sent.values()) < 700  # half of the work in all, as the throttle says
+    assert 500 < sum(sent.values()) < 700  # half of the offered work, by the admission level
 
 
-def test_what_one_class_does_not_need_is_left_to_the_others() -> None:
+def test_capacity_unused_by_one_class_goes_to_the_others() -> None:
     demand = balancer.ClassDemand(["cheap", "dear"])
     value_per_work = {"cheap": 0.1, "dear": 1.0}
     for n in range(100):
@@ -233,164 +236,166 @@
     )
     for share in (0.1, 0.25, 0.5, 0.9):
         passed = {
-            name: demand.admitted_share(name, share, value_per_work) * asked
-            for name, asked in demand.offered_work.items()
+            name: demand.admitted_share(name, share, value_per_work) * offered
+            for name, offered in demand.offered_work.items()
         }
         assert abs(sum(passed.values()) - share * sum(demand.offered_work.values())) < 1e-6
         assert passed["dear"] / demand.offered_work["dear"] >= passed["cheap"] / demand.offered_work["cheap"]
 
 
 def test_throttle_opens_soon_after_a_burst() -> None:
-    """Seen in ib51557: a throttle that counted its own refusals as bad stayed shut at half the load."""
+    """A throttle that counts its own refusals as late responses stays closed even at half the load."""
     throttle = balancer.AdaptiveThrottle()
     for n in range(40):
         throttle.record(False, n * 25 * MS)
     now_us = S
     while throttle.shed_share() > 0.0:
-        now_us += int(150 * MS / (1.0 - throttle.shed_share()))  # 7 arrivals a second, less what is refused
+        now_us += int(150 * MS / (1.0 - throttle.shed_share()))  # 7 arrivals per second, less the refused ones
         throttle.record(True, now_us)
     assert now_us < 60 * S
 
 
-def test_a_list_of_new_weights_does_not_lay_out_the_fleet_anew() -> None:
-    """Seen in i89f96a: with live weights the lists of 144 servers cost more CPU than all requests."""
-    d = Driver(settings(proxies=200, weights=pr.WeightMeaning.LIVE))
-    d.members(*(entry(f"s{i}") for i in range(40)), scope=pr.ListScope.SAVED)
+def test_new_weights_do_not_rebuild_the_pool() -> None:
+    """With live weights, a pool rebuild for each list of 144 servers cost more CPU than all requests."""
+    d = Driver(settings(proxies=200, weights=balancing.WeightMeaning.LIVE))
+    d.update_list(*(entry(f"s{i}") for i in range(40)), scope=balancing.ListScope.SAVED)
     pool = d.balancer.pool
-    d.members(*(entry(f"s{i}", weight=0.5) for i in range(40)), scope=pr.ListScope.CHANGES)
+    d.update_list(*(entry(f"s{i}", weight=0.5) for i in range(40)), scope=balancing.ListScope.CHANGES)
     assert d.balancer.pool is pool and pool[0].entry.weight == 0.5
-    d.members(entry(pool[0].entry.server, state=pr.ServerState.DRAINING), scope=pr.ListScope.CHANGES)
+    d.update_list(entry(pool[0].entry.server, state=balancing.ServerState.DRAINING), scope=balancing.ListScope.CHANGES)
     assert d.balancer.pool is not pool
 
 
-def test_under_strain_what_is_over_a_tenants_share_goes_first() -> None:
-    """Seen on jakarta big-1: one tenant at four times its traffic cost all tenants alike."""
+def test_requests_over_a_tenants_share_are_shed_first() -> None:
+    """One tenant at 4 times its traffic must not degrade the service of all tenants."""
     d = Driver(settings(proxies=100, tenants={"loud": 100.0, "calm": 100.0}))
-    d.members(*(entry(f"s{i}") for i in range(10)), scope=pr.ListScope.SAVED)
+    d.update_list(*(entry(f"s{i}") for i in range(10)), scope=balancing.ListScope.SAVED)
     refused = {"loud": 0, "calm": 0}
     for n in range(80):
         d.balancer.throttle.admission = 1.1
         tenant = "calm" if n % 8 == 0 else "loud"
         name = f"t{n}"
-        actions = d.balancer.handle(d.now_us, pr.RequestArrived(name, "safe", d.now_us + S, tenant))
-        refused[tenant] += pr.Refuse(name) in actions
+        actions = d.balancer.handle(d.now_us, balancing.RequestArrived(name, "safe", d.now_us + S, tenant))
+        refused[tenant] += balancing.Refuse(name) in actions
         d.now_us += 200 * MS
-        for send in [a for a in actions if isinstance(a, pr.Send)]:
-            d.balancer.handle(d.now_us, pr.AttemptEnded(name, 0, send.server, pr.AttemptOutcome.OK, 200 * MS, True))
+        for send in [a for a in actions if isinstance(a, balancing.Send)]:
+            d.balancer.handle(
+                d.now_us, balancing.AttemptEnded(name, 0, send.server, balancing.AttemptOutcome.OK, 200 * MS, True)
+            )
     assert refused["loud"] > 30 and refused["calm"] == 0
 
 
-def test_a_small_zone_is_made_up_for_elsewhere_unless_keys_are_warm() -> None:
-    """Seen on lahore's quiet day: proxies with a working set of 11 used 9 of 12 servers."""
+def test_other_zones_make_up_for_a_small_zone_unless_keys_are_warm() -> None:
+    """Proxies with a pool size of 11 used only 9 of 12 servers, because their zone was small."""
     rows = tuple(entry(f"{zone}{i}", zone) for zone in "ab" for i in range(6))
-    assert all(len(one.pool) == 11 for one in fleet(16, rows))
-    assert all(len(one.pool) == 9 for one in fleet(16, rows, warm_keys=True))
+    assert all(len(proxy.pool) == 11 for proxy in make_fleet(16, rows))
+    assert all(len(proxy.pool) == 9 for proxy in make_fleet(16, rows, warm_keys=True))
 
 
-def test_a_client_that_left_early_counts_neither_as_in_time_nor_as_late() -> None:
-    """Seen in review: the cancelled attempt of a client that left before the aim passed for a good answer."""
+def test_client_that_left_early_counts_neither_as_on_time_nor_as_late() -> None:
+    """The cancelled attempt of a client that left before the latency target must not count as on time."""
     d = Driver(settings(proxies=200))
-    d.members(*(entry(f"s{i}") for i in range(10)), scope=pr.ListScope.SAVED)
+    d.update_list(*(entry(f"s{i}") for i in range(10)), scope=balancing.ListScope.SAVED)
     d.balancer.throttle.admission = 1.0
     name = d.arrive()
-    d.pass_time(50 * MS)
-    d.gone(name)
-    d.end(name, pr.AttemptOutcome.CANCELLED)
+    d.advance(50 * MS)
+    d.disconnect(name)
+    d.end_attempt(name, balancing.AttemptOutcome.CANCELLED)
     assert d.balancer.throttle.admission == 1.0
     name = d.arrive()
-    d.pass_time(SAFE.latency_target_us + MS)
-    d.gone(name)
-    d.end(name, pr.AttemptOutcome.CANCELLED)
+    d.advance(SAFE.latency_target_us + MS)
+    d.disconnect(name)
+    d.end_attempt(name, balancing.AttemptOutcome.CANCELLED)
     assert d.balancer.throttle.admission < 1.0
 
 
-def test_a_tenant_over_its_share_keeps_its_share() -> None:
-    """Seen in review: above its rate a tenant was refused all, what lies within its share with the rest."""
+def test_tenant_over_its_share_keeps_its_share() -> None:
+    """A tenant above its rate must not be refused the requests that are within its share."""
     d = Driver(settings(proxies=100, tenants={"loud": 100.0}))
-    d.members(*(entry(f"s{i}") for i in range(10)), scope=pr.ListScope.SAVED)
+    d.update_list(*(entry(f"s{i}") for i in range(10)), scope=balancing.ListScope.SAVED)
     served = 0
-    for n in range(400):  # four a second, and its part here is one
+    for n in range(400):  # four per second; the share of this proxy is one
         d.balancer.throttle.admission = 1.1
         d.now_us += 250 * MS
-        for action in d.balancer.handle(d.now_us, pr.RequestArrived(f"t{n}", "safe", d.now_us + S, "loud")):
-            if isinstance(action, pr.Send):
+        for action in d.balancer.handle(d.now_us, balancing.RequestArrived(f"t{n}", "safe", d.now_us + S, "loud")):
+            if isinstance(action, balancing.Send):
                 served += 1
-                ended = pr.AttemptEnded(f"t{n}", 0, action.server, pr.AttemptOutcome.OK, 100 * MS, True)
+                ended = balancing.AttemptEnded(f"t{n}", 0, action.server, balancing.AttemptOutcome.OK, 100 * MS, True)
                 d.balancer.handle(d.now_us, ended)
     assert 100 <= served <= 110
 
 
-def test_a_keyed_retry_leaves_the_working_set_only_for_its_group() -> None:
-    """Seen in review: servers outside had a rank of 0, so every keyed retry went to one never heard from."""
-    for kind, inside in ((ANYWHERE, True), (CELLED, False)):
+def test_keyed_retry_leaves_the_pool_only_for_its_group() -> None:
+    """Servers outside the pool once had a rank of 0, which drew every keyed retry to an unknown server."""
+    for request_class, inside in ((ANYWHERE, True), (CELLED, False)):
         d = Driver(settings(proxies=200))
-        d.members(*(entry(f"s{i}") for i in range(40)), scope=pr.ListScope.SAVED)
+        d.update_list(*(entry(f"s{i}") for i in range(40)), scope=balancing.ListScope.SAVED)
         pool = {server.entry.server for server in d.balancer.pool}
-        lone = next(iter(pool))
-        d.members(*(entry(f"s{i}", cell=int(f"s{i}" in pool - {lone})) for i in range(40)))
+        single = next(iter(pool))
+        d.update_list(*(entry(f"s{i}", cell=int(f"s{i}" in pool - {single})) for i in range(40)))
         for _ in range(30):
-            name = d.arrive(kind)
-            first = d.sends(name)[0]
-            d.end(name, pr.AttemptOutcome.ERROR)
-            d.pass_time(balancer.BACKOFF_BASE_US)
-            again = d.sends(name)[1:]
-            if inside or first != lone:
-                assert set(again) <= pool
-            if name in d.owed:
-                d.end(name, pr.AttemptOutcome.OK)
+            name = d.arrive(request_class)
+            first_server = d.sends(name)[0]
+            d.end_attempt(name, balancing.AttemptOutcome.ERROR)
+            d.advance(balancer.BACKOFF_BASE_US)
+            retried = d.sends(name)[1:]
+            if inside or first_server != single:
+                assert set(retried) <= pool
+            if name in d.unanswered:
+                d.end_attempt(name, balancing.AttemptOutcome.OK)
             d.balancer.budget.tokens = d.balancer.budget.most
             for server in d.balancer.servers.values():
                 server.success = 1.0
 
 
-def test_health_goes_by_the_servers_in_use() -> None:
-    """Seen in review: servers never sent to counted as well, so at full size retries were never off."""
+def test_fleet_health_is_measured_over_the_pool() -> None:
+    """If servers that are never used count as healthy, retries never stop in a large fleet."""
     d = Driver(settings(proxies=200))
-    d.members(*(entry(f"s{i}") for i in range(60)), scope=pr.ListScope.SAVED)
+    d.update_list(*(entry(f"s{i}") for i in range(60)), scope=balancing.ListScope.SAVED)
     for server in d.balancer.pool:
         server.success = balancer.MIN_FLEET_SUCCESS - 0.05
     name = d.arrive()
-    d.end(name, pr.AttemptOutcome.ERROR)
-    assert d.answers(name) == [pr.Refuse]
+    d.end_attempt(name, balancing.AttemptOutcome.ERROR)
+    assert d.answers(name) == [balancing.Refuse]
 
 
-def jammed(late_away: bool) -> Driver:
-    """A proxy whose zone answers late, while the other zone has servers too."""
+def overloaded_zone(remote_is_late: bool) -> Driver:
+    """A proxy whose own zone answers late, with servers in another zone."""
     d = Driver(settings(proxies=200))
-    d.members(*(entry(f"{zone}{i}", zone) for zone in "ab" for i in range(10)), scope=pr.ListScope.SAVED)
+    d.update_list(*(entry(f"{zone}{i}", zone) for zone in "ab" for i in range(10)), scope=balancing.ListScope.SAVED)
     zones = {server.entry.server: server.entry.zone for server in d.balancer.pool}
     for _ in range(120):
         name = d.arrive(UNSAFE)
         sent = d.sends(name)
-        near = bool(sent) and zones[sent[0]] == "a"
-        d.pass_time(600 * MS if near or late_away else 20 * MS)
-        if name in d.owed:
-            d.end(name, pr.AttemptOutcome.OK)
+        local = bool(sent) and zones[sent[0]] == "a"
+        d.advance(600 * MS if local or remote_is_late else 20 * MS)
+        if name in d.unanswered:
+            d.end_attempt(name, balancing.AttemptOutcome.OK)
     d.balancer.throttle.admission = 0.1
     return d
 
 
-def test_what_the_throttle_would_refuse_goes_to_another_zone_that_answers_in_time() -> None:
-    """Seen on abay-portal: one of a zone's two servers was emptied, and its proxies refused most of what came."""
-    d = jammed(late_away=False)
+def test_throttled_requests_go_to_another_zone_that_is_on_time() -> None:
+    """When a zone lost one of its two servers, its proxies refused most requests although others had capacity."""
+    d = overloaded_zone(remote_is_late=False)
     sent = []
     for _ in range(40):
         name = d.arrive(UNSAFE)
         sent += d.sends(name)
-        d.pass_time(20 * MS)
-        if name in d.owed:
-            d.end(name, pr.AttemptOutcome.OK)
+        d.advance(20 * MS)
+        if name in d.unanswered:
+            d.end_attempt(name, balancing.AttemptOutcome.OK)
     assert len(sent) == 40 and sum(server.startswith("b") for server in sent) > 25
-    assert d.balancer.throttle.shed_share() > 0.5  # what other zones answer in time does not open it here
+    assert d.balancer.throttle.shed_share() > 0.5  # responses of other zones don't open the throttle
 
 
-def test_what_would_be_late_there_too_is_refused() -> None:
-    d = jammed(late_away=True)
+def test_throttled_requests_are_refused_if_other_zones_are_late_too() -> None:
+    d = overloaded_zone(remote_is_late=True)
     refused = 0
     for _ in range(40):
         name = d.arrive(UNSAFE)
         refused += not d.sends(name)
-        d.pass_time(600 * MS)
-        if name in d.owed:
-            d.end(name, pr.AttemptOutcome.OK)
+        d.advance(600 * MS)
+        if name in d.unanswered:
+            d.end_attempt(name, balancing.AttemptOutcome.OK)
     assert refused > 20
