--- a/cypressbeam/balancing/balancer.py
+++ b/cypressbeam/balancing/balancer.py
@@ -30,8 +30,8 @@
 # Exponential backoff with full jitter.
 BACKOFF_BASE_US = 10_000
 BACKOFF_CAP_US = 200_000
-# Health: EWMA weight of the newest outcome in a success rate, and the rates below which a server counts as unhealthy
-# and below which retries stop.
+# Health: EWMA weight of the newest outcome in a success rate, the rates below which a server counts as unhealthy and
+# below which retries stop, and the time until an unhealthy server is tried again.
 SUCCESS_EWMA_WEIGHT = 0.2
 MIN_SERVER_SUCCESS = 0.5
 MIN_FLEET_SUCCESS = 0.7
@@ -49,8 +49,8 @@
 LATENCY_EWMA_WEIGHT = 0.1
 SERVICE_EWMA_WEIGHT = 0.3
 BASELINE_EWMA_WEIGHT = 0.01
-# EWMA weight of the interval between responses. A wait counts as slower once it exceeds this many times the mean
-# interval: random variation rarely produces a gap that long.
+# EWMA weight of the newest interval between responses. A wait counts as slow once it exceeds INTERVAL_SLACK mean
+# intervals: random variation rarely produces a gap that long.
 INTERVAL_EWMA_WEIGHT = 0.1
 INTERVAL_SLACK = 4.0
 # A server is saturated if its response interval and its latency both exceed their baselines by SATURATION_RATIO, or if
@@ -58,7 +58,7 @@
 SATURATION_RATIO = 1.6
 SLOW_SERVICE_RATIO = 2.5
 # Under overload, delay limits scale with value per unit of work to this power (0: not at all). The work of a class is
-# estimated as the latency that this share of its responses exceeds, which contains little queueing time.
+# estimated as the latency that UNQUEUED_SHARE of its responses exceed, which contains little queueing time.
 VALUE_EXPONENT = 0.5
 UNQUEUED_SHARE = 0.9
 # A server is congested if its expected delay exceeds this multiple of the typical median latency, or of its own
@@ -71,8 +71,8 @@
 # responses exceed, and an attempt sent later was answered.
 LOST_LATENCY_RATIO = 2.0
 LOST_LATENCY_SHARE = 0.1
-# Adaptive throttle: the target share of admitted requests answered within their latency target, the largest change per
-# response, and the bounds of the admission level. Above 1 it is credit that absorbs a few late responses.
+# Adaptive throttle: the share of admitted requests to be answered within their latency target, the largest change per
+# response, and the bounds of the admission level. Above 1, the level is credit that absorbs a few late responses.
 ON_TIME_SHARE = 0.85
 MANY_PROXIES = 12.0  # per server: from here on, no proxy can see a server's queue in its own attempts
 THROTTLE_STEP = 0.05
@@ -551,9 +551,9 @@
         for entry in event.entries:
             known = self.servers.get(entry.server)
             if known is not None and entry.started_us <= known.entry.started_us:
-                was_gone = known.told_gone
+                was_inactive = known.told_gone
                 known.update_entry(entry)
-                pool_changed = pool_changed or known.told_gone is not was_gone
+                pool_changed = pool_changed or known.told_gone is not was_inactive
                 continue
             # A new process: statistics of the previous one don't apply to it.
             pool_changed = True
--- a/cypressbeam/balancing/interface.py
+++ b/cypressbeam/balancing/interface.py
@@ -68,7 +68,7 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    MOOT = "dropped"
 
 
 #: Outcomes that prove that the server did not execute the request.
