--- a/cypressbeam/balancing/interface.py
+++ b/cypressbeam/balancing/interface.py
@@ -13,7 +13,8 @@
 class Repeat(Enum):
     """Whether a request that may already have been executed can be sent again.
 
-    SAFE: any number of times. KEYED: within its time window, to servers that deduplicate by its key. UNSAFE: never.
+    `SAFE`: any number of times. `KEYED`: within its time window, to servers that deduplicate by its key. `UNSAFE`:
+    never.
     """
 
     SAFE = "safe"
@@ -40,8 +41,8 @@
 class ListScope(Enum):
     """What a server list event carries.
 
-    CHANGES: only the changed entries. WHOLE: a complete snapshot. SAVED: a complete snapshot from local storage,
-    possibly outdated. FAILED: nothing, the call to the list failed.
+    `CHANGES`: only the changed entries. `WHOLE`: a complete snapshot. `SAVED`: a complete snapshot from local storage,
+    possibly outdated. `FAILED`: nothing, the call to the list failed.
     """
 
     CHANGES = "changes"
@@ -59,7 +60,7 @@
 
 
 class AttemptOutcome(Enum):
-    """How an attempt ended. FULL: the server had no capacity for it. MOOT: it was dropped and never executed."""
+    """How an attempt ended. `FULL`: the server had no capacity for it. `MOOT`: it was dropped and never executed."""
 
     OK = "ok"
     ERROR = "error"
