--- a/cypressbeam/balancing/balancer.py
+++ b/cypressbeam/balancing/balancer.py
@@ -141,6 +141,7 @@
         self.log_sum = self.log_square_sum = 0.0
 
     def add(self, value_us: float) -> None:
+        """Add a sample, and halve all counts once there are HALVE_AT samples."""
         log = math.log(max(value_us, 1.0))
         self.log_sum += log
         self.log_square_sum += log * log
@@ -186,9 +187,11 @@
         self.updated_us = 0
 
     def earn(self, tokens: float) -> None:
+        """Add tokens, up to the bucket's capacity."""
         self.tokens = min(self.most, self.tokens + tokens)
 
     def spend(self, now_us: int) -> bool:
+        """Refill the bucket at its rate, then take one token if there is one."""
         self.earn(self.rate_per_s * (now_us - self.updated_us) / 1e6)
         self.updated_us = now_us
         if self.tokens < 1.0:
@@ -209,6 +212,7 @@
         self.updated_us = 0
 
     def record(self, on_time: bool, now_us: int) -> None:
+        """Move the admission level up after a response on time, and down after a late one."""
         self.recent_count = self.recent_count * math.exp((self.updated_us - now_us) / THROTTLE_WINDOW_US) + 1.0
         self.updated_us = now_us
         step = 1.0 if on_time else -ON_TIME_SHARE / (1.0 - ON_TIME_SHARE)
@@ -232,6 +236,7 @@
         self.updated_us = 0
 
     def record(self, name: str, work: float, now_us: int) -> None:
+        """Add the work of an arriving request; earlier work decays exponentially."""
         decay = math.exp((self.updated_us - now_us) / THROTTLE_WINDOW_US)
         for other in self.offered_work:
             self.offered_work[other] *= decay
@@ -266,6 +271,7 @@
         self.level = 0.0  # 0: crossing costs its full price; 1: nothing
 
     def record(self, local: bool, late: bool) -> None:
+        """Update the shares of late responses, and the spillover level by their difference."""
         self.late_share[local] = ewma(self.late_share[local], float(late), SPILLOVER_EWMA_WEIGHT)
         self.late_share[not local] *= 1.0 - SPILLOVER_DECAY  # or a side without traffic would keep its last value
         gain = self.late_share[True] - self.late_share[False] - self.min_gain
@@ -311,6 +317,7 @@
         self.retry_token = 0
 
     def first_that_may_have_run(self) -> Attempt | None:
+        """The earliest attempt that the server may have executed."""
         return next((a for a in self.attempts if not a.never_ran), None)
 
 
@@ -341,6 +348,7 @@
         self.is_unhealthy = False
 
     def update_entry(self, entry: it.ServerEntry) -> None:
+        """Apply a new list entry of the same server process."""
         self.entry = entry
         self.told_gone = entry.state is not it.ServerState.ACTIVE
         self.listed = entry.state is not it.ServerState.GONE
@@ -368,6 +376,7 @@
         self.wait_updated_us = now_us
 
     def apply_report(self, report: it.Report | None) -> None:
+        """Update the queue length and the service times from a server's load report."""
         if report is None:
             return
         if report.queue is not None:
@@ -388,6 +397,7 @@
 
 
 def mean(values: list[float]) -> float | None:
+    """The arithmetic mean, or None without values."""
     return sum(values) / len(values) if values else None
 
 
@@ -448,6 +458,7 @@
     # -- events --------------------------------------------------------------------------------------
 
     def handle(self, now_us: int, event: it.Event) -> list[it.Action]:
+        """Process one event and return the actions to carry out, in their order."""
         self.now_us = now_us
         self.actions = []
         if not self.started:
@@ -479,12 +490,14 @@
         return self.actions
 
     def set_timer(self, delay_us: int, purpose: str, request: str = "") -> int:
+        """Request a timer and return its token."""
         self.last_token += 1
         self.timers[self.last_token] = (purpose, request)
         self.actions.append(it.SetTimer(max(delay_us, 1), self.last_token))
         return self.last_token
 
     def on_timer(self, token: int) -> None:
+        """Run the housekeeping, subscription or retry that the timer was set for."""
         purpose, name = self.timers.pop(token, ("", ""))
         if purpose == "housekeeping":
             for pending in self.requests.values():
@@ -531,6 +544,7 @@
     # -- membership ------------------------------------------------------------------------------------
 
     def on_list_changed(self, event: it.ListChanged) -> None:
+        """Apply an update of the server list, or schedule a new subscription if the call to the list failed."""
         if event.scope is it.ListScope.FAILED:
             # The subscription may be broken. Without one, this proxy is soon held to have been told of drains.
             cap_us = min(RESUBSCRIBE_CAP_US, RESUBSCRIBE_BASE_US << min(self.failed_calls, 8))
@@ -591,6 +605,7 @@
         return self.ring_segment(local, count) + self.ring_segment(remote, max(int(count * REMOTE_POOL_SHARE), missing))
 
     def ring_segment(self, servers: list[ServerView], count: int) -> list[ServerView]:
+        """Consecutive servers on the hash ring, from the position of this proxy."""
         ring = sorted(servers, key=lambda s: s.ring_position)
         first = int(self.phase * len(ring))
         return [ring[(first + i) % len(ring)] for i in range(min(count, len(ring)))]
@@ -598,6 +613,7 @@
     # -- request lifecycle -------------------------------------------------------------------------------
 
     def on_arrival(self, event: it.RequestArrived) -> None:
+        """Admit a request and send it to a server, or refuse it."""
         request_class = self.classes.get(event.class_name)
         if request_class is None or event.request in self.requests:
             if request_class is None:
@@ -661,11 +677,13 @@
             self.throttle.record(not late, self.now_us)
 
     def on_stream_began(self, event: it.StreamBegan) -> None:
+        """Mark an attempt as streaming, which protects it from cancellation."""
         request = self.requests.get(event.request)
         if request is not None and event.attempt < len(request.attempts):
             request.attempts[event.attempt].streaming = True
 
     def on_attempt_ended(self, event: it.AttemptEnded) -> None:
+        """Record the outcome of an attempt, then retry, finish or close its request."""
         request = self.requests.get(event.request)
         server = self.servers.get(event.server)
         if server is not None:
@@ -693,6 +711,7 @@
             self.requests.pop(event.request, None)
 
     def record_attempt(self, request: Request, server: ServerView, event: it.AttemptEnded) -> None:
+        """Update the statistics of a server, and of the request's class, from the outcome of an attempt."""
         server.apply_report(event.report)
         late = event.latency_us > request.request_class.latency_target_us
         if self.proxies_per_server >= MANY_PROXIES and (late or event.ending is AttemptOutcome.OK):
@@ -768,6 +787,7 @@
         request.retry_token = self.set_timer(backoff_us, "retry", request.arrived.request)
 
     def dispatch(self, request: Request) -> None:
+        """Send a request to the best server, or finish it if there is none."""
         server = self.choose(request)
         if server is None:
             return self.finish(request)
@@ -1101,6 +1121,7 @@
         return server in self.pool and self.rng.random() < budget / len(self.pool)
 
     def send(self, request: Request, server: ServerView) -> None:
+        """Start the next attempt of a request."""
         name = server.entry.server
         server.update_waited(self.now_us, self.lost_after_us)
         server.out[(request.arrived.request, len(request.attempts))] = self.now_us
