--- a/cypressbeam/balancing/balancer.py
+++ b/cypressbeam/balancing/balancer.py
@@ -35,7 +35,7 @@
 SUCCESS_EWMA_WEIGHT = 0.2
 MIN_SERVER_SUCCESS = 0.5
 MIN_FLEET_SUCCESS = 0.7
-TRIAL_US = 2_000_000
+BASE_EJECTION_US = 2_000_000
 # Where many proxies share a server, each sees few of its responses, so an error or a broken connection weighs more. A
 # timeout doesn't, since load causes timeouts too. Each further fault doubles the ejection time, up to this many times.
 FAULT_EWMA_WEIGHT = 0.6
@@ -181,14 +181,14 @@
 class TokenBucket:
     """A token bucket, for the retry budget and for the shares of tenants."""
 
-    def __init__(self, most: float, rate_per_s: float = 0.0) -> None:
-        self.tokens = self.most = most
+    def __init__(self, capacity: float, rate_per_s: float = 0.0) -> None:
+        self.tokens = self.capacity = capacity
         self.rate_per_s = rate_per_s
         self.updated_us = 0
 
     def earn(self, tokens: float) -> None:
         """Add tokens, up to the bucket's capacity."""
-        self.tokens = min(self.most, self.tokens + tokens)
+        self.tokens = min(self.capacity, self.tokens + tokens)
 
     def spend(self, now_us: int) -> bool:
         """Refill the bucket at its rate, then take one token if there is one."""
@@ -327,7 +327,7 @@
     def __init__(self, entry: it.ServerEntry) -> None:
         self.ring_position = stable_hash(entry.server)
         self.update_entry(entry)
-        self.out: dict[tuple[str, int], int] = {}
+        self.in_flight: dict[tuple[str, int], int] = {}
         self.latency_us: float | None = None
         self.service_us: float | None = None
         self.baseline_service_us: float | None = None
@@ -336,9 +336,9 @@
         self.success = 1.0
         self.unweighted_success = 1.0  # all outcomes count the same
         self.fault_share = 0.0  # likewise
-        self.trial_at_us = 0
+        self.last_sent_us = 0
         self.consecutive_faults = 0
-        self.ejected_until_us = TRIAL_US  # how long an unhealthy server is left alone before the next trial
+        self.ejection_us = BASE_EJECTION_US  # how long an unhealthy server is left alone before the next trial
         self.rank = self.rank_base_us = self.load = self.rank_work_us = 0.0  # C3 rank and its components
         self.response_interval_us: float | None = None  # time between responses while any is outstanding
         self.baseline_interval_us: float | None = None
@@ -350,7 +350,7 @@
     def update_entry(self, entry: it.ServerEntry) -> None:
         """Apply a new list entry of the same server process."""
         self.entry = entry
-        self.told_gone = entry.state is not it.ServerState.ACTIVE
+        self.is_inactive = entry.state is not it.ServerState.ACTIVE
         self.listed = entry.state is not it.ServerState.GONE
 
     def rank_with(self, extra_load: float) -> float:
@@ -364,14 +364,14 @@
         answers all others promptly, or in the end every request is refused.
         """
         cutoff_us = min(self.last_answered_sent_us, now_us - lost_after_us)
-        for lost, sent_us in enumerate(self.out.values()):  # in the order of sending
+        for lost, sent_us in enumerate(self.in_flight.values()):  # in the order of sending
             if sent_us >= cutoff_us:
-                return len(self.out) - lost, sent_us
+                return len(self.in_flight) - lost, sent_us
         return 0, now_us
 
     def update_waited(self, now_us: int, lost_after_us: float) -> None:
-        """Add up the time with a response outstanding; call before `out` changes."""
-        if self.out and self.outstanding(now_us, lost_after_us)[0]:
+        """Add up the time with a response outstanding; call before `in_flight` changes."""
+        if self.in_flight and self.outstanding(now_us, lost_after_us)[0]:
             self.waited_us += now_us - self.wait_updated_us
         self.wait_updated_us = now_us
 
@@ -433,7 +433,7 @@
         self.actions: list[it.Action] = []
         self.now_us = 0
         self.started = False
-        self.failed_calls = 0
+        self.failed_list_calls = 0
         self.fleet_latency_us = self.fleet_service_us = 1.0
         self.fleet_interval_us = 0.0
         self.congestion_delay_us = math.inf
@@ -519,7 +519,7 @@
             self.keys_rotated_us = self.now_us
             self.previous_key_servers, self.key_servers = self.key_servers, {}
             self.previous_affinity, self.affinity = self.affinity, {}
-        for name in [name for name, server in self.servers.items() if not server.listed and not server.out]:
+        for name in [name for name, server in self.servers.items() if not server.listed and not server.in_flight]:
             del self.servers[name]
 
     def log(self, text: str, reason: str) -> None:
@@ -535,7 +535,7 @@
         self.settings, self.classes = settings, classes
         self.percentiles = {name: self.percentiles.get(name) or LatencyPercentile() for name in classes}
         self.demand.offered_work = {name: self.demand.offered_work.get(name, 0.0) for name in classes}
-        self.budget.most = settings.retry_burst
+        self.budget.capacity = settings.retry_burst
         self.budget.earn(0.0)
         self.spillover.min_gain = SPILLOVER_MIN_GAIN * settings.prices.cross_zone
         self.phase = (settings.own_name * 0.6180339887498949) % 1.0
@@ -547,33 +547,33 @@
         """Apply an update of the server list, or schedule a new subscription if the call to the list failed."""
         if event.scope is it.ListScope.FAILED:
             # The subscription may be broken. Without one, this proxy is soon held to have been told of drains.
-            cap_us = min(RESUBSCRIBE_CAP_US, RESUBSCRIBE_BASE_US << min(self.failed_calls, 8))
-            self.failed_calls += 1
+            cap_us = min(RESUBSCRIBE_CAP_US, RESUBSCRIBE_BASE_US << min(self.failed_list_calls, 8))
+            self.failed_list_calls += 1
             self.set_timer(int(cap_us * (0.5 + 0.5 * self.rng.random())), "subscribe")
             self.log("server list: call failed, subscribing again", "list")
             return
         if event.scope is not it.ListScope.SAVED:
-            self.failed_calls = 0
+            self.failed_list_calls = 0
         pool_changed = False
         if event.scope is not it.ListScope.CHANGES:
             listed = {entry.server for entry in event.entries}
             for name, server in self.servers.items():
                 if name not in listed:
                     server.listed = False
-                    if not server.told_gone:
-                        server.told_gone = pool_changed = True
+                    if not server.is_inactive:
+                        server.is_inactive = pool_changed = True
         for entry in event.entries:
             known = self.servers.get(entry.server)
             if known is not None and entry.started_us <= known.entry.started_us:
-                was_inactive = known.told_gone
+                was_inactive = known.is_inactive
                 known.update_entry(entry)
-                pool_changed = pool_changed or known.told_gone is not was_inactive
+                pool_changed = pool_changed or known.is_inactive is not was_inactive
                 continue
             # A new process: statistics of the previous one don't apply to it.
             pool_changed = True
             self.servers[entry.server] = ServerView(entry)
             if known is not None:
-                self.servers[entry.server].out = known.out
+                self.servers[entry.server].in_flight = known.in_flight
         # With live weights, lists arrive every second and rarely change which servers are active. Rebuilding the pool
         # of a large fleet for each of them cost more CPU than all requests.
         if pool_changed:
@@ -583,7 +583,7 @@
         """Select again which servers this proxy uses."""
         self.affinity.clear()
         self.previous_affinity.clear()
-        active = [s for s in self.servers.values() if not s.told_gone]
+        active = [s for s in self.servers.values() if not s.is_inactive]
         self.pool = self.select_pool(active)
         self.proxies_per_server = self.settings.proxies * len(self.pool) / max(len(active), 1)
         self.refresh_all()
@@ -620,7 +620,7 @@
                 self.actions.append(it.Fail(event.request))
             return
         request = self.requests[event.request] = Request(event, request_class, self.now_us)
-        if not event.is_repeat:
+        if not event.is_client_retry:
             self.budget.earn(self.settings.retry_share)
         if event.hint_us:
             self.mean_hints_us[request_class.name] = ewma(
@@ -649,7 +649,9 @@
         remote = [
             s
             for s in self.pool
-            if s.entry.zone != self.settings.zone and self.slow_start_factor(s) >= 1.0 and not self.left_out(request, s)
+            if s.entry.zone != self.settings.zone
+            and self.slow_start_factor(s) >= 1.0
+            and not self.is_excluded(request, s)
         ]
         server = (
             self.best_server(request, self.rng.sample(remote, min(REMOTE_CANDIDATES, len(remote)))) if remote else None
@@ -688,7 +690,7 @@
         server = self.servers.get(event.server)
         if server is not None:
             server.update_waited(self.now_us, self.lost_after_us)
-            server.out.pop((event.request, event.attempt), None)
+            server.in_flight.pop((event.request, event.attempt), None)
         if request is None or event.attempt >= len(request.attempts):
             return
         attempt = request.attempts[event.attempt]
@@ -716,7 +718,7 @@
         late = event.latency_us > request.request_class.latency_target_us
         if self.proxies_per_server >= MANY_PROXIES and (late or event.ending is AttemptOutcome.OK):
             self.spillover.record(server.entry.zone == self.settings.zone, late)
-        if event.ending in (AttemptOutcome.CANCELLED, AttemptOutcome.MOOT):
+        if event.ending in (AttemptOutcome.CANCELLED, AttemptOutcome.DROPPED):
             return
         ok = event.ending is AttemptOutcome.OK
         server.unweighted_success = ewma(server.unweighted_success, float(ok), SUCCESS_EWMA_WEIGHT)
@@ -724,7 +726,7 @@
         if self.proxies_per_server >= MANY_PROXIES and event.ending in FAULT_OUTCOMES:
             self.record_fault(server)
         else:
-            server.consecutive_faults, server.ejected_until_us = 0, TRIAL_US
+            server.consecutive_faults, server.ejection_us = 0, BASE_EJECTION_US
             server.success = ewma(server.success, float(ok), SUCCESS_EWMA_WEIGHT)
         if ok or event.ending is AttemptOutcome.TIMEOUT:
             if server.latency_us is None:
@@ -749,15 +751,15 @@
         it, and then one every 2 seconds, including payments, which can't be sent again.
         """
         server.success = ewma(server.success, 0.0, FAULT_EWMA_WEIGHT)
-        ejection_us = TRIAL_US << min(server.consecutive_faults, MAX_EJECTION_DOUBLINGS)
-        server.ejected_until_us = int(ejection_us * (0.75 + 0.5 * self.rng.random()))
+        ejection_us = BASE_EJECTION_US << min(server.consecutive_faults, MAX_EJECTION_DOUBLINGS)
+        server.ejection_us = int(ejection_us * (0.75 + 0.5 * self.rng.random()))
         server.consecutive_faults += 1
 
     def on_server_unhealthy(self, server: ServerView | None) -> None:
         """Other proxies report a failing server: count it as one fault, unless the server is ejected already."""
         if server is not None and not server.is_unhealthy:
             self.record_fault(server)
-            server.trial_at_us = self.now_us
+            server.last_sent_us = self.now_us
             self.refresh_server(server)
 
     def retry_or_finish(self, request: Request) -> None:
@@ -766,7 +768,7 @@
         max_attempts = request.request_class.tries or self.settings.max_attempts
         executed = request.first_that_may_have_run()
         if (
-            request.arrived.is_repeat
+            request.arrived.is_client_retry
             or attempts > RETRIES_EACH
             or attempts >= max_attempts
             or (request.request_class.repeat is Repeat.UNSAFE and executed is not None)
@@ -828,7 +830,7 @@
     def choose(self, request: Request) -> ServerView | None:
         """The best of all servers or, where many proxies share them, of a few sampled by capacity."""
         self.sampled_cold_server = ""
-        if self.proxies_per_server < MANY_PROXIES or request.arrived.is_heavy:
+        if self.proxies_per_server < MANY_PROXIES or request.arrived.is_large:
             return self.best_server(request, self.pool)
         return self.best_server(request, self.sample_candidates(request)) or self.best_server(request, self.pool)
 
@@ -848,15 +850,17 @@
             # Rule 4: no proxy sends to it more often than its share of the total capacity allows.
             oversampling = self.capacity * self.zone_weight(first) / self.cumulative_weights[-1]
             if (
-                not first.out
-                and not self.left_out(request, first)
+                not first.in_flight
+                and not self.is_excluded(request, first)
                 and self.rng.random() * oversampling < COLD_TRAFFIC_FACTOR
             ):
                 self.sampled_cold_server = first.entry.server
                 return [first]
-        return [s for s in dict.fromkeys(sampled) if self.slow_start_factor(s) >= 1.0 and not self.left_out(request, s)]
+        return [
+            s for s in dict.fromkeys(sampled) if self.slow_start_factor(s) >= 1.0 and not self.is_excluded(request, s)
+        ]
 
-    def left_out(self, request: Request, server: ServerView) -> bool:
+    def is_excluded(self, request: Request, server: ServerView) -> bool:
         """Whether a server was tried before, or is ejected. Only requests that are safe to repeat serve as trials."""
         trial = request.request_class.repeat is Repeat.SAFE and self.trial_due(server)
         return (server.is_unhealthy and not trial) or any(
@@ -914,7 +918,7 @@
             elif name == preferred:
                 score *= AFFINITY_RANK_FACTOR
                 lacks_key = False
-            remote = request.arrived.is_heavy and server.entry.zone != self.settings.zone
+            remote = request.arrived.is_large and server.entry.zone != self.settings.zone
             ranked.append(
                 (name in tried, server.is_unhealthy and not self.trial_due(server), remote, score, name, lacks_key)
             )
@@ -940,7 +944,7 @@
                 )
                 # The more expensive a request is to send across zones, the longer it waits for a local server.
                 local = server.entry.zone == self.settings.zone
-                patience = max(1.0, min(0.5 + 0.5 * request.arrived.crossing, 6.0)) if local else 1.0
+                patience = max(1.0, min(0.5 + 0.5 * request.arrived.cross_zone_cost, 6.0)) if local else 1.0
                 if delay_us <= min(limit_us, congestion_us) * patience:
                     return server
                 bound_us = limit_us / 2 if self.is_saturated(server) else limit_us
@@ -952,7 +956,7 @@
                 excess_us = min(excess_us, delay_us - bound_us)
                 # One request without a response must not keep all others away from a server that would answer them.
                 # If nothing was sent to it for long, another attempt shows whether it is stalled.
-                if stalled is None and not unhealthy and self.now_us - server.trial_at_us >= self.lost_after_us:
+                if stalled is None and not unhealthy and self.now_us - server.last_sent_us >= self.lost_after_us:
                     stalled = server
                 eligible += 1
         if congested is not None or stalled is not None:
@@ -961,15 +965,15 @@
             self.capacity_wait_us = excess_us
             self.log(f"refusing requests: {eligible} servers have more in flight than they answer in time", "overload")
         else:
-            self.capacity_wait_us = TRIAL_US  # by then an ejected server is tried again
+            self.capacity_wait_us = BASE_EJECTION_US  # by then an ejected server is tried again
             self.log(f"no eligible server for a request: {len(ranked)} considered", "nowhere")
         return None
 
     def rank_for(self, request: Request, server: ServerView) -> float:
         """The rank of a server for a request, by what the request costs to send across zones."""
-        if request.arrived.crossing == 1.0 or server.entry.zone == self.settings.zone:
+        if request.arrived.cross_zone_cost == 1.0 or server.entry.zone == self.settings.zone:
             return server.rank
-        return server.rank_with(self.cross_zone_load(server) * request.arrived.crossing)
+        return server.rank_with(self.cross_zone_load(server) * request.arrived.cross_zone_cost)
 
     def affinity_server(self, key: str) -> str:
         """The server for a key on which all proxies agree without communication (rendezvous hashing)."""
@@ -1066,7 +1070,7 @@
         for name, request_class in self.classes.items():
             unqueued_us = self.percentiles[name].exceeding(UNQUEUED_SHARE)
             if unqueued_us:  # a class without responses is treated like the highest
-                value_per_work[name] = request_class.value / (1.0 if self.settings.worth_by_work else unqueued_us)
+                value_per_work[name] = request_class.value / (1.0 if self.settings.value_is_per_work else unqueued_us)
         highest = max(value_per_work.values(), default=0.0) or 1.0
         self.value_weights = {name: max(value_per_work.get(name, highest) / highest, 0.01) for name in self.classes}
         self.limit_factors = {name: weight**VALUE_EXPONENT for name, weight in self.value_weights.items()}
@@ -1082,13 +1086,13 @@
 
     def trial_due(self, server: ServerView) -> bool:
         """Whether an unhealthy server should be tried again."""
-        return not server.out and self.now_us - server.trial_at_us >= server.ejected_until_us
+        return not server.in_flight and self.now_us - server.last_sent_us >= server.ejection_us
 
     # -- eligibility -------------------------------------------------------------------------------------
 
     def may_send(self, request: Request, server: ServerView) -> bool:
         """Whether a request may be sent to a server. Every attempt passes this check, which enforces rules 2 to 4."""
-        if request.closed or self.now_us >= request.arrived.give_up_at_us or server.told_gone:
+        if request.closed or self.now_us >= request.arrived.give_up_at_us or server.is_inactive:
             return False
         if len(request.attempts) >= (request.request_class.tries or self.settings.max_attempts):
             return False
@@ -1124,17 +1128,17 @@
         """Start the next attempt of a request."""
         name = server.entry.server
         server.update_waited(self.now_us, self.lost_after_us)
-        server.out[(request.arrived.request, len(request.attempts))] = self.now_us
+        server.in_flight[(request.arrived.request, len(request.attempts))] = self.now_us
         request.attempts.append(Attempt(server.entry, self.now_us))
         request.in_flight += 1
-        server.trial_at_us = self.now_us
+        server.last_sent_us = self.now_us
         self.refresh_server(server)
         self.actions.append(it.Send(request.arrived.request, name, self.attempt_timeout_us(request)))
 
     def attempt_timeout_us(self, request: Request) -> int:
         """The timeout of an attempt, by the latency percentile of its class; 0 to wait until the client's deadline."""
         timeout_us = self.attempt_timeouts_us.get(request.request_class.name, 0.0)
-        if request.request_class.repeat is Repeat.UNSAFE or not timeout_us or request.arrived.is_repeat:
+        if request.request_class.repeat is Repeat.UNSAFE or not timeout_us or request.arrived.is_client_retry:
             return 0  # a timeout is useless where no retry may follow
         mean_hint_us = self.mean_hints_us.get(request.request_class.name)
         if mean_hint_us and request.arrived.hint_us:
--- a/cypressbeam/balancing/interface.py
+++ b/cypressbeam/balancing/interface.py
@@ -60,7 +60,7 @@
 
 
 class AttemptOutcome(Enum):
-    """How an attempt ended. `FULL`: the server had no capacity for it. `MOOT`: it was dropped and never executed."""
+    """How an attempt ended. `FULL`: the server had no capacity for it. `DROPPED`: it was dropped and never executed."""
 
     OK = "ok"
     ERROR = "error"
@@ -69,11 +69,11 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "dropped"
+    DROPPED = "dropped"
 
 
 #: Outcomes that prove that the server did not execute the request.
-NEVER_RAN = frozenset({AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.MOOT})
+NEVER_RAN = frozenset({AttemptOutcome.FULL, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.DROPPED})
 
 
 def _require_integer(owner: str, name: str, value: object, minimum: int = 0) -> None:
@@ -166,7 +166,7 @@
     max_advice_us: int = 0
     warm_keys: bool = False
     weights: WeightMeaning = WeightMeaning.NONE
-    worth_by_work: bool = False
+    value_is_per_work: bool = False
     reports: tuple[str, ...] = ()
     reports_in_answers: bool = True
     prices: Prices = field(default_factory=Prices)
@@ -243,7 +243,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client request. `is_repeat` marks a retry by the client itself, `hint_us` is its estimate of the work."""
+    """A client request. `is_client_retry` marks a retry by the client itself, `hint_us` is its estimate of the work."""
 
     request: str
     class_name: str
@@ -251,11 +251,11 @@
     tenant: str | None = None
     key: str | None = None
     hint_us: int | None = None
-    is_repeat: bool = False
+    is_client_retry: bool = False
     is_write: bool = False
-    is_heavy: bool = False
+    is_large: bool = False
     """Too large to send to another zone while a server of the own zone has capacity."""
-    crossing: float = 1.0
+    cross_zone_cost: float = 1.0
     """Cost of sending the request and its response across zones, as a multiple of `Prices.cross_zone`."""
 
 
--- a/cypressbeam/proxy/gateway.py
+++ b/cypressbeam/proxy/gateway.py
@@ -106,7 +106,7 @@
         usual = self.usual.get(kind, float(size))
         self.usual[kind] = usual + SIZE_NEWEST * (size - usual)
 
-    def crossing(self, kind: str, body: int) -> float:
+    def cross_zone_cost(self, kind: str, body: int) -> float:
         """What a crossing costs a request with such a body, as a multiple of the usual price."""
         usual = self.usual.get(kind)
         return 1.0 if usual is None else min((body + usual) / CROSSING_BYTES, MOST_CROSSING)
@@ -248,8 +248,8 @@
             ident,
             route.kind,
             self.give_up_at(message, found, route),
-            is_heavy=len(message.body) >= HEAVY_BYTES,
-            crossing=self.sizes.crossing(route.kind, len(message.body)),
+            is_large=len(message.body) >= HEAVY_BYTES,
+            cross_zone_cost=self.sizes.cross_zone_cost(route.kind, len(message.body)),
         )
         connection.request = ident
         self.take(
--- a/cypressbeam/proxy/http_requests.py
+++ b/cypressbeam/proxy/http_requests.py
@@ -278,5 +278,5 @@
         tenant=None if tenant is None else tenant.decode("latin-1"),
         key=key,
         hint_us=int(hint) if hint.isdigit() and len(hint) < 12 else None,
-        is_repeat=found.get(b"client-retry") == b"1",
+        is_client_retry=found.get(b"client-retry") == b"1",
     ), head
--- a/cypressbeam/standalone/profile.py
+++ b/cypressbeam/standalone/profile.py
@@ -132,7 +132,7 @@
             max_advice_us=self.integer("bounds.maxRetryAfterUs", 0),
             warm_keys=self.choice("familyInfo.warmKeys", BOOLS, False),
             weights=self.choice("weights", WEIGHTS, it.WeightMeaning.NONE),
-            worth_by_work=self.text("worthBy", "request") == "work",
+            value_is_per_work=self.text("worthBy", "request") == "work",
             reports=reports,
             reports_in_answers=self.choice("report.via", REPORT_VIA, False),
             prices=prices,
--- a/cypressbeam/standalone/simulator.py
+++ b/cypressbeam/standalone/simulator.py
@@ -24,7 +24,7 @@
     "304": it.AttemptOutcome.CONNECT_FAILED,
     "305": it.AttemptOutcome.RESET,
     "306": it.AttemptOutcome.CANCELLED,
-    "307": it.AttemptOutcome.MOOT,
+    "307": it.AttemptOutcome.DROPPED,
 }
 STATES = {"active": it.ServerState.ACTIVE, "leaving": it.ServerState.DRAINING, "left": it.ServerState.GONE}
 SCOPES = {
@@ -158,7 +158,7 @@
         tenant=line.optional(4),
         key=line.optional(6),
         hint_us=hint if flags & HINT_VALID else None,
-        is_repeat=bool(flags & CLIENT_REPEAT),
+        is_client_retry=bool(flags & CLIENT_REPEAT),
         is_write=bool(flags & IS_WRITE),
     )
 
--- a/lab/experiment.py
+++ b/lab/experiment.py
@@ -64,7 +64,7 @@
 
 
 def usable(made: Balancer, request: Request) -> list[ServerView]:
-    return [server for server in made.pool if made.may_send(request, server) and not made.left_out(request, server)]
+    return [server for server in made.pool if made.may_send(request, server) and not made.is_excluded(request, server)]
 
 
 def by_chance(made: Balancer, request: Request) -> ServerView | None:
@@ -74,7 +74,7 @@
 
 def in_turn(made: Balancer, request: Request) -> ServerView | None:
     """The one that was sent to longest ago."""
-    return min(usable(made, request), key=lambda server: server.trial_at_us, default=None)
+    return min(usable(made, request), key=lambda server: server.last_sent_us, default=None)
 
 
 #: Other ways to choose a server, for comparison; the program's own is C3's rank.
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -126,13 +126,13 @@
         time_left_us: int | None = None,
         key: str | None = None,
         hint_us: int | None = None,
-        is_repeat: bool = False,
+        is_client_retry: bool = False,
     ) -> str:
         self.request_count += 1
         name = f"r{self.request_count}"
         time_left_us = request_class.deadline_us if time_left_us is None else time_left_us
         event = balancing.RequestArrived(
-            name, request_class.name, self.now_us + time_left_us, None, key, hint_us, is_repeat
+            name, request_class.name, self.now_us + time_left_us, None, key, hint_us, is_client_retry
         )
         self.unanswered[name] = self.arrived[name] = event
         self.attempts[name] = []
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -27,8 +27,8 @@
             give(call, listing(5, row(1, ports[1]), row(9, ports[2])))
             await made.agent.next()
             assert made.node.live == {"s1", "s9"} and len(made.agent.peers) == 1
-            assert made.node.balancer.servers["s2"].told_gone
-            assert not made.node.balancer.servers["s9"].told_gone
+            assert made.node.balancer.servers["s2"].is_inactive
+            assert not made.node.balancer.servers["s9"].is_inactive
 
     run(scenario())
 
@@ -101,7 +101,7 @@
             call = await made.agent.next()  # and again after a failure
             give(call, listing(2, row(5, 1)))
             await made.agent.next()
-            assert made.node.live == {"s5"} and made.node.balancer.failed_calls == 0
+            assert made.node.live == {"s5"} and made.node.balancer.failed_list_calls == 0
 
     run(scenario())
 
--- a/tests/test_four_rules.py
+++ b/tests/test_four_rules.py
@@ -109,7 +109,7 @@
 def test_keyed_request_that_may_have_run_is_refused_only_if_all_servers_deduplicate() -> None:
     for request_class, answer in ((ZONED, balancing.Fail), (CELLED, balancing.Fail), (ANYWHERE, balancing.Refuse)):
         d = driver()
-        name = d.arrive(request_class, is_repeat=True)
+        name = d.arrive(request_class, is_client_retry=True)
         d.end_attempt(name, balancing.AttemptOutcome.ERROR)
         assert d.answers(name) == [answer]
 
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -371,7 +371,7 @@
     ended = pr.AttemptEnded("r", 0, send.server, pr.AttemptOutcome.OK, 2000, True)
     balancer.handle(3, ended)
     assert balancer.servers[send.server].latency_us == 2000 and not balancer.requests
-    assert balancer.budget.most == old.retry_burst / 2
+    assert balancer.budget.capacity == old.retry_burst / 2
     assert any(
         isinstance(a, pr.Send) for a in balancer.handle(4, pr.RequestArrived("r2", new.classes[0].name, 5_000_000))
     )
@@ -399,19 +399,19 @@
     balancer.handle(0, pr.ListChanged(1, pr.ListScope.WHOLE, entries))
     kind = settings.classes[1].name
     for number in range(4):  # the one near by has more in hand than the rank alone would allow
-        request = pr.RequestArrived(f"r{number}", kind, 5_000_000, is_heavy=True)
+        request = pr.RequestArrived(f"r{number}", kind, 5_000_000, is_large=True)
         (send,) = (a for a in balancer.handle(number, request) if isinstance(a, pr.Send))
         assert send.server == "near"
     balancer.handle(10, pr.ListChanged(2, pr.ListScope.WHOLE, entries[1:]))
     (send,) = (
         a
-        for a in balancer.handle(11, pr.RequestArrived("last", kind, 5_000_000, is_heavy=True))
+        for a in balancer.handle(11, pr.RequestArrived("last", kind, 5_000_000, is_large=True))
         if isinstance(a, pr.Send)
     )
     assert send.server == "far"
 
 
-def sent_near(crossing: float) -> int:
+def sent_near(cross_zone_cost: float) -> int:
     """How many requests in a row a balancer sends to the server near by, with the same work at hand at both."""
     channels = list(configuration.read(cbor2.dumps(demo_configuration())).routes)
     settings = balancer_settings(channels, parse(BOOT, "boot.conf"), 10, 0)
@@ -423,14 +423,16 @@
         at_us = number * 60_000
         (send,) = (
             a
-            for a in balancer.handle(at_us, pr.RequestArrived(f"w{number}", kind, at_us + 5_000_000, crossing=0.0))
+            for a in balancer.handle(
+                at_us, pr.RequestArrived(f"w{number}", kind, at_us + 5_000_000, cross_zone_cost=0.0)
+            )
             if isinstance(a, pr.Send)
         )
         balancer.handle(
             at_us + 50_000, pr.AttemptEnded(f"w{number}", 0, send.server, pr.AttemptOutcome.OK, 50_000, True)
         )
     for number in range(60):
-        request = pr.RequestArrived(f"r{number}", kind, 9_000_000, crossing=crossing)
+        request = pr.RequestArrived(f"r{number}", kind, 9_000_000, cross_zone_cost=cross_zone_cost)
         (send,) = (a for a in balancer.handle(3_000_000 + number, request) if isinstance(a, pr.Send))
         if send.server == "far":
             return number
@@ -443,12 +445,12 @@
 
 def test_the_price_of_a_crossing_follows_the_bytes_that_it_would_carry() -> None:
     sizes = AnswerSizes()
-    assert sizes.crossing("a", 0) == 1.0  # nothing is known yet
+    assert sizes.cross_zone_cost("a", 0) == 1.0  # nothing is known yet
     for size in [400] * 3 + [600] * 200:
         sizes.answered("a", size)
-    assert sizes.crossing("a", 0) == pytest.approx(600 / CROSSING_BYTES, rel=0.01)
-    assert sizes.crossing("a", 300) == pytest.approx(900 / CROSSING_BYTES, rel=0.01)
-    assert sizes.crossing("a", 10**9) == MOST_CROSSING
+    assert sizes.cross_zone_cost("a", 0) == pytest.approx(600 / CROSSING_BYTES, rel=0.01)
+    assert sizes.cross_zone_cost("a", 300) == pytest.approx(900 / CROSSING_BYTES, rel=0.01)
+    assert sizes.cross_zone_cost("a", 10**9) == MOST_CROSSING
 
 
 def test_a_node_that_joins_again_keeps_its_place() -> None:
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -99,7 +99,7 @@
 def test_no_timeout_for_requests_that_cannot_be_retried() -> None:
     d = driver("s0", "s1")
     serve(d, balancer.MIN_SAMPLES + 60, 10 * MS)
-    names = {d.arrive(UNSAFE), d.arrive(is_repeat=True)}
+    names = {d.arrive(UNSAFE), d.arrive(is_client_retry=True)}
     assert [a.timeout_us for _, a in d.action_log if isinstance(a, balancing.Send) and a.request in names] == [0, 0]
 
 
@@ -154,7 +154,7 @@
 
 def test_client_retry_is_sent_once() -> None:
     d = driver("s0", "s1")
-    name = d.arrive(is_repeat=True)
+    name = d.arrive(is_client_retry=True)
     d.end_attempt(name, balancing.AttemptOutcome.ERROR)
     d.advance(balancer.BACKOFF_CAP_US)
     assert len(d.sends(name)) == 1 and d.answers(name) == [balancing.Refuse]
@@ -175,7 +175,7 @@
     d = driver("s0", proxies=3)
     server = d.balancer.servers["s0"]
     server.latency_us, server.service_us, server.queue = 50_000.0, 20_000.0, 2.0
-    server.out[("x", 0)] = d.now_us
+    server.in_flight[("x", 0)] = d.now_us
     d.balancer.refresh_server(server)
     assert server.rank == pytest.approx(50_000 - 20_000 + (1 + 1 * 3 + 2) ** 3 * 20_000)
 
@@ -263,7 +263,7 @@
         assert d.sends(name)[0] == "s1"
         d.advance(5 * MS)
         d.end_attempt(name, balancing.AttemptOutcome.OK)
-    d.advance(2 * balancer.TRIAL_US)
+    d.advance(2 * balancer.BASE_EJECTION_US)
     assert d.balancer.trial_due(server)
 
 
@@ -315,7 +315,7 @@
     serve(d, 60, 10 * MS)
     server = d.balancer.servers["s0"]
     server.update_waited(d.now_us, math.inf)
-    server.out[("x", 0)] = d.now_us
+    server.in_flight[("x", 0)] = d.now_us
     d.advance(1 * S)
     assert d.balancer.expected_delay_us(server) >= 0.8 * S / balancer.INTERVAL_SLACK
     for _ in range(20):
@@ -341,7 +341,7 @@
     assert (
         server.outstanding(d.now_us, d.balancer.lost_after_us)[0] == 0 and d.balancer.expected_delay_us(server) == 0.0
     )
-    assert len(server.out) == 1  # it is still in flight
+    assert len(server.in_flight) == 1  # it is still in flight
 
 
 def test_reported_service_time_of_zero_is_ignored() -> None:
@@ -407,7 +407,7 @@
     d.balancer.refresh_all()
     new = d.balancer.servers["new"]
     assert d.balancer.expected_delay_us(new) == 0.0
-    new.out[("x", 0)] = new.wait_updated_us = d.now_us
+    new.in_flight[("x", 0)] = new.wait_updated_us = d.now_us
     assert d.balancer.expected_delay_us(new) == pytest.approx(30 * MS / 0.2)
 
 
@@ -427,7 +427,7 @@
     d = driver("s0", "s1", warm_keys=True)
     serve(d, 40, 10 * MS)
     for server in d.balancer.servers.values():
-        server.out[("x", 0)] = server.wait_updated_us = d.now_us
+        server.in_flight[("x", 0)] = server.wait_updated_us = d.now_us
         server.waited_us = 0
     d.balancer.refresh_all()
     limit_us = SAFE.latency_target_us / d.balancer.latency_spread
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -72,7 +72,7 @@
 def run_script(driver: Driver, script: list[Any]) -> None:
     for step in script:
         if step[0] == "arrive":
-            driver.arrive(step[1], step[2] * MS, key=step[4], is_repeat=step[3])
+            driver.arrive(step[1], step[2] * MS, key=step[4], is_client_retry=step[3])
         elif step[0] == "end":
             in_flight = [
                 (name, i)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -204,7 +204,7 @@
         balancing.RequestClass(name, balancing.Repeat.SAFE, 500 * MS, S, value=value)
         for name, value in (("map", 1.0), ("profile", 5.0), ("payment", 10.0))
     )
-    d = Driver(settings(proxies=200, classes=classes, worth_by_work=True))
+    d = Driver(settings(proxies=200, classes=classes, value_is_per_work=True))
     d.update_list(*(entry(f"s{i}") for i in range(10)), scope=balancing.ListScope.SAVED)
 
     def play(rounds: int) -> dict[str, int]:
@@ -343,7 +343,7 @@
                 assert set(retried) <= pool
             if name in d.unanswered:
                 d.end_attempt(name, balancing.AttemptOutcome.OK)
-            d.balancer.budget.tokens = d.balancer.budget.most
+            d.balancer.budget.tokens = d.balancer.budget.capacity
             for server in d.balancer.servers.values():
                 server.success = 1.0
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -190,7 +190,7 @@
             got = await made.servers[0].next()  # the retry, on a new connection
             assert len(made.servers[0].peers) == 2
             assert made.node.balancer.servers["s0"].entry.started_us == now_us
-            assert len(made.node.balancer.servers["s0"].out) == 1
+            assert len(made.node.balancer.servers["s0"].in_flight) == 1
             got.reply()
             assert (await client.answer()).status == 200
 
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -6,7 +6,7 @@
 import pytest
 
 from cypressbeam import balancing as pr
-from cypressbeam.balancing.balancer import TRIAL_US, Balancer
+from cypressbeam.balancing.balancer import BASE_EJECTION_US, Balancer
 from cypressbeam.distribution.outlier_detection import EJECTION_S, WINDOW_S, OutlierDetector
 from lab.day import Day, Kind, Service, Trouble
 from lab.day_simulation import DayWorld as World
@@ -70,12 +70,12 @@
     made = balancer()
     made.handle(1, pr.ServerUnhealthy("s0"))
     made.handle(1, pr.ServerUnhealthy("unknown"))
-    rest_us = made.servers["s0"].ejected_until_us
-    assert 0.75 * TRIAL_US <= rest_us <= 1.25 * TRIAL_US
+    rest_us = made.servers["s0"].ejection_us
+    assert 0.75 * BASE_EJECTION_US <= rest_us <= 1.25 * BASE_EJECTION_US
     made.handle(2, pr.ServerUnhealthy("s0"))  # it rests already
-    assert made.servers["s0"].ejected_until_us == rest_us and made.servers["s0"].consecutive_faults == 1
+    assert made.servers["s0"].ejection_us == rest_us and made.servers["s0"].consecutive_faults == 1
     assert {sent_to(made, 100 + i, f"r{i}", "read") for i in range(30)} == {"s1"}
-    later = 2 * TRIAL_US
+    later = 2 * BASE_EJECTION_US
     assert {sent_to(made, later + i, f"o{i}", "order") for i in range(30)} == {"s1"}  # tried with what may be repeated
     assert "s0" in {sent_to(made, later + 100 + i, f"l{i}", "read") for i in range(30)}
 
