--- a/cypressbeam/balancing/balancer.py
+++ b/cypressbeam/balancing/balancer.py
@@ -178,7 +178,7 @@
         return math.exp(mean_log + sigma * (TAIL_Z_SCORE + TAIL_Z_SCORE / math.sqrt(self.total)))
 
 
-class TokenBucket:
+class TokenBudget:
     """A token bucket, for the retry budget and for the shares of tenants."""
 
     def __init__(self, capacity: float, rate_per_s: float = 0.0) -> None:
@@ -417,7 +417,7 @@
         self.requests: dict[str, Request] = {}
         self.percentiles = {request_class.name: LatencyPercentile() for request_class in settings.classes}
         self.mean_hints_us: dict[str, float] = {}
-        self.budget = TokenBucket(settings.retry_burst)
+        self.budget = TokenBudget(settings.retry_burst)
         if settings.retry_from_empty:
             self.budget.tokens = 0.0
         self.throttle = AdaptiveThrottle()
@@ -425,7 +425,7 @@
         # This proxy's part of the rate of each tenant; tenants without a rate are unlimited.
         rates = {name: rate / settings.proxies for name, rate in settings.tenants.items() if rate}
         self.tenant_buckets = {
-            name: TokenBucket(TENANT_BURST_S * own_rate + TENANT_BURST_REQUESTS, own_rate)
+            name: TokenBudget(TENANT_BURST_S * own_rate + TENANT_BURST_REQUESTS, own_rate)
             for name, own_rate in rates.items()
         }
         self.timers: dict[int, tuple[str, str]] = {}
--- a/cypressbeam/balancing/interface.py
+++ b/cypressbeam/balancing/interface.py
@@ -1,6 +1,6 @@
 """Data types of the load balancer: settings, input events and output actions.
 
-All types are plain data. Times are whole microseconds, marked by the suffix `_us`.
+All types are plain data. Times are whole microseconds (names end in _us).
 """
 
 from __future__ import annotations
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -104,7 +104,7 @@
 
 
 def test_retry_budget_refills_and_is_bounded() -> None:
-    budget = balancer.TokenBucket(RETRY_BURST)
+    budget = balancer.TokenBudget(RETRY_BURST)
     assert sum(budget.spend(S) for _ in range(50)) == RETRY_BURST
     for _ in range(math.ceil(2 / RETRY_SHARE) + 1):
         budget.earn(RETRY_SHARE)
