--- a/cypressbeam/consensus/__init__.py
+++ b/cypressbeam/consensus/__init__.py
@@ -1,2 +1,2 @@
-"""Agreement on the chain of machines that store the configuration. Pure: messages, ticks and finished writes go in,
-effects come out; nothing here opens a socket or a file, or reads a clock."""
+"""Consensus on the configuration among the core machines, without I/O: messages, ticks and completed disk writes are
+inputs, effects are outputs. No module here opens a socket or a file, or reads a clock."""
--- a/cypressbeam/consensus/chain.py
+++ b/cypressbeam/consensus/chain.py
@@ -1,10 +1,11 @@
-"""Chain replication: one machine's place in the chain that stores the configuration.
+"""Chain replication: the state machine of one member of the chain that stores the configuration.
 
-The head orders writes and compares bases, each member syncs an entry before it forwards it, the tail's sync commits.
-Every message carries the view's epoch; one of another epoch is ignored. repair.py makes and repairs the chain.
+The head orders writes and checks each against its base revision, every member syncs an entry before forwarding it,
+and an entry is committed once the tail has synced it. Every message carries the view's epoch; messages of other epochs
+are ignored. repair.py creates and repairs the chain.
 
-Invariants: no member forwards what it has not synced; nothing is published or answered 200 but by a tail that has
-synced it; numbers and revisions only rise; the head has at most one entry that is not committed.
+Invariants: no member forwards an entry that it has not synced; only a tail that has synced an entry publishes it or
+answers its write with 200; entry numbers and revisions only increase; the head has at most one uncommitted entry.
 Source: van Renesse and Schneider, "Chain replication for supporting high throughput and availability", OSDI 2004.
 """
 
@@ -19,17 +20,18 @@
 from cypressbeam.consensus.views import Entry, View
 from cypressbeam.protocol import frames
 
-#: An entry that is not committed is sent down again after so long: the link may have broken.
+#: An uncommitted entry is forwarded again after this time, since the link may have broken.
 RESEND_INTERVAL_S = 0.3
-#: Writes that may wait at the head; more are rejected with 503.
+#: Writes queued at the head; further ones are rejected with 503.
 MAX_QUEUED_WRITES = 64
-#: Characters of an answer's text: it may hold what an operator has sent, and a frame's texts have two bytes of length.
+#: Maximum characters in the text of a result. The text may quote the operator's input, and the length field of a text
+#: in a frame has two bytes.
 MAX_RESULT_TEXT = 300
 
 
 @dataclass(slots=True)
 class ChainReplica:
-    """The state of one member. `check` returns a body's revision and raises ValueError if it is invalid."""
+    """The state of one chain member. `check` returns the revision of a body and raises ValueError if it is invalid."""
 
     ip: str
     view: View
@@ -38,31 +40,31 @@
     last: Entry | None = None
     """The newest entry on disk."""
     applied_digests: dict[int, bytes] = field(default_factory=dict)
-    """Digests of the entries that led to the newest one on disk, and its own, by revision (deduplication.py)."""
+    """Digests of the newest entry on disk and of the entries before it, by revision (deduplication.py)."""
     committed: int = 0
-    """The number up to which this member knows entries to be committed."""
+    """The highest entry number that this member knows to be committed."""
     queue: deque[frames.WriteRequest] = field(default_factory=deque)
     persisting: Entry | None = None
     pending_callers: list[tuple[int, str]] = field(default_factory=list)
-    """Who is to be answered for the entry in flight: ids of write requests, and the nodes that took the calls."""
+    """The write requests that the entry in flight will answer: request id and address of the node that received it."""
     forwarded_s: float = 0.0
     active: bool = False
-    """Every member of the chain has taken up this view, and with it the entry that it began with."""
+    """Every member of the chain has installed this view and its initial entry."""
     sealed: bool = False
-    """A higher epoch was promised: nothing more is done in this one."""
+    """A higher epoch was promised, so nothing more is done in this one."""
     catch_up_target: int = 0
-    """The highest number that other members of the chain had reported when the view became active."""
+    """The highest entry number that the other members of the chain had reported when the view became active."""
 
-    # -- what it is ----------------------------------------------------------------------------------------
+    # -- role and position ---------------------------------------------------------------------------------
 
     @property
     def number(self) -> int:
-        """The number of the newest entry on disk; 0: there is none."""
+        """The number of the newest entry on disk, 0 if there is none."""
         return self.last.number if self.last else 0
 
     @property
     def revision(self) -> int:
-        """Its revision; 0: there is none."""
+        """The revision of the newest entry on disk, 0 if there is none."""
         return self.last.revision if self.last else 0
 
     def is_head(self) -> bool:
@@ -74,42 +76,44 @@
         return self.view.tail == self.ip
 
     def is_caught_up(self) -> bool:
-        """Whether this member has what the others of the chain had when the view became active."""
+        """Whether this member has every entry that the others had reported when the view became active."""
         return self.number >= self.catch_up_target
 
-    def activate(self, now_s: float, wanted: int = 0) -> list[ChainEffect]:
-        """All members hold what this view began with, so that is committed; at the tail, all that it has. After a loss
-        of power another member may have a later entry: it comes down the chain, and before the tail has it nobody can
-        tell what was acknowledged."""
-        self.active, self.catch_up_target = True, wanted
+    def activate(self, now_s: float, catch_up_target: int = 0) -> list[ChainEffect]:
+        """Activate the view once every member has installed it.
+
+        The initial entry is then committed, and at the tail everything on its disk. After a power failure another
+        member may hold a later entry: it is forwarded down the chain, and until the tail has it no member can tell
+        which entries were acknowledged."""
+        self.active, self.catch_up_target = True, catch_up_target
         if self.is_tail() and not self.is_caught_up():
             return []
         self.committed = max(self.committed, self.number if self.is_tail() else self.view.initial_number)
         return [Publish(self.last)] if self.last is not None and self.is_tail() else self.forward_to_successor(now_s)
 
-    # -- orders, at the head -------------------------------------------------------------------------------
+    # -- writes, at the head -------------------------------------------------------------------------------
 
     def submit(self, request: frames.WriteRequest, now_s: float) -> list[ChainEffect]:
-        """A write request, at the head: it is queued, and decided in its turn."""
+        """Queue a write request at the head; requests are decided in order."""
         if not self.is_head() or self.sealed or not self.active:
-            return []  # it is sent again, or its caller gets a time-out
+            return []  # the receiving node resends it until its caller times out
         if (
             any(other.request_id == request.request_id for other in self.queue)
             or (request.request_id, request.origin) in self.pending_callers
         ):
-            return []  # its node asks again
+            return []  # resent by the node that received it
         if len(self.queue) >= MAX_QUEUED_WRITES:
             return [write_result(request, 503, "too many orders wait")]
         self.queue.append(request)
         return self.process_queue(now_s)
 
     def has_uncommitted(self) -> bool:
-        """Whether an entry is on its way: being written here, or not committed yet."""
+        """Whether an entry is in flight: being written to disk here, or not yet committed."""
         return self.persisting is not None or self.number > self.committed
 
     def process_queue(self, now_s: float) -> list[ChainEffect]:
-        """Writes are decided one at a time, once what came before is committed: so a rejection for another version
-        never names one that is lost."""
+        """Decide queued writes one at a time, each after the entry before it is committed, so that a rejection never
+        names a current version that can still be lost."""
         effects: list[ChainEffect] = []
         while self.queue and self.is_head() and not self.sealed:
             request = self.queue[0]
@@ -121,7 +125,7 @@
         return effects
 
     def coalesce_duplicates(self) -> None:
-        """A write whose configuration is in flight gets the result of the request that brought it."""
+        """Let queued writes with the same body as the entry in flight share its result."""
         entry = self.persisting or self.last
         if entry is None:
             return
@@ -130,12 +134,15 @@
             self.pending_callers.append((request.request_id, request.origin))
 
     def decide(self, request: frames.WriteRequest, now_s: float) -> list[ChainEffect]:
-        """All that is on disk is committed here. The rule (docs/design/orders.md): what was applied is never
-        rejected, and what is rejected is never applied. So a write that may yet turn out to be either gets 503."""
+        """Apply or reject a write; every entry on disk is committed at this point.
+
+        An applied write is never rejected, and a rejected write is never applied (docs/design/orders.md), so a write
+        whose outcome is uncertain gets 503."""
         if self.digest(request.body) in self.applied_digests.values():
-            return [write_result(request, 200, "taken before")]  # first, for a check may have changed since
+            # Before the check, which may have changed since the body was applied.
+            return [write_result(request, 200, "taken before")]
         if deduplication.forgotten_up_to(self.applied_digests, self.number) <= request.base < self.revision:
-            # As a rule one of many on the same base: a body of many thousand routes is not read for that.
+            # Usually one of many writes on the same base: the body, with many thousand routes, need not be parsed.
             return [write_result(request, 412, f"the current version is {self.revision}")]
         try:
             revision = self.check(request.body)
@@ -154,36 +161,36 @@
         return [PersistEntry(self.persisting)]
 
     def base_may_become_current(self, base: int, revision: int) -> bool:
-        """Whether a write's base may become current yet: a late copy of it would be applied then."""
+        """Whether the base of a write may still become current; a delayed copy of the write would then be applied."""
         return self.revision < base < revision
 
     def may_have_been_applied(self, base: int, revision: int) -> bool:
-        """Whether a write may have been applied so long ago that its digest is not kept any more."""
+        """Whether a write may have been applied so long ago that its digest was discarded."""
         return base < revision <= deduplication.forgotten_up_to(self.applied_digests, self.number)
 
-    # -- entries, down the chain ---------------------------------------------------------------------------
+    # -- entries forwarded down the chain ------------------------------------------------------------------
 
     def on_forward(self, frame: frames.ForwardEntry, now_s: float) -> list[ChainEffect]:
-        """An entry comes from the predecessor: it is put on disk if it is the next one."""
+        """Handle an entry from the predecessor: persist it if it is the next in sequence."""
         if frame.epoch != self.view.epoch or self.sealed or not self.active:
             return []
         if frame.number <= self.number:
             return self.on_duplicate(frame, now_s)
         if self.persisting is not None or frame.number != self.number + 1:
-            return []  # it comes again
+            return []  # the predecessor resends it
         self.pending_callers = [(frame.request_id, frame.origin)] if frame.origin else []
         self.persisting = Entry(frame.number, frame.epoch, frame.revision, frame.base, frame.body)
         return [PersistEntry(self.persisting)]
 
     def on_duplicate(self, frame: frames.ForwardEntry, now_s: float) -> list[ChainEffect]:
-        """An entry that is on this disk already: the notice that it is committed may have been lost."""
+        """Handle an entry that is already on this disk: the predecessor may have missed its commit notice."""
         previous = self.view.predecessor(self.ip)
         if self.committed >= frame.number and previous is not None:
             return [SendMessage(previous, frames.CommitNotice(self.view.epoch, self.committed))]
         return self.forward_to_successor(now_s)
 
     def entry_persisted(self, entry: Entry, now_s: float) -> list[ChainEffect]:
-        """The entry is on disk."""
+        """Handle the completion of `PersistEntry`: forward the entry, or commit it at the tail."""
         self.persisting = None
         self.last = entry
         deduplication.record(self.applied_digests, entry.revision, entry.base, self.digest(entry.body))
@@ -204,7 +211,7 @@
         return effects + self.process_queue(now_s)
 
     def persist_failed(self, entry: Entry, now_s: float) -> list[ChainEffect]:
-        """The disk refused the entry: its callers get 503, to retry later."""
+        """Handle the failure of `PersistEntry`: answer the callers with 503, so that they retry later."""
         self.persisting = None
         callers, self.pending_callers = self.pending_callers, []
         return [
@@ -213,7 +220,7 @@
         ]
 
     def forward_to_successor(self, now_s: float) -> list[ChainEffect]:
-        """Send the newest entry down the chain, if it is not committed."""
+        """Forward the newest entry to the successor, unless it is committed."""
         successor = self.view.successor(self.ip)
         if successor is None or self.last is None or self.last.number <= self.committed:
             return []
@@ -230,8 +237,10 @@
         ]
 
     def resend_to_successor(self, ip: str, number: int) -> list[ChainEffect]:
-        """The successor reports entries up to this number only. What is committed was on its disk: the report is
-        late, or the disk is an older copy of itself, and then it needs the entry again."""
+        """Resend the newest entry to a successor that reports only entries up to `number`, if that entry is committed.
+
+        The successor must have had a committed entry on disk. Either its report is outdated, or its disk was rolled
+        back and needs the entry again."""
         if (
             self.last is None
             or not self.active
@@ -248,7 +257,7 @@
         ]
 
     def on_commit(self, frame: frames.CommitNotice, now_s: float) -> list[ChainEffect]:
-        """The successor says that entries are committed."""
+        """Handle a commit notice from the successor and pass it to the predecessor."""
         if frame.epoch != self.view.epoch or self.sealed or not self.committed < frame.number <= self.number:
             return []
         self.committed = frame.number
@@ -256,9 +265,9 @@
         previous = self.view.predecessor(self.ip)
         if previous is not None:
             effects.append(SendMessage(previous, frames.CommitNotice(self.view.epoch, frame.number)))
-        # After a loss of all power the notice of an earlier entry may come while a later one is on its way.
+        # After a power failure of all members the notice of an earlier entry may arrive while a later one is in flight.
         if self.is_head() and self.committed == self.number:
-            # The tail has answered the first; the rest had sent the same again meanwhile.
+            # The tail has answered the first caller; the others had sent the same body in the meantime.
             effects += [
                 SendMessage(origin, frames.WriteResult(request_id, 200, "taken"))
                 for request_id, origin in self.pending_callers[1:]
@@ -268,7 +277,7 @@
         return effects
 
     def tick(self, now_s: float) -> list[ChainEffect]:
-        """Send an entry again that was not acknowledged for long."""
+        """Resend an entry that was not acknowledged within `RESEND_INTERVAL_S`."""
         if (
             self.active
             and not self.sealed
@@ -280,5 +289,5 @@
 
 
 def write_result(request: frames.WriteRequest, status: int, text: str) -> SendMessage:
-    """The result of a write request, for the node that took the call."""
+    """The result of a write request, addressed to the node that received it."""
     return SendMessage(request.origin, frames.WriteResult(request.request_id, status, text[:MAX_RESULT_TEXT]))
--- a/cypressbeam/consensus/effects.py
+++ b/cypressbeam/consensus/effects.py
@@ -1,7 +1,7 @@
-"""Effects: what the consensus asks its host to do. The host carries them out in their order.
+"""Effects: the actions that the consensus code requests from its host, which carries them out in order.
 
-A write is confirmed by a call back: `entry_persisted`, `promise_persisted`, `view_persisted` and `disk_probed`, or
-`write_failed` where the disk has refused it.
+The host confirms each disk write by calling `entry_persisted`, `promise_persisted`, `view_persisted` or `disk_probed`,
+or `write_failed` if the disk rejected it.
 """
 
 from __future__ import annotations
@@ -22,23 +22,23 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistEntry:
-    """Put an entry on disk."""
+    """Write an entry to disk."""
 
     entry: Entry
 
 
 @dataclass(frozen=True, slots=True)
 class PersistPromise:
-    """Put a promise on disk: no lower epoch is taken part in from then on."""
+    """Write a promise to disk: the machine takes part in no lower epoch from then on."""
 
     epoch: int
     proposer: str
-    """The address of the machine that asked for it."""
+    """The address of the machine that requested the promise."""
 
 
 @dataclass(frozen=True, slots=True)
 class PersistView:
-    """Put a view on disk, with the entry and the digests of applied writes that it begins with, in one write."""
+    """Write a view to disk, together with its initial entry and digests of applied writes, in one transaction."""
 
     view: View
     entry: Entry | None
@@ -47,32 +47,32 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeDisk:
-    """Write something, to see whether a disk that refused a write takes them again."""
+    """Write a test record, to see whether a disk that rejected a write accepts writes again."""
 
 
 @dataclass(frozen=True, slots=True)
 class Publish:
-    """A committed configuration: to the distribution tree."""
+    """Publish a committed configuration to the distribution tree."""
 
     entry: Entry
 
 
 @dataclass(frozen=True, slots=True)
 class SetLeadership:
-    """Be the root of the distribution tree from now on, or no more."""
+    """Become the root of the distribution tree, or stop being it."""
 
     leads: bool
 
 
 @dataclass(frozen=True, slots=True)
 class ResetIdentity:
-    """This machine's disk is an older copy of itself: go on as another member, with an empty disk."""
+    """Continue as a new member with an empty disk, since this machine's disk was rolled back."""
 
     reason: str
 
 
-#: What a place in the chain asks for.
+#: Effects of a chain member.
 ChainEffect = PersistEntry | SendMessage | Publish
-#: What is written to the disk.
+#: Effects that write to the disk.
 DiskWrite = PersistEntry | PersistPromise | PersistView | ProbeDisk
 Effect = ChainEffect | DiskWrite | SetLeadership | ResetIdentity
--- a/cypressbeam/consensus/leadership.py
+++ b/cypressbeam/consensus/leadership.py
@@ -1,8 +1,9 @@
 """Leadership: whether this machine, the tail of an active view, is the root of the distribution tree.
 
-The root is a lease holder: it is asked before each statement whether it still holds, since in a process that was paused
-timers run after what its sockets hold.
-Invariant: a machine leads only while its view is active, or was a moment ago, and a majority is in reach.
+The root holds a lease, which is checked before each message that depends on it rather than by a timer: after a pause
+of the process, received messages are handled before expired timers.
+Invariant: a machine leads only while its view is active, or was within `VIEW_CHANGE_GRACE_S`, and a majority is
+reachable.
 """
 
 from __future__ import annotations
@@ -13,28 +14,28 @@
 from cypressbeam.consensus.state import ReplicaState
 from cypressbeam.consensus.views import ip_of
 
-#: The root stays it for so long while its view is not active: as a rule the next one has the same tail, and the tree of
-#: the whole fleet would be torn down and put together again.
+#: The root keeps its role for this long while its view is inactive. The next view usually has the same tail, and
+#: resigning would make the whole fleet rebuild the distribution tree.
 VIEW_CHANGE_GRACE_S = 1.0
 
 
 class Leadership:
-    """The lease of the root at one machine."""
+    """The state of the root's lease at one machine."""
 
     def __init__(self, state: ReplicaState, failure_detector: FailureDetector) -> None:
         self.state = state
         self.failure_detector = failure_detector
         self.is_leader = False
-        """Whether this machine was the root when it was last looked at."""
+        """Whether this machine was the root at the last tick."""
         self.last_active_tail_s = NEVER_S
         """When this machine was last the tail of an active view."""
 
     def leads(self, now_s: float) -> bool:
-        """Whether this machine's statements on the state count now: its view is active, and a majority in reach."""
+        """Whether this machine may answer for the replicated state: its view is active and a majority is reachable."""
         return self.state.is_active() and self.failure_detector.has_quorum_contact(now_s)
 
     def holds_lease(self, now_s: float) -> bool:
-        """Whether this machine is the root, or stays it."""
+        """Whether this machine may become the root, or remain it."""
         view = self.state.view
         if view is None or ip_of(view.chain[-1]) != self.state.ip:
             return False
@@ -46,7 +47,7 @@
         return now_s - contact_s <= FAILURE_TIMEOUT_S + failure_detection.LEADER_CONTACT_GRACE_S
 
     def tick(self, now_s: float) -> list[Effect]:
-        """Become the root, or resign."""
+        """Become the root or resign, as the lease requires."""
         chain = self.state.chain
         if chain is not None and chain.is_tail() and self.state.is_active():
             self.last_active_tail_s = now_s
--- a/cypressbeam/consensus/quorum_reads.py
+++ b/cypressbeam/consensus/quorum_reads.py
@@ -1,8 +1,8 @@
-"""Quorum reads: what is in force is answered only once a majority has confirmed the epoch.
+"""Quorum reads: the current version is reported only once a majority has confirmed the epoch.
 
-Source: the read index of Raft (Ongaro, 2014, section 6.4). The tail answers reads; a refusal of a write names the
-version in force too, and a head that was cut off or paused may not have heard yet that there is a newer one.
-Invariant: an answer counts confirmations of the current view alone, none older than `CONFIRMATION_TIMEOUT_S`.
+Source: the read index of Raft (Ongaro, 2014, section 6.4). The tail answers reads. A rejection of a write also names
+the current version, and a head that was partitioned or paused may not know yet that there is a newer one.
+Invariant: an answer relies only on confirmations of the current view, none older than `CONFIRMATION_TIMEOUT_S`.
 """
 
 from __future__ import annotations
@@ -15,46 +15,46 @@
 from cypressbeam.consensus.views import ip_of
 from cypressbeam.protocol import frames
 
-#: A majority's confirmation is waited for this long.
+#: How long a read waits for the confirmation of a majority.
 CONFIRMATION_TIMEOUT_S = 0.8
 OK, NOT_FOUND = 200, 404
 
 
 @dataclass(slots=True)
 class PendingRead:
-    """A read, or a refusal of a write, that waits for a majority to confirm the epoch."""
+    """A read, or a rejection of a write, that waits for a majority to confirm the epoch."""
 
     origin: str
-    """The address of the node that took the call."""
-    refusal: frames.WriteResult | None
-    """The answer, where it is one to a write."""
+    """The address of the node that received the call."""
+    rejection: frames.WriteResult | None
+    """The rejection to send; None for a read."""
     deadline_s: float
     confirmed_by: set[str]
-    """Names of members."""
+    """Names of the members that confirmed the epoch."""
 
 
 class QuorumReads:
-    """The answers that wait for a confirmation."""
+    """The reads and rejections that wait for confirmation."""
 
     def __init__(self, state: ReplicaState, rollback: RollbackDetector) -> None:
         self.state = state
         self.rollback = rollback
         self.pending: dict[int, PendingRead] = {}
-        """By the number of the request."""
+        """By request id."""
 
-    def begin(self, request_id: int, origin: str, refusal: frames.WriteResult | None, now_s: float) -> list[Effect]:
-        """Ask the group whether the epoch still holds, before something is answered."""
+    def begin(self, request_id: int, origin: str, rejection: frames.WriteResult | None, now_s: float) -> list[Effect]:
+        """Ask the group to confirm the epoch, before a read or a rejection is answered."""
         state, view = self.state, self.state.view
         assert view is not None
         if request_id in self.pending:
             return []
-        self.pending[request_id] = PendingRead(origin, refusal, now_s + CONFIRMATION_TIMEOUT_S, {state.name})
+        self.pending[request_id] = PendingRead(origin, rejection, now_s + CONFIRMATION_TIMEOUT_S, {state.name})
         check = frames.QuorumReadCheck(view.epoch, request_id, state.ip)
         checks: list[Effect] = [SendMessage(ip_of(name), check) for name in view.group if name != state.name]
         return checks + self.complete(request_id)
 
     def on_ack(self, frame: frames.QuorumReadAck, now_s: float) -> list[Effect]:
-        """A member confirms the epoch."""
+        """Handle a member's confirmation of the epoch."""
         read, view = self.pending.get(frame.request_id), self.state.view
         if read is None or now_s > read.deadline_s or view is None or frame.epoch != view.epoch:
             return []
@@ -63,28 +63,28 @@
         return self.complete(frame.request_id)
 
     def complete(self, request_id: int) -> list[Effect]:
-        """Answer, if a majority has confirmed and all that is stored here is committed."""
+        """Answer if a majority has confirmed and every entry on this disk is committed."""
         read, chain, view = self.pending[request_id], self.state.chain, self.state.view
         assert view is not None
         if len(read.confirmed_by) < self.state.quorum_size(view.group):
             return []
         if chain is None or chain.sealed or not chain.is_caught_up():
             return []
-        if read.refusal is not None:
+        if read.rejection is not None:
             del self.pending[request_id]
-            return [SendMessage(read.origin, read.refusal)]
+            return [SendMessage(read.origin, read.rejection)]
         entry = chain.last if chain.committed == chain.number else None
         if entry is None and chain.number:
-            return []  # the tail's own sync is what commits, so this does not last
+            return []  # temporary: the tail commits an entry as soon as its own sync completes
         del self.pending[request_id]
         result = frames.ReadResult(request_id, OK if entry else NOT_FOUND, entry.body if entry else b"")
         return [SendMessage(read.origin, result)]
 
     def expire(self, now_s: float) -> None:
-        """Give up those that have waited too long; their callers ask again."""
-        for request_id in [number for number, read in self.pending.items() if now_s > read.deadline_s]:
+        """Drop reads whose deadline has passed; their callers ask again."""
+        for request_id in [pending_id for pending_id, read in self.pending.items() if now_s > read.deadline_s]:
             del self.pending[request_id]
 
     def clear(self) -> None:
-        """Another view: what others have confirmed was the epoch before."""
+        """Drop all pending reads when the view changes: the confirmations were for the previous epoch."""
         self.pending.clear()
--- a/cypressbeam/consensus/replica.py
+++ b/cypressbeam/consensus/replica.py
@@ -1,21 +1,21 @@
-"""A replica: one machine with a disk, its part in agreeing on views, and its place in the chain.
+"""A replica: one machine with a disk, which takes part in agreeing on views and may be a member of the chain.
 
-Pure: messages, ticks and finished writes go in, effects come out, in the order in which they are to be carried out.
-The replica joins the parts, each of which has its own state and rules:
+Performs no I/O: messages, ticks and completed disk writes are inputs, effects are outputs, to be carried out in order.
+The replica combines components that each have their own state and rules:
 
-| part | module | what it decides |
+| component | module | responsibility |
 | --- | --- | --- |
-| `state` | state.py | the installed view, the place in the chain, what is stored |
-| `disk` | disk_health.py | whether the disk takes writes |
-| `rollback` | rollback_detection.py | whose disk is an older copy of itself |
-| `failure_detector` | failure_detection.py | who is alive, and whether a majority is in reach |
+| `state` | state.py | the installed view, the chain position, the stored entry |
+| `disk` | disk_health.py | whether the disk accepts writes |
+| `rollback` | rollback_detection.py | which disks were rolled back to an older copy |
+| `failure_detector` | failure_detection.py | which machines are alive, and whether a majority is reachable |
 | `leadership` | leadership.py | whether this machine is the root of the distribution tree |
-| `voter` | voting.py | which proposals it takes part in |
-| `proposer` | repair.py | when a new view is proposed, and what it begins with |
-| `reads` | quorum_reads.py | when a read or a refusal may be answered |
+| `voter` | voting.py | which proposals this machine takes part in |
+| `proposer` | repair.py | when a new view is proposed, and its initial entry |
+| `reads` | quorum_reads.py | when a read or a rejection may be answered |
 
-Invariants are stated there. A machine at an address that is new to the group takes nobody's place: it has put the view
-before the one that names it on disk, and votes from then on (membership.py).
+The invariants are stated in those modules. A machine at an address that is new to the group does not take over another
+member's place: it persists the view before the one that includes it, and votes from then on (membership.py).
 """
 
 from __future__ import annotations
@@ -46,20 +46,20 @@
 from cypressbeam.consensus.voting import Voter
 from cypressbeam.protocol import frames
 
-#: How often machines with a disk forward a request that is not theirs to answer.
+#: How many times replicas forward a request that another one has to answer.
 MAX_HOPS = 2
-#: Answers that say which version is in force; the first may depend on the program that checks.
+#: Statuses that assert which version is current; whether a body is invalid also depends on the program's version.
 INVALID = 400
 PRECONDITION_FAILED = 412
 REFUSALS = (INVALID, PRECONDITION_FAILED)
 UNAVAILABLE = 503
 
-#: Requests that a machine may forward to the one whose part they are.
+#: Requests that a replica may forward to the one responsible.
 Forwardable = frames.WriteRequest | frames.ReadRequest | frames.MembershipChangeRequest
 
 
 class Replica:
-    """One machine with a disk. Times in seconds of its steady clock."""
+    """The consensus state machine of one machine with a disk. Times are in seconds of its monotonic clock."""
 
     def __init__(
         self,
@@ -70,11 +70,11 @@
         random_share: Callable[[], float],
     ) -> None:
         """
-        :param name: address and identity of this machine.
-        :param min_copies: how many members a chain has at least.
-        :param check: gives the revision of a configuration; raises ValueError where it is invalid.
-        :param digest: of a configuration.
-        :param random_share: a number from 0 to 1, drawn at random.
+        :param name: address and disk identity of this machine.
+        :param min_copies: the minimum length of a chain.
+        :param check: returns the revision of a configuration; raises ValueError if it is invalid.
+        :param digest: returns the digest of a configuration.
+        :param random_share: returns a random number from 0 to 1.
         """
         self.name = name
         self.ip = ip_of(name)
@@ -90,23 +90,24 @@
         self.reads = QuorumReads(self.state, self.rollback)
         self.pause = PauseDetector()
         self.check_version = 0
-        """By which version of the check this machine judges configurations (configuration.CHECKS)."""
+        """The version of the validation rules that this machine applies to configurations
+        (configuration.CHECK_VERSION)."""
         self.peer_check_versions: dict[str, int] = {}
-        """The same of others, by address, as they reported it last."""
+        """The versions that other machines reported last, by address."""
         self.is_draining = False
-        """This process was told to stop: it is no spare."""
+        """This process was asked to stop, so it does not offer itself as a spare."""
 
     # -- start ---------------------------------------------------------------------------------------------
 
     def remember(self, durable: HighWaterMarks, pending: HighWaterMarks, reported: dict[str, HighWaterMarks]) -> None:
-        """Before `load`: the incarnation on disk, that which is put there by the first write, and what the others have
-        reported."""
+        """Restore the incarnation on disk, the one that the first write stores, and the marks that other members have
+        reported. Called before `load`."""
         self.rollback.durable, self.rollback.pending, self.rollback.reported = durable, pending, reported
 
     def load(
         self, view: View | None, promised: int, entry: Entry | None, digests: dict[int, bytes], now_s: float
     ) -> list[Effect]:
-        """What was on disk at the start."""
+        """Restore the state that was on disk when the process started."""
         self.voter.promised = promised
         self.state.stored_entry, self.state.stored_digests = entry, digests
         self.state.highest_epoch = promised
@@ -117,33 +118,35 @@
         return self.tick(now_s)
 
     def bootstrap(self, view: View, now_s: float) -> list[Effect]:
-        """The first view: one proposed to a machine that has none is accepted, once."""
+        """Accept the first view of a new group, unless this machine already has a view, is writing one, or has
+        promised an epoch."""
         state = self.state
         if state.view is not None or state.pending_view is not None or self.voter.promised:
             return []
         return self.accept_view(view, None, {}, now_s) if self.name in view.chain else []
 
-    # -- upkeep --------------------------------------------------------------------------------------------
+    # -- periodic work -------------------------------------------------------------------------------------
 
     def disk_works(self, now_s: float) -> bool:
-        """Whether this machine's disk takes writes and has lost nothing."""
+        """Whether this machine's disk accepts writes and was not rolled back."""
         return self.disk.works(now_s) and not self.rollback.reason
 
     def offers_disk(self, now_s: float) -> bool:
-        """Whether others may count on this disk: one that drains serves its group to the end, but joins none."""
+        """Whether other machines may rely on this disk. A draining machine remains a member until it stops, but does
+        not join a group."""
         return self.disk_works(now_s) and (self.state.is_voter() or not self.is_draining)
 
     def resume(self, now_s: float) -> None:
-        """This process runs. If it was paused, no write was slow for that, and nothing was seen to need repair all the
-        while."""
+        """Detect a pause of this process. Time spent paused counts neither as a slow disk write nor towards the delay
+        before a repair."""
         paused_s = self.pause.pause_before(now_s)
         if paused_s:
             self.disk.process_paused(paused_s)
             self.proposer.defer()
 
     def tick(self, now_s: float) -> list[Effect]:
-        """Send heartbeats, probe the disk, activate or repair the view, take or leave the lead. To be called ten times
-        a second."""
+        """Send heartbeats, probe the disk, activate or repair the view, acquire or resign leadership. To be called ten
+        times a second."""
         self.resume(now_s)
         effects: list[Effect] = []
         if now_s >= self.failure_detector.heartbeat_due_s:
@@ -163,14 +166,14 @@
         return effects
 
     def should_reset_identity(self, view: View, now_s: float) -> bool:
-        """Whether this disk is an older copy of itself, and a majority has something newer."""
+        """Whether this disk was rolled back and a majority holds newer state."""
         if not self.rollback.reason:
             return False
         ahead = self.failure_detector.count_ahead_of(self.rollback.own_marks(), now_s)
         return ahead >= self.state.quorum_size(view.group)
 
     def tick_chain(self, now_s: float) -> list[Effect]:
-        """Activate the chain once all of it have the view, and send again what was not acknowledged."""
+        """Activate the chain once all its members have installed the view, and resend unacknowledged entries."""
         chain = self.state.chain
         if chain is None:
             return []
@@ -183,7 +186,7 @@
     # -- heartbeats ----------------------------------------------------------------------------------------
 
     def heartbeat(self, now_s: float) -> list[Effect]:
-        """To all members of the group, and to spares that are alive."""
+        """Send a heartbeat to all members of the group and to spares that are alive."""
         detector, view = self.failure_detector, self.state.view
         detector.heartbeat_due_s = now_s + HEARTBEAT_INTERVAL_S
         if view is None:
@@ -196,7 +199,7 @@
     def own_heartbeat(
         self, now_s: float, echoed_sequence: int = 0, requests_echo: bool = True
     ) -> frames.ReplicaHeartbeat:
-        """With a number that is to be echoed, if it asks for that."""
+        """Build a heartbeat; with a sequence number to be echoed if `requests_echo`."""
         chain, own = self.state.chain, self.rollback.own_marks()
         return frames.ReplicaHeartbeat(
             self.name,
@@ -214,7 +217,7 @@
         )
 
     def on_heartbeat(self, frame: frames.ReplicaHeartbeat, now_s: float) -> list[Effect]:
-        """A heartbeat of a peer: it is answered at once, and the peer is sent what it lacks."""
+        """Handle a peer's heartbeat: echo it immediately, and send the peer the view or entry that it lacks."""
         self.resume(now_s)
         ip = ip_of(frame.name)
         reported = HighWaterMarks(
@@ -228,7 +231,7 @@
         if self.rollback.shows_rollback(frame):
             self.rollback.mark_rolled_back(
                 f"{frame.name} has entry {frame.stored_number} of epoch {frame.stored_epoch},"
-                f" and this disk {self.rollback.own_marks()}"
+                f" this disk has {self.rollback.own_marks()}"
             )
         self.state.observe_epoch(frame.promised, frame.epoch)
         effects = self.bring_up_to_date(ip, frame, now_s)
@@ -238,7 +241,8 @@
         return effects + self.echo(ip, frame, now_s)
 
     def bring_up_to_date(self, ip: str, frame: frames.ReplicaHeartbeat, now_s: float) -> list[Effect]:
-        """Announce the view to a member that has left the chain; otherwise its heartbeat may activate the chain."""
+        """Announce the view to a peer that holds an older one and is not in the chain; otherwise its heartbeat may
+        activate the chain."""
         view, chain = self.state.view, self.state.chain
         if view is not None and frame.epoch < view.epoch:
             if frame.name in view.chain:
@@ -247,7 +251,7 @@
         return self.tick(now_s) if chain is not None and not chain.active else []
 
     def echo(self, ip: str, frame: frames.ReplicaHeartbeat, now_s: float) -> list[Effect]:
-        """Answer a heartbeat, if it asks for that."""
+        """Echo the sequence number of a heartbeat, if it has one."""
         if not frame.sequence:
             return []
         requests_echo = self.failure_detector.should_request_echo(ip, now_s)
@@ -256,30 +260,30 @@
     # -- views ---------------------------------------------------------------------------------------------
 
     def install_view(self, view: View) -> None:
-        """This machine has put a view on disk, or finds it there."""
+        """Switch to a view that was written to disk or loaded from it."""
         self.rollback.view_persisted(view)
         self.state.install(view, self.voter.promised)
         self.reads.clear()
 
     def on_view_announcement(self, frame: frames.ViewAnnouncement, now_s: float) -> list[Effect]:
-        """A newer view than this machine holds: it has no place in it, or its write is still under way."""
+        """Handle the announcement of a newer view, which does not include this machine or is still being written."""
         if self.state.view is not None and frame.epoch <= self.state.view.epoch:
             return []
         self.state.learn_view(View(frame.epoch, frame.chain, frame.group))
-        self.proposer.proposal = None  # it was to follow on another view, and its majority is that of another group
+        self.proposer.proposal = None  # it was based on the previous view, whose group may have another majority
         self.reads.clear()
         self.proposer.defer()
         return self.heartbeat(now_s)
 
     def on_prepare(self, frame: frames.Prepare, now_s: float) -> list[Effect]:
-        """A proposer asks for a promise."""
+        """Handle a proposer's request for a promise."""
         effects = self.voter.on_prepare(frame, now_s)
         if effects:
             self.proposer.defer()
         return effects
 
     def on_accept(self, frame: frames.Accept, now_s: float) -> list[Effect]:
-        """A proposer sends the view that a majority has promised to. Raises FrameError."""
+        """Handle the view that a proposer sends once a majority has promised. Raises FrameError."""
         state, view = self.state, View(frame.epoch, frame.chain, frame.group, frame.number)
         if frame.epoch < self.voter.promised or self.name not in frame.chain or self.rollback.reason:
             return []
@@ -290,32 +294,32 @@
             entry = Entry(frame.number, frame.epoch, frame.revision, frame.base, frame.body)
         digests = state.applied_digests()
         if frame.digests_since and frame.digests_since not in digests:
-            return []  # not the disk that the promise reported on: digests would be missing
+            return []  # not the disk that the promise described: digests would be missing
         digests = deduplication.merge(digests, frame.digests_since, deduplication.unpack(frame.applied_digests))
         return self.accept_view(view, entry, digests, now_s)
 
     def accept_view(self, view: View, entry: Entry | None, digests: dict[int, bytes], now_s: float) -> list[Effect]:
-        """Put a view on disk; it counts once it is there."""
+        """Write a view to disk; it takes effect once it is there."""
         self.state.pending_view = view
         self.voter.promised = max(self.voter.promised, view.epoch)
         self.state.seal()
         self.disk.write_begun(now_s)
         return [PersistView(view, entry, digests)]
 
-    # -- writes that have come back ------------------------------------------------------------------------
+    # -- completed disk writes -----------------------------------------------------------------------------
 
     def write_completed(self) -> None:
-        """A write is on disk, and the incarnation of this process with it."""
+        """Record that a write is on disk, and the incarnation of this process with it."""
         self.disk.write_completed()
         self.rollback.write_completed()
 
     def promise_persisted(self, epoch: int, proposer: str, now_s: float) -> list[Effect]:
-        """`PersistPromise` is done."""
+        """Handle the completion of `PersistPromise`."""
         self.write_completed()
         return self.voter.promise_persisted(epoch, proposer)
 
     def view_persisted(self, view: View, entry: Entry | None, digests: dict[int, bytes], now_s: float) -> list[Effect]:
-        """`PersistView` is done."""
+        """Handle the completion of `PersistView`."""
         self.write_completed()
         state = self.state
         if state.pending_view == view:
@@ -328,27 +332,27 @@
         return self.heartbeat(now_s) + self.tick(now_s)
 
     def entry_persisted(self, entry: Entry, now_s: float) -> list[Effect]:
-        """`PersistEntry` is done."""
+        """Handle the completion of `PersistEntry`."""
         self.write_completed()
         chain = self.state.chain
         if chain is None or chain.view.epoch != entry.epoch:
-            return []  # a view has come in between, and with it what counts
+            return []  # superseded by the entry of a view installed in the meantime
         return self.chain_effects(chain.entry_persisted(entry, now_s), now_s)
 
     def probe_disk(self, now_s: float) -> list[Effect]:
-        """Write something soon, for there is something to be kept that waits for a write."""
+        """Start a disk probe if the disk is idle, so that staged marks are stored with it."""
         if not self.disk.is_idle():
             return []
         self.disk.write_begun(now_s)
         return [ProbeDisk()]
 
     def disk_probed(self, now_s: float) -> list[Effect]:
-        """`ProbeDisk` is done."""
+        """Handle the completion of `ProbeDisk`."""
         self.write_completed()
         return self.heartbeat(now_s)
 
     def write_failed(self, write: DiskWrite, now_s: float) -> list[Effect]:
-        """The disk refused a write: until another one goes through this machine is no good member."""
+        """Handle a write that the disk rejected: this machine reports a failed disk until another write succeeds."""
         self.disk.write_failed(now_s)
         if isinstance(write, PersistView) and self.state.pending_view == write.view:
             self.state.pending_view = None
@@ -358,13 +362,13 @@
         return effects + self.heartbeat(now_s)
 
     def on_rollback_notice(self, frame: frames.RollbackNotice, now_s: float) -> list[Effect]:
-        """A peer holds that this machine has reported more than it does now."""
+        """Handle a peer's notice that this machine had reported newer state than it does now."""
         return self.tick(now_s) if self.rollback.on_notice(frame) else []
 
     # -- requests ------------------------------------------------------------------------------------------
 
     def submit(self, frame: frames.WriteRequest, now_s: float) -> list[Effect]:
-        """A new configuration: for the head."""
+        """Handle a write request; the head decides it."""
         view, chain = self.state.view, self.state.chain
         if view is None:
             return []
@@ -375,7 +379,7 @@
         return self.chain_effects(chain.submit(frame, now_s), now_s)
 
     def read(self, frame: frames.ReadRequest, now_s: float) -> list[Effect]:
-        """Answered by the tail, once a majority has confirmed that no later epoch was promised."""
+        """Handle a read request; the tail answers it once a majority has confirmed that no later epoch was promised."""
         view = self.state.view
         if view is None:
             return []
@@ -386,34 +390,35 @@
         return self.reads.begin(frame.request_id, frame.origin, None, now_s)
 
     def forward(self, ip: str, frame: Forwardable) -> list[Effect]:
-        """To the machine whose part it is, at most so often; whoever took the call sends it again."""
+        """Forward a request to the responsible machine, unless it was forwarded `MAX_HOPS` times already; the node that
+        received the call resends it."""
         return [SendMessage(ip, replace(frame, hops=frame.hops + 1))] if frame.hops < MAX_HOPS else []
 
     def on_forward_entry(self, frame: frames.ForwardEntry, now_s: float) -> list[Effect]:
-        """An entry on its way down the chain."""
+        """Handle an entry that the predecessor forwards."""
         chain = self.state.chain
         return self.chain_effects(chain.on_forward(frame, now_s), now_s) if chain is not None else []
 
     def on_commit_notice(self, frame: frames.CommitNotice, now_s: float) -> list[Effect]:
-        """An acknowledgement on its way up the chain."""
+        """Handle a commit notice from the successor."""
         chain = self.state.chain
         return self.chain_effects(chain.on_commit(frame, now_s), now_s) if chain is not None else []
 
     def chain_effects(self, effects: Iterable[ChainEffect], now_s: float) -> list[Effect]:
-        """What the chain replica asks for. A refusal names the version in force: a head that was cut off or paused may
-        not have heard yet that there is a newer one, so the others are asked first."""
-        done: list[Effect] = []
+        """Translate the effects of the chain replica, and defer rejections to a quorum read: a rejection names the
+        current version, and a head that was partitioned or paused may not know that there is a newer one."""
+        translated: list[Effect] = []
         for effect in effects:
             if isinstance(effect, PersistEntry):
                 self.disk.write_begun(now_s)
             if isinstance(effect, SendMessage) and isinstance(effect.frame, frames.WriteResult):
-                done += self.answer_write(effect.ip, effect.frame, now_s)
+                translated += self.answer_write(effect.ip, effect.frame, now_s)
             else:
-                done.append(effect)
-        return done
+                translated.append(effect)
+        return translated
 
     def answer_write(self, ip: str, result: frames.WriteResult, now_s: float) -> list[Effect]:
-        """Send the result of a write; a refusal only once a majority has confirmed the epoch."""
+        """Send the result of a write; a rejection only once a majority has confirmed the epoch."""
         if result.status == INVALID and not self.checks_agree():
             return [SendMessage(ip, replace(result, status=UNAVAILABLE, text=f"for now: {result.text}"))]
         if result.status in REFUSALS:
@@ -421,15 +426,15 @@
         return [SendMessage(ip, result)]
 
     def checks_agree(self) -> bool:
-        """Whether no member is known to check configurations by another version of the program: it may be the head
-        next, and take a late copy of what was refused here."""
+        """Whether no member is known to apply another version of the validation rules. Such a member may become the
+        head and accept a delayed copy of a write that was rejected here as invalid."""
         view = self.state.view
         return view is None or all(
             self.peer_check_versions.get(ip_of(name), self.check_version) == self.check_version for name in view.group
         )
 
     def status(self, request_id: int, now_s: float) -> frames.ReplicaStatus:
-        """What this machine holds, for an operator."""
+        """The state of this machine, as shown to an operator."""
         view = self.state.view or NO_VIEW
         chain, newest = self.state.chain, self.state.newest_entry()
         flags = 0
--- a/cypressbeam/consensus/state.py
+++ b/cypressbeam/consensus/state.py
@@ -1,7 +1,7 @@
-"""The state of one machine with a disk: the view that it has installed, its place in the chain, and what it stores.
+"""The state that the components of a replica share: the installed view, the chain position, and the stored entry.
 
-Invariants: the highest epoch that was seen never falls; what the chain replica has put on disk stays known when the
-machine leaves the chain, for it may be the only copy that is left.
+Invariants: the highest epoch seen never decreases; the entry on disk stays known when the machine leaves the chain,
+since it may be the only remaining copy.
 """
 
 from __future__ import annotations
@@ -14,27 +14,27 @@
 
 
 class DiskState(IntEnum):
-    """What a machine's disk counts for, as it goes over the wire."""
+    """The role that the views on a machine's disk give it; the value is sent in heartbeats."""
 
     EMPTY = 0
-    """It holds no view yet."""
+    """The disk holds no view yet."""
     VOTER = 1
-    """It holds, or held, a view that counts the machine in its group."""
+    """The disk holds, or held, a view whose group includes the machine."""
     LEARNER = 2
-    """It holds a view that was put there before the machine was a member, as a spare."""
+    """The disk holds a view that was installed while the machine was a spare, before it became a member."""
 
 
 class ReplicaState:
-    """What the parts of a replica share. Each attribute is changed by its owner, named beside it, alone."""
+    """State shared by the components of a replica; only `Replica` and `Proposer` assign its attributes directly."""
 
     def __init__(
         self, name: str, min_copies: int, check: Callable[[bytes], int], digest: Callable[[bytes], bytes]
     ) -> None:
         """
-        :param name: address and identity of this machine.
-        :param min_copies: how many members a chain has at least.
-        :param check: gives the revision of a configuration; raises ValueError where it is invalid.
-        :param digest: of a configuration.
+        :param name: address and disk identity of this machine.
+        :param min_copies: the minimum length of a chain.
+        :param check: returns the revision of a configuration; raises ValueError if it is invalid.
+        :param digest: returns the digest of a configuration.
         """
         self.name = name
         self.ip = ip_of(name)
@@ -42,62 +42,63 @@
         self.check = check
         self.digest = digest
         self.view: View | None = None
-        """The newest view that this machine knows of; it may have no place in it."""
+        """The newest view that this machine knows of; the machine is not necessarily part of it."""
         self.chain: ChainReplica | None = None
-        """This machine's place in the chain of that view."""
+        """This machine's member of the chain of that view, None if it is not in the chain."""
         self.stored_entry: Entry | None = None
-        """The newest entry on disk when the view was installed; later `chain` has it."""
+        """The newest entry on disk when the view was installed; `chain` holds later ones."""
         self.stored_digests: dict[int, bytes] = {}
         """The digests of applied writes at that time (deduplication.py)."""
         self.disk_state = DiskState.EMPTY
         self.highest_epoch = 0
-        """Of all that was seen; a proposal goes above it."""
+        """The highest epoch seen; a proposal uses a higher one."""
         self.installed_epoch = 0
-        """Of the view that was put on disk since the process started; what it did before that it has forgotten."""
+        """The epoch of the last view persisted since the process started; 0 before that, as earlier activity is not
+        known after a restart."""
         self.pending_view: View | None = None
-        """A view whose write to disk is under way."""
+        """A view that is being written to disk."""
 
     def newest_entry(self) -> Entry | None:
         """The newest entry on disk."""
         return self.chain.last if self.chain is not None else self.stored_entry
 
     def applied_digests(self) -> dict[int, bytes]:
-        """The digests of the writes that led to it, by revision."""
+        """The digests of that entry and of those before it, by revision."""
         return self.chain.applied_digests if self.chain is not None else self.stored_digests
 
     def digests_complete_up_to(self) -> int:
-        """The revision up to which the digests here are those of committed versions, and all that are kept: what came
-        before an entry was committed before that was put on any disk."""
+        """The revision up to which the digests here are complete and belong to committed versions: the base of the
+        newest entry, since an entry reaches a disk only after its base was committed."""
         entry = self.newest_entry()
         return entry.base if entry is not None else 0
 
     def quorum_size(self, group: tuple[str, ...]) -> int:
-        """How many members of a group are a majority."""
+        """The number of members that form a majority of a group."""
         return majority(len(group))
 
     def is_voter(self) -> bool:
-        """Whether the view counts this machine in its group."""
+        """Whether the group of the current view includes this machine."""
         return self.view is not None and self.name in self.view.group
 
     def is_active(self) -> bool:
-        """Whether this machine's view is active, as far as it knows."""
+        """Whether this machine's view is active and the machine has caught up, as far as it knows."""
         chain = self.chain
         return chain is not None and chain.active and not chain.sealed and chain.is_caught_up()
 
     def observe_epoch(self, *epochs: int) -> None:
-        """Epochs were seen."""
+        """Record epochs seen in messages or on disk."""
         self.highest_epoch = max(self.highest_epoch, *epochs)
 
     def seal(self) -> None:
-        """Nothing more is done in the epoch of the chain."""
+        """Stop all activity of the chain in its current epoch."""
         if self.chain is not None:
             self.chain.sealed = True
 
     def install(self, view: View, promised: int) -> None:
-        """A view is on disk."""
+        """Switch to a view that is on disk."""
         self.view = view
-        counts = self.name in view.group or self.disk_state is DiskState.VOTER
-        self.disk_state = DiskState.VOTER if counts else DiskState.LEARNER
+        is_voter = self.name in view.group or self.disk_state is DiskState.VOTER
+        self.disk_state = DiskState.VOTER if is_voter else DiskState.LEARNER
         self.observe_epoch(view.epoch)
         self.chain = None
         if self.name in view.chain:
@@ -105,9 +106,9 @@
             self.chain.sealed = promised > view.epoch
 
     def learn_view(self, view: View) -> None:
-        """A newer view is known of than is on disk: this machine has no place in it, or its write is under way."""
+        """Record a view newer than the one on disk: this machine is not part of it, or is still writing it."""
         self.view = view
         self.observe_epoch(view.epoch)
-        # What the chain replica has synced is on disk still, and a promise must name it.
+        # The entry synced by the chain replica is still on disk, and a promise must report it.
         self.stored_entry, self.stored_digests = self.newest_entry(), self.applied_digests()
         self.chain = None
--- a/cypressbeam/consensus/views.py
+++ b/cypressbeam/consensus/views.py
@@ -1,7 +1,7 @@
-"""Views: which machines form the chain in an epoch, and whose majority decides the next view.
+"""Views: which machines form the chain in an epoch, and which group decides the next view by majority.
 
-Source: Vertical Paxos (Lamport, Malkhi, Zhou, 2009). A member is named by its address and the identity of its disk,
-"10.0.0.1/5f2a": a machine that lost its disk has forgotten its promises, and is another member from then on.
+Source: Vertical Paxos (Lamport, Malkhi, Zhou, 2009). A member's name consists of its address and the identity of its
+disk, such as "10.0.0.1/5f2a": a machine that lost its disk has lost its promises, and becomes a different member.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 
 
 def majority(count: int) -> int:
-    """How many of so many members are a majority."""
+    """The smallest majority of `count` members."""
     return count // 2 + 1
 
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """What a majority of the group before it has agreed on."""
+    """A configuration of the core for one epoch, agreed on by a majority of the previous view's group."""
 
     epoch: int
     chain: tuple[str, ...]
-    """Names, from head to tail."""
+    """Member names, from head to tail."""
     group: tuple[str, ...]
-    """Names of the members whose majority decides the next view; the chain is a part of them."""
+    """Names of the members whose majority decides the next view; includes all members of the chain."""
     initial_number: int = 0
-    """The number of the entry that the view began with; later ones are committed when the tail says so."""
+    """The number of the view's initial entry; later entries are committed by the tail."""
 
     @property
     def members(self) -> tuple[str, ...]:
-        """The chain's addresses, from head to tail."""
+        """The addresses of the chain, from head to tail."""
         return tuple(ip_of(name) for name in self.chain)
 
     @property
@@ -49,33 +49,32 @@
         return self.members[-1]
 
     def successor(self, ip: str) -> str | None:
-        """The address behind one in the chain; None behind the tail."""
-        at = self.members.index(ip) + 1
-        return self.members[at] if at < len(self.members) else None
+        """The address of the next member towards the tail; None for the tail."""
+        position = self.members.index(ip) + 1
+        return self.members[position] if position < len(self.members) else None
 
     def predecessor(self, ip: str) -> str | None:
-        """The address before one in the chain; None before the head."""
-        at = self.members.index(ip)
-        return self.members[at - 1] if at else None
+        """The address of the next member towards the head; None for the head."""
+        position = self.members.index(ip)
+        return self.members[position - 1] if position else None
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A version of the configuration in the replicated log. Of two entries, the one with the higher epoch, then number,
-    is the newer."""
+    """A version of the configuration in the replicated log. Entries are ordered by epoch, then number."""
 
     number: int
-    """Its position in the log, from 1 on."""
+    """The position in the log, starting at 1."""
     epoch: int
-    """Of the view in which it was written."""
+    """The epoch of the view in which the entry was written."""
     revision: int
-    """The configuration's own number."""
+    """The revision stated in the configuration."""
     base: int
-    """The revision before it."""
+    """The revision of the preceding version."""
     body: bytes
     """The configuration, as the operator sent it."""
 
 
-#: In place of the view and the entry where there is none yet.
+#: Placeholders for a view and an entry that do not exist yet.
 NO_VIEW = View(0, (), ())
 NO_ENTRY = Entry(0, 0, 0, 0, b"")
--- a/cypressbeam/storage/__init__.py
+++ b/cypressbeam/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state: the database of a machine with a disk, and files that are replaced as a whole."""
+"""Durable state: the database of a machine with a disk, and atomic replacement of files."""
--- a/cypressbeam/storage/files.py
+++ b/cypressbeam/storage/files.py
@@ -1,5 +1,4 @@
-"""Files whose names must outlive a loss of power: a name that was made or changed is there for good once its folder is
-synced."""
+"""File operations that survive a power failure: a created or renamed file is durable once its folder is synced."""
 
 from __future__ import annotations
 
@@ -8,12 +7,12 @@
 
 
 def replace_file(old: Path, new: Path) -> None:
-    """In place of what has the new name; for good once the folder is synced."""
+    """Rename a file, replacing any file of the new name; durable once the folder is synced."""
     old.replace(new)
 
 
 def sync_folder(folder: Path) -> None:
-    """Names in it that were made, changed or removed last from here on."""
+    """Make created, renamed and removed files of a folder durable."""
     handle = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(handle)
@@ -22,15 +21,16 @@
 
 
 def write_atomically(file: Path, data: bytes) -> None:
-    """The file holds all of it, or what it held before, whatever happens in between; all of it once this returns."""
-    fresh = file.with_name(f"{file.name}.part")
+    """Replace the contents of a file: a failure at any point leaves the old or the new contents, complete. The new
+    contents are durable once this returns."""
+    temporary = file.with_name(f"{file.name}.part")
     try:
-        with fresh.open("wb") as out:
+        with temporary.open("wb") as out:
             out.write(data)
             out.flush()
             os.fsync(out.fileno())
-        replace_file(fresh, file)
+        replace_file(temporary, file)
     except OSError:
-        fresh.unlink(missing_ok=True)
+        temporary.unlink(missing_ok=True)
         raise
     sync_folder(file.parent)
--- a/cypressbeam/storage/store.py
+++ b/cypressbeam/storage/store.py
@@ -1,6 +1,6 @@
-"""The state on disk: the view, and the entries of the chain (`sqlite3`, each change synced, on a thread of its own).
+"""The state on disk: the view and the entries of the chain, in a SQLite database with a thread of its own.
 
-What a loss of power may leave of it, and what is done about that: docs/design/disk.md.
+Every transaction is synced. What a power failure may leave on disk, and how it is handled: docs/design/disk.md.
 """
 
 from __future__ import annotations
@@ -27,37 +27,37 @@
 log = logging.getLogger(__name__)
 
 FORMAT_VERSION = 2
-#: Entries whose bodies are kept; of older ones the newest digests stay, by which a repeated write is recognised.
+#: The newest entries are kept with their bodies; of older ones only digests remain, to recognise repeated writes.
 BODIES_KEPT = 3
 FILE_NAME = "state.db"
-#: What belongs to the database file: its log, and the journal that there is while it is made.
+#: Files that belong to the database: the write-ahead log, and the rollback journal used while it is created.
 COMPANION_SUFFIXES = ("-wal", "-journal")
-#: Files that can't be read are kept under a name of their own, so many at most: the last one is the newest then.
+#: Unreadable databases that are kept under other names; once all names are used, the last one is overwritten.
 MAX_SET_ASIDE = 8
-#: Codes of sqlite for a database whose bytes are wrong, as against a disk that refuses.
+#: SQLite result codes for a database with corrupt contents, as opposed to a disk that fails.
 CORRUPTION_CODES = (sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB)
 INCARNATION_ID_BITS = 62
-#: Bytes that the log is cut back to once all of it is in the database.
+#: The write-ahead log is truncated to this size after a checkpoint.
 WAL_LIMIT_BYTES = 4 * 1024 * 1024
 CLOSE_TICK_S = 0.002
 T = TypeVar("T")
 
 
 class StoreError(CypressbeamError):
-    """The state can't be read or written: one line on why."""
+    """The state can't be read or written; the message is one line with the reason."""
 
 
 class CorruptStateError(StoreError):
-    """The disk gives bytes, and they are no state: the disk has lost what it held."""
+    """The disk returned data that is not a valid state, so the stored state is lost."""
 
 
 class UnsupportedFormatError(StoreError):
-    """The state of a later program: it is left alone."""
+    """The state was written by a later version of the program; it is left unchanged."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadedState:
-    """What was on disk. The identity is drawn when the disk is first used: one that was lost had another."""
+    """The state read from disk. The identity is generated when the disk is first used, so a new disk has another."""
 
     identity: str
     promised: int
@@ -65,110 +65,118 @@
     entry: Entry | None
     applied_digests: dict[int, bytes]
     durable_marks: HighWaterMarks = NO_MARKS
-    """The incarnation that is on disk, and nothing else."""
+    """The incarnation on disk; the other fields are not set."""
     pending_marks: HighWaterMarks = NO_MARKS
-    """That of this start, which the first write puts on disk."""
+    """The incarnation of this process, which the first write stores."""
     reported_marks: dict[str, HighWaterMarks] = field(default_factory=dict)
-    """The most that other members have reported."""
+    """The highest marks that other members have reported, by name."""
 
 
 class Storage(Protocol):
-    """Durable state of a machine: what a call has returned for outlives a loss of power. Each raises StoreError."""
+    """Durable state of a machine. A write survives a power failure once its call has returned. The calls that access
+    the disk raise StoreError."""
 
     async def load(self, anew: bool = False) -> LoadedState:
-        """Anew: as from an empty disk; what was there is kept under another name."""
+        """Read the state from disk. With `anew`, start with an empty one and keep the previous files under another
+        name."""
 
     async def save_promise(self, epoch: int) -> None:
-        """Put a promise on disk; a lower one changes nothing."""
+        """Store a promise; one lower than the stored promise has no effect."""
 
     async def save_view(self, view: View, entry: Entry | None, applied_digests: dict[int, bytes]) -> None:
-        """Put a view on disk, with the entry and the digests that it begins with in place of what was there."""
+        """Store a view with its initial entry and digests, replacing the previous ones."""
 
     async def save_entry(self, entry: Entry) -> None:
-        """Put an entry on disk."""
+        """Store an entry."""
 
     async def probe(self) -> None:
-        """Write something that says nothing, to see whether the disk takes writes."""
+        """Write and sync a test record, to see whether the disk accepts writes."""
 
     def stage_marks(self, marks: dict[str, HighWaterMarks]) -> bool:
-        """What others have reported goes to disk with the next write, as does the incarnation of this start. Whether
-        one should be made for that: not for numbers of entries, which each member's own entry tells near enough."""
+        """Include the marks that others have reported in the next write, together with the incarnation of this process.
+
+        Returns whether they warrant a write of their own. Changed entry numbers do not: each member's own entry is a
+        good enough estimate of them."""
 
     def close(self) -> None:
-        """Begin to close; what is under way is done first."""
+        """Start closing; pending operations complete first."""
 
     async def closed(self, wait_s: float) -> bool:
-        """Whether all that was under way has come to its end by then; a disk may hang for seconds."""
+        """Wait until all pending operations have completed, for at most `wait_s`, since a disk may hang for seconds;
+        returns whether they have."""
 
 
 def connect(path: Path) -> sqlite3.Connection:
-    """A connection to the database, for use on another thread."""
+    """Open a connection to the database that may be used from another thread."""
     return sqlite3.connect(path, check_same_thread=False)
 
 
 class SqliteStore:
-    """The database file in a folder. Calls wait on the disk, so they run on the store's own thread. The thread is a
-    daemon: a process that ends doesn't wait for a disk that hangs."""
-
-    def __init__(self, folder: Path, opened: Callable[[Path], Any] = connect) -> None:
-        """`opened` gives the connection; another one may note what is done to the files."""
+    """The database file in a folder. Calls block on the disk, so they run on the store's own thread. It is a daemon
+    thread, so that a process can exit while the disk hangs."""
+
+    def __init__(self, folder: Path, open_connection: Callable[[Path], Any] = connect) -> None:
+        """
+        :param folder: the folder of the database.
+        :param open_connection: opens the database; tests pass one that records file operations.
+        """
         self.path = folder / FILE_NAME
-        self.opened = opened
+        self.open_connection = open_connection
         self.work: queue.SimpleQueue[Callable[[], None] | None] = queue.SimpleQueue()
         self.thread = threading.Thread(target=self._work, name="store", daemon=True)
         self.thread.start()
         self.database: Any = None
         self.pending_marks: HighWaterMarks | None = None
-        """The incarnation that the next write puts on disk."""
+        """The incarnation that the next write stores."""
         self.staged_marks: dict[str, HighWaterMarks] = {}
         self.stored_marks: dict[str, HighWaterMarks] = {}
-        """The marks that were on disk when the loop last heard of it: the thread may be further on."""
+        """The marks on disk as last reported to the event loop; the store's thread may have written later ones."""
 
     def _work(self) -> None:
         while (task := self.work.get()) is not None:
             task()
 
-    async def run(self, what: Callable[[Any], T], anew: bool = False) -> T:
-        """Do something with the database on the store's thread, or with a new one. Raises StoreError."""
+    async def run(self, operation: Callable[[Any], T], anew: bool = False) -> T:
+        """Run an operation on the database in the store's thread, with `anew` on an empty one. Raises StoreError."""
         loop = asyncio.get_running_loop()
-        done: asyncio.Future[T] = loop.create_future()
+        future: asyncio.Future[T] = loop.create_future()
 
         def settle(value: T | None, error: BaseException | None) -> None:
-            if done.cancelled():
+            if future.cancelled():
                 return
             if error is not None:
-                done.set_exception(error)
+                future.set_exception(error)
             else:
-                done.set_result(value)  # type: ignore[arg-type]
+                future.set_result(value)  # type: ignore[arg-type]
 
         def task() -> None:
             value, error = None, None
             try:
-                value = self._run(what, anew)
-            except BaseException as err:  # noqa: BLE001 (the caller gets it)
+                value = self._run(operation, anew)
+            except BaseException as err:  # noqa: BLE001 (raised again for the caller)
                 error = err
-            with contextlib.suppress(RuntimeError):  # the loop is closed by now: nobody waits
+            with contextlib.suppress(RuntimeError):  # the event loop is closed, so nothing waits for the result
                 loop.call_soon_threadsafe(settle, value, error)
 
         self.work.put(task)
-        return await done
+        return await future
 
-    def _run(self, what: Callable[[Any], T], anew: bool) -> T:
+    def _run(self, operation: Callable[[Any], T], anew: bool) -> T:
         try:
             if anew:
                 self._set_aside()
             if self.database is None:
                 self.database = self._open()
             with self.database:
-                return what(self.database)
+                return operation(self.database)
         except (sqlite3.Error, OSError, CorruptStateError) as err:
-            # Opened anew the next time: after a refused write nothing that is in memory of it can be trusted.
-            self._shut()
+            # The next operation reopens the file: after a failed write SQLite's in-memory state can't be trusted.
+            self._close_database()
             if isinstance(err, CorruptStateError) or getattr(err, "sqlite_errorcode", 0) & 0xFF in CORRUPTION_CODES:
                 raise CorruptStateError(f"{self.path.name}: {err}") from None
             raise StoreError(f"{self.path.name}: {err}") from None
 
-    def _shut(self) -> None:
+    def _close_database(self) -> None:
         database, self.database = self.database, None
         if database is not None:
             with contextlib.suppress(sqlite3.Error):
@@ -176,8 +184,11 @@
 
     def _open(self) -> Any:
         if not self.path.exists():
-            self._move_beside(next((name for name in reversed(self._asides()) if name.exists()), self._asides()[0]))
-        database = self.opened(self.path)
+            # A power failure while a database was set aside may have left its companions behind.
+            self._move_companions(
+                next((path for path in reversed(self._aside_paths()) if path.exists()), self._aside_paths()[0])
+            )
+        database = self.open_connection(self.path)
         try:
             self._prepare(database)
         except BaseException:
@@ -186,14 +197,14 @@
         return database
 
     def _prepare(self, database: Any) -> None:
-        # Exclusive: no shared memory beside the log, and one process has the folder.
-        for line in (
+        # Exclusive mode needs no shared-memory file, and keeps other processes from using the folder.
+        for setting in (
             "locking_mode=exclusive",
             "journal_mode=wal",
             "synchronous=full",
             f"journal_size_limit={WAL_LIMIT_BYTES}",
         ):
-            database.execute(f"pragma {line}")
+            database.execute(f"pragma {setting}")
         (version,) = database.execute("pragma user_version").fetchone()
         if version not in (0, FORMAT_VERSION):
             raise UnsupportedFormatError(f"{self.path.name} has format {version}; this program reads {FORMAT_VERSION}")
@@ -210,74 +221,74 @@
                 f"pragma user_version={FORMAT_VERSION}; commit;"
             )
 
-    # -- files that can't be read ---------------------------------------------------------------------------
+    # -- unreadable files -----------------------------------------------------------------------------------
 
-    def _asides(self) -> list[Path]:
+    def _aside_paths(self) -> list[Path]:
         return [self.path.with_name(f"{FILE_NAME}.aside-{number}") for number in range(1, MAX_SET_ASIDE + 1)]
 
-    def _move_beside(self, aside: Path) -> None:
-        """The log of a database that was set aside follows it."""
+    def _move_companions(self, aside: Path) -> None:
+        """Move the companion files of a database that was set aside next to it."""
         for suffix in COMPANION_SUFFIXES:
-            beside = self.path.with_name(FILE_NAME + suffix)
-            if beside.exists():
-                files.replace_file(beside, aside.with_name(aside.name + suffix))
+            companion = self.path.with_name(FILE_NAME + suffix)
+            if companion.exists():
+                files.replace_file(companion, aside.with_name(aside.name + suffix))
                 files.sync_folder(self.path.parent)
 
     def _set_aside(self) -> None:
-        """Under a name that is free, or the last one. The database goes first, and for good: without its log it would
-        be an older copy of itself, while a log without a database is no state."""
-        self._shut()
+        """Rename the database to the first unused name, or the last one. The database is moved and synced before its
+        companions: without its log it would be a valid but older state, while a log without a database is none."""
+        self._close_database()
         if self.path.exists():
-            names = self._asides()
-            aside = next((name for name in names if not name.exists()), names[-1])
+            paths = self._aside_paths()
+            aside = next((path for path in paths if not path.exists()), paths[-1])
             files.replace_file(self.path, aside)
             files.sync_folder(self.path.parent)
-            self._move_beside(aside)
-            log.error("%s is kept as %s; this machine goes on as a new one", self.path.name, aside.name)
+            self._move_companions(aside)
+            log.error("%s is kept as %s; this machine continues with an empty state", self.path.name, aside.name)
 
     async def load(self, anew: bool = False) -> LoadedState:
-        """Files that are torn are set aside too."""
+        """Read the state; a corrupt database is set aside as well."""
         try:
-            found = await self.run(read_all, anew)
+            loaded = await self.run(read_all, anew)
         except CorruptStateError as err:
             log.error("state corrupt: %s", err)
-            found = await self.run(read_all, anew=True)
-        self.stored_marks, self.staged_marks = dict(found.reported_marks), dict(found.reported_marks)
-        self.pending_marks = found.pending_marks if found.pending_marks != found.durable_marks else None
-        return found
+            loaded = await self.run(read_all, anew=True)
+        self.stored_marks, self.staged_marks = dict(loaded.reported_marks), dict(loaded.reported_marks)
+        self.pending_marks = loaded.pending_marks if loaded.pending_marks != loaded.durable_marks else None
+        return loaded
 
     def stage_marks(self, marks: dict[str, HighWaterMarks]) -> bool:
-        """Marks go to disk with the next write; returns whether one should be made for that."""
+        """Include marks in the next write; returns whether they warrant a write of their own."""
         self.staged_marks = dict(marks)
         return self.pending_marks is not None or without_numbers(self.staged_marks) != without_numbers(
             self.stored_marks
         )
 
-    async def write(self, what: Callable[[Any], None]) -> None:
-        """Do it, with the incarnation of this start and what others have reported in the same transaction."""
-        marks, raised = self.staged_marks, self.pending_marks
+    async def write(self, operation: Callable[[Any], None]) -> None:
+        """Run an operation, and store the incarnation of this process and the staged marks in the same transaction."""
+        marks, pending_marks = self.staged_marks, self.pending_marks
 
         def save(database: Any) -> None:
-            what(database)
-            if raised is not None:
+            operation(database)
+            if pending_marks is not None:
                 database.executemany(
                     "insert or replace into meta values (?, ?)",
-                    [("incarnation", raised.incarnation), ("draw", raised.incarnation_id)],
+                    [("incarnation", pending_marks.incarnation), ("draw", pending_marks.incarnation_id)],
                 )
             write_marks(database, marks)
 
         await self.run(save)
         self.stored_marks = marks
-        if raised is not None:
+        if pending_marks is not None:
             self.pending_marks = None
 
     async def save_promise(self, epoch: int) -> None:
-        """Put a promise on disk; a lower one changes nothing."""
+        """Store a promise; one lower than the stored promise has no effect."""
         await self.write(lambda database: write_promise(database, epoch))
 
     async def save_view(self, view: View, entry: Entry | None, applied_digests: dict[int, bytes]) -> None:
-        """The view, and what it begins with in place of what was there."""
-        applied_digests = dict(applied_digests)  # the caller's may change before the thread gets to it
+        """Store a view with its initial entry and digests, replacing the previous ones."""
+        applied_digests = dict(applied_digests)  # the caller may change its copy before the thread reads it
 
         def save(database: Any) -> None:
             write_promise(database, view.epoch)
@@ -294,7 +305,7 @@
         await self.write(save)
 
     async def save_entry(self, entry: Entry) -> None:
-        """A new version; old ones go, their digests stay, by which a repeated write is recognised."""
+        """Store an entry and delete the oldest ones; their digests remain, to recognise repeated writes."""
 
         def save(database: Any) -> None:
             write_entry(database, entry)
@@ -303,7 +314,7 @@
         await self.write(save)
 
     async def probe(self) -> None:
-        """Write and sync something that says nothing."""
+        """Write and sync a test record."""
 
         def save(database: Any) -> None:
             database.execute("insert or replace into meta values ('tried', ?)", (secrets.token_bytes(512),))
@@ -311,55 +322,55 @@
         await self.write(save)
 
     def close(self) -> None:
-        """Close the file once all writes are done, and end the thread."""
-        self.work.put(self._shut)
+        """Close the file and end the thread, once all queued operations are done."""
+        self.work.put(self._close_database)
         self.work.put(None)
 
     async def closed(self, wait_s: float) -> bool:
-        """Whether the thread has ended by then."""
-        until_s = asyncio.get_running_loop().time() + wait_s
-        while self.thread.is_alive() and asyncio.get_running_loop().time() < until_s:
+        """Wait for the thread to end, for at most `wait_s`; returns whether it has."""
+        deadline_s = asyncio.get_running_loop().time() + wait_s
+        while self.thread.is_alive() and asyncio.get_running_loop().time() < deadline_s:
             await asyncio.sleep(CLOSE_TICK_S)
         return not self.thread.is_alive()
 
 
 def without_numbers(marks: dict[str, HighWaterMarks]) -> dict[str, HighWaterMarks]:
-    """Without the numbers of entries."""
+    """The marks with all entry numbers set to 0, for comparison."""
     return {name: replace(reported, number=0) for name, reported in marks.items()}
 
 
 def write_promise(database: Any, epoch: int) -> None:
-    """A promise never goes down."""
+    """Store a promise, unless a higher one is stored."""
     database.execute("update meta set value = max(value, ?) where key = 'promised'", (epoch,))
 
 
 def write_marks(database: Any, marks: dict[str, HighWaterMarks]) -> None:
-    """Compared with what is on disk, not with what the loop knows of it: that may be older."""
+    """Store marks if they changed. They are compared with those on disk, since the event loop's copy may be older."""
     packed = pack_marks(marks)
-    held = database.execute("select value from meta where key = 'marks'").fetchone()
-    if packed != (held[0] if held is not None else ""):
+    stored = database.execute("select value from meta where key = 'marks'").fetchone()
+    if packed != (stored[0] if stored is not None else ""):
         database.execute("insert or replace into meta values ('marks', ?)", (packed,))
 
 
 def write_digests(database: Any, applied_digests: dict[int, bytes]) -> None:
-    """These and no others; as a rule nearly all stand there already."""
-    known = dict(database.execute("select revision, digest from taken"))
+    """Replace the stored digests; only rows that differ are written, since usually nearly all are unchanged."""
+    stored = dict(database.execute("select revision, digest from taken"))
     database.executemany(
-        "delete from taken where revision = ?", [(revision,) for revision in known if revision not in applied_digests]
+        "delete from taken where revision = ?", [(revision,) for revision in stored if revision not in applied_digests]
     )
     database.executemany(
         "insert or replace into taken values (?, ?)",
         [
             (revision, entry_digest)
             for revision, entry_digest in applied_digests.items()
-            if known.get(revision) != entry_digest
+            if stored.get(revision) != entry_digest
         ],
     )
 
 
 def write_entry(database: Any, entry: Entry) -> None:
-    """As `deduplication.record` has it in memory: what stands above the base was refused by this disk, and is there all
-    the same."""
+    """Store an entry and its digest. Digests above its base are deleted, as in `deduplication.record`: they belong to
+    writes that this disk reported as failed but stored nevertheless."""
     entry_digest = digest(entry.body)
     database.execute("delete from taken where revision > ?", (entry.base,))
     database.execute(
@@ -374,7 +385,7 @@
 
 
 def read_all(database: Any) -> LoadedState:
-    """Raises CorruptStateError if a body is not what its digest says, or something is missing."""
+    """Check and read the database. Raises CorruptStateError if data is missing or a body does not match its digest."""
     (report,) = database.execute("pragma quick_check(1)").fetchone()
     if report != "ok":
         raise CorruptStateError(report.splitlines()[0])
@@ -385,7 +396,7 @@
 
 
 def read_rows(database: Any) -> LoadedState:
-    """The state in the tables. Raises CorruptStateError, KeyError, TypeError or ValueError."""
+    """Read the state from the tables. Raises CorruptStateError, KeyError, TypeError or ValueError."""
     meta = dict(database.execute("select key, value from meta where key != 'tried'"))
     row = database.execute("select epoch, chain, members, began from view").fetchone()
     view = View(row[0], tuple(row[1].split(",")), tuple(row[2].split(",")), row[3]) if row else None
@@ -399,13 +410,13 @@
         if digest(body) != entry_digest:
             raise CorruptStateError(f"entry {last.number} does not match its digest")
     if last is not None and applied_digests[last.revision] != entry_digest:
-        raise CorruptStateError(f"entry {last.number} does not match the digest that was taken")
-    own = HighWaterMarks(meta.get("incarnation", 0), meta.get("draw", 0))
-    # The first start of a disk has its incarnation on it already.
-    raised = (
-        own
-        if view is None and last is None and own.incarnation == 1
-        else HighWaterMarks(own.incarnation + 1, secrets.randbits(INCARNATION_ID_BITS))
+        raise CorruptStateError(f"entry {last.number} does not match the digest recorded for its revision")
+    durable_marks = HighWaterMarks(meta.get("incarnation", 0), meta.get("draw", 0))
+    # A new database already contains the first incarnation.
+    pending_marks = (
+        durable_marks
+        if view is None and last is None and durable_marks.incarnation == 1
+        else HighWaterMarks(durable_marks.incarnation + 1, secrets.randbits(INCARNATION_ID_BITS))
     )
     return LoadedState(
         str(meta["identity"]),
@@ -413,7 +424,7 @@
         view,
         last,
         applied_digests,
-        own,
-        raised,
+        durable_marks,
+        pending_marks,
         unpack_marks(meta.get("marks", "")),
     )
--- a/lab/rules_core.py
+++ b/lab/rules_core.py
@@ -353,7 +353,7 @@
     state(
         "a machine that hears of a newer view drops its proposal",
         CONSENSUS_REPLICA,
-        "        self.proposer.proposal = None  # it was to follow on another view, and its majority is that of another group\n",
+        "        self.proposer.proposal = None  # it was based on the previous view, whose group may have another majority\n",
         "",
     ),
     state(
@@ -679,16 +679,18 @@
     disk(
         "each start raises the incarnation",
         STORE,
-        "own.incarnation + 1, secrets.randbits(INCARNATION_ID_BITS))",
-        "        own.incarnation, own.incarnation_id)",
+        "durable_marks.incarnation + 1, secrets.randbits(INCARNATION_ID_BITS))",
+        "        durable_marks.incarnation, durable_marks.incarnation_id)",
     ),
     disk(
         "with the first write",
         STORE,
-        "            if raised is not None:\n                database.executemany",
+        "            if pending_marks is not None:\n                database.executemany",
         "            if False:\n                database.executemany",
     ),
-    disk("what others told goes to disk", STORE, 'if packed != (held[0] if held is not None else ""):', "if False:"),
+    disk(
+        "what others told goes to disk", STORE, 'if packed != (stored[0] if stored is not None else ""):', "if False:"
+    ),
     disk(
         "by itself too, but for numbers of entries",
         STORE,
@@ -708,30 +710,31 @@
     disk(
         "what is no state is set aside",
         STORE,
-        "            found = await self.run(read_all, anew=True)\n",
+        "            loaded = await self.run(read_all, anew=True)\n",
         "            raise\n",
     ),
     disk(
         "under a name that is free",
         STORE,
-        "aside = next((name for name in names if not name.exists()), names[-1])",
-        "aside = names[0]",
+        "aside = next((path for path in paths if not path.exists()), paths[-1])",
+        "aside = paths[0]",
     ),
     disk(
         "the database first, then its log",
         STORE,
         "            files.replace_file(self.path, aside)\n"
         "            files.sync_folder(self.path.parent)\n"
-        "            self._move_beside(aside)\n",
-        "            self._move_beside(aside)\n"
+        "            self._move_companions(aside)\n",
+        "            self._move_companions(aside)\n"
         "            files.replace_file(self.path, aside)\n"
         "            files.sync_folder(self.path.parent)\n",
     ),
     disk(
         "a log that was left beside is not the new database's",
         STORE,
-        "            self._move_beside(next((name for name in reversed(self._asides()) if "
-        "name.exists()), self._asides()[0]))\n",
+        "            self._move_companions(\n"
+        "                next((path for path in reversed(self._aside_paths()) if path.exists()), self._aside_paths()[0])\n"
+        "            )\n",
         "            pass\n",
     ),
     disk(
@@ -743,7 +746,7 @@
     disk(
         "a refused write closes the database",
         STORE,
-        "            self._shut()\n            if isinstance(err, CorruptStateError)",
+        "            self._close_database()\n            if isinstance(err, CorruptStateError)",
         "            if isinstance(err, CorruptStateError)",
     ),
     disk("the last three bodies are kept", STORE, "(entry.number - BODIES_KEPT,))", "(entry.number,))"),
--- a/lab/rules_orders.py
+++ b/lab/rules_orders.py
@@ -192,7 +192,7 @@
     ),
     orders("a refusal's text fits into its frame", CHAIN, "text[:MAX_RESULT_TEXT]", "text"),
     orders(
-        "an entry drops the digests above its base", DEDUPLICATION, "        del applied[refused]\n", "        pass\n"
+        "an entry drops the digests above its base", DEDUPLICATION, "        del applied[discarded]\n", "        pass\n"
     ),
     orders("on disk too", STORE, '    database.execute("delete from taken where revision > ?", (entry.base,))\n', ""),
     orders(
@@ -219,7 +219,12 @@
     ),
     orders("digests that cannot be are refused: cut off", DEDUPLICATION, "if len(data) % RECORD.size:", "if False:"),
     orders("too many", DEDUPLICATION, "if len(found) > MAX_DIGESTS:", "if False:"),
-    orders("out of order", DEDUPLICATION, "if any(one[0] >= other[0] for one, other in pairwise(found)):", "if False:"),
+    orders(
+        "out of order",
+        DEDUPLICATION,
+        "if any(record[0] >= following[0] for record, following in pairwise(found)):",
+        "if False:",
+    ),
     orders(
         "one's own digests count up to the revision that all hold",
         DEDUPLICATION,
--- a/tests/test_chain_rules.py
+++ b/tests/test_chain_rules.py
@@ -63,11 +63,11 @@
 
 def test_a_tail_that_lacks_what_others_told_publishes_and_commits_nothing() -> None:
     tail = member("c", ONE)
-    assert tail.activate(0.0, wanted=2) == [] and tail.committed == 0
+    assert tail.activate(0.0, catch_up_target=2) == [] and tail.committed == 0
     assert tail.on_forward(forward(TWO), 0.0) == [PersistEntry(TWO)]
     assert Publish(TWO) in tail.entry_persisted(TWO, 0.0) and tail.is_caught_up()
     level = member("c", ONE)
-    assert level.activate(0.0, wanted=1) == [Publish(ONE)] and level.committed == 1
+    assert level.activate(0.0, catch_up_target=1) == [Publish(ONE)] and level.committed == 1
 
 
 def test_what_a_view_began_with_is_committed_once_it_is_active() -> None:
--- a/tests/test_quorum_loss.py
+++ b/tests/test_quorum_loss.py
@@ -258,7 +258,7 @@
             await statement(left)
             await made.system.start(away[0])
             async with asyncio.timeout(10.0):
-                await logged(left, "a majority of the core is there again")
+                await logged(left, "a majority of the core is available again")
                 while (await status.read_state(made.edges[0].control))["quorumLoss"] is not None:
                     await asyncio.sleep(0.1)
 
