--- a/lab/rules_orders.py
+++ b/lab/rules_orders.py
@@ -23,14 +23,14 @@
     "tests/test_validity.py",
     "tests/test_order_rules.py",
     "tests/test_chain.py",
-    "tests/test_orders.py::test_what_may_have_been_taken_is_left_without_a_clear_answer",
-    "tests/test_orders.py::test_an_order_on_a_version_that_may_come_is_not_refused",
-    "tests/test_orders.py::test_what_was_taken_is_known_before_it_is_checked_again",
-    "tests/test_orders.py::test_an_order_that_comes_again_waits_once",
+    "tests/test_orders.py::test_a_write_that_may_have_been_applied_gets_no_definite_answer",
+    "tests/test_orders.py::test_a_write_whose_base_may_become_current_is_not_rejected",
+    "tests/test_orders.py::test_an_applied_write_is_recognised_before_validation",
+    "tests/test_orders.py::test_a_repeated_write_is_queued_once",
     "tests/test_orders.py::test_digests_that_can_not_be_are_refused",
-    "tests/test_orders.py::test_a_machine_takes_up_no_view_whose_digests_it_can_not_complete",
-    "tests/test_orders.py::test_a_write_that_was_refused_and_is_there_all_the_same_was_not_taken",
-    "tests/test_orders.py::test_the_digests_on_disk_are_bounded_and_written_as_far_as_they_change",
+    "tests/test_orders.py::test_a_view_whose_digests_cannot_be_completed_is_not_accepted",
+    "tests/test_orders.py::test_an_entry_that_was_stored_by_a_failed_write_does_not_count_as_applied",
+    "tests/test_orders.py::test_the_digests_on_disk_are_bounded_and_only_changes_are_written",
 )
 ROUTES = ("tests/test_added_routes.py",)
 
--- a/tests/golden_state.py
+++ b/tests/golden_state.py
@@ -1,7 +1,7 @@
-"""A state folder with a view, entries, digests of applied writes and marks of several members.
+"""Golden data of the state folder: a view, entries, digests of applied writes, and marks of several members.
 
-`tests/data/state` was written by commit dd25593 with the steps of `write`; `tests/data/state.sql` holds its schema and
-rows, `tests/data/state.txt` what that commit loaded from it.
+`tests/data/state` was written by commit dd25593 with the steps of `write`. `tests/data/state.sql` holds its schema and
+rows, and `tests/data/state.txt` the state that the same commit loaded from it.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 
 
 async def close(store: SqliteStore) -> None:
-    """Wait until the store's thread has closed the file."""
+    """Close a store and wait until its thread has closed the file."""
     store.close()
     assert await store.closed(CLOSE_S)
 
 
 async def load(folder: Path) -> LoadedState:
-    """What a store reads from a copy of a folder."""
+    """The state that a store loads from a copy of a folder."""
     copy = folder.with_name(f"{folder.name}-read")
     shutil.copytree(folder, copy)
     store = SqliteStore(copy)
@@ -39,7 +39,7 @@
 
 
 async def write(folder: Path) -> None:
-    """Two starts of one machine: a view with five entries, then a later view with one more."""
+    """Write the state of one machine in two process runs: a view with five entries, then a later view with one more."""
     store = SqliteStore(folder)
     identity = (await store.load()).identity
     names = (f"10.0.0.1/{identity}", "10.0.0.2/00aa11bb22cc", "10.0.0.3/00aa11bb22cd")
@@ -66,12 +66,12 @@
 
 
 def describe(loaded: LoadedState) -> str:
-    """What was loaded, without what is drawn anew at each start."""
+    """A description of the loaded state, without the random incarnation id of the current process."""
     return canonical(replace(loaded, pending_marks=replace(loaded.pending_marks, incarnation_id=0)))
 
 
 def dump(file: Path) -> str:
-    """Schema and rows of a database, with one identity and one draw in place of those that were drawn."""
+    """The schema and rows of a database, with placeholders for its random values."""
     with sqlite3.connect(file) as database:
         text = "\n".join(database.iterdump())
         (identity,) = database.execute("select value from meta where key = 'identity'").fetchone()
--- a/tests/test_order_rules.py
+++ b/tests/test_order_rules.py
@@ -1,4 +1,4 @@
-"""Each rule of docs/design/orders.md by itself, that no other test holds."""
+"""The rules of docs/design/orders.md that no other test covers, each tested by itself."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 CHAIN = View(256, ("a/1", "b/1"), ("a/1", "b/1"))
 
 
-def order(ident: int, body: bytes = b"10:x", base: int = 0) -> frames.WriteRequest:
-    return frames.WriteRequest(ident, "client", base, body)
+def write_request(request_id: int, body: bytes = b"10:x", base: int = 0) -> frames.WriteRequest:
+    return frames.WriteRequest(request_id, "client", base, body)
 
 
-def statuses(actions: list[Any]) -> dict[int, int]:
+def statuses(effects: list[Any]) -> dict[int, int]:
     return {
-        one.frame.request_id: one.frame.status
-        for one in actions
-        if isinstance(one, SendMessage) and isinstance(one.frame, frames.WriteResult)
+        effect.frame.request_id: effect.frame.status
+        for effect in effects
+        if isinstance(effect, SendMessage) and isinstance(effect.frame, frames.WriteResult)
     }
 
 
@@ -46,74 +46,75 @@
 # -- at the head --------------------------------------------------------------------------------------------------
 
 
-def test_too_many_orders_that_wait_are_told_to_come_back() -> None:
+def test_writes_beyond_the_queue_limit_get_503() -> None:
     member = ChainReplica("a", ALONE, revision, digest, active=True)
-    member.submit(order(0), 0.0)
-    for ident in range(1, MAX_QUEUED_WRITES + 1):
-        assert statuses(member.submit(order(ident, b"11:%d" % ident), 0.0)) == {}
-    assert statuses(member.submit(order(999, b"12:x"), 0.0)) == {999: 503} and len(member.queue) == MAX_QUEUED_WRITES
+    member.submit(write_request(0), 0.0)
+    for request_id in range(1, MAX_QUEUED_WRITES + 1):
+        assert statuses(member.submit(write_request(request_id, b"11:%d" % request_id), 0.0)) == {}
+    assert (
+        statuses(member.submit(write_request(999, b"12:x"), 0.0)) == {999: 503}
+        and len(member.queue) == MAX_QUEUED_WRITES
+    )
 
 
-@pytest.mark.parametrize(("me", "sealed", "active"), [("b", False, True), ("a", True, True), ("a", False, False)])
-def test_only_the_head_of_an_active_view_takes_orders(me: str, sealed: bool, active: bool) -> None:
-    member = ChainReplica(me, CHAIN, revision, digest, active=active, sealed=sealed)
-    assert member.submit(order(1), 0.0) == [] and not member.queue and member.persisting is None
+@pytest.mark.parametrize(("ip", "sealed", "active"), [("b", False, True), ("a", True, True), ("a", False, False)])
+def test_only_the_head_of_an_active_view_accepts_writes(ip: str, sealed: bool, active: bool) -> None:
+    member = ChainReplica(ip, CHAIN, revision, digest, active=active, sealed=sealed)
+    assert member.submit(write_request(1), 0.0) == [] and not member.queue and member.persisting is None
 
 
-@pytest.mark.parametrize(("status", "asks"), [(400, True), (412, True), (503, False), (200, False)])
-def test_what_names_the_version_in_force_waits_for_a_majority_s_word(status: int, asks: bool) -> None:
+@pytest.mark.parametrize(("status", "waits"), [(400, True), (412, True), (503, False), (200, False)])
+def test_a_result_that_names_the_current_version_waits_for_a_majority(status: int, waits: bool) -> None:
     world = quiet_world()
     replica = world.replicas["a"]
-    outcome = frames.WriteResult(7, status, "")
-    told = [
-        one.frame
-        for one in replica.chain_effects([SendMessage("client", outcome)], world.now_s)
-        if isinstance(one, SendMessage)
+    result = frames.WriteResult(7, status, "")
+    sent = [
+        effect.frame
+        for effect in replica.chain_effects([SendMessage("client", result)], world.now_s)
+        if isinstance(effect, SendMessage)
     ]
-    assert (outcome not in told) is asks and any(isinstance(frame, frames.QuorumReadCheck) for frame in told) is asks
+    assert (result not in sent) is waits and any(isinstance(frame, frames.QuorumReadCheck) for frame in sent) is waits
 
 
 @pytest.mark.parametrize(("status", "final"), [(400, False), (412, True)])
-def test_while_members_judge_by_two_versions_of_the_check_nothing_is_said_to_be_invalid(
-    status: int, final: bool
-) -> None:
-    """The next head may be the one that takes it, when a late copy comes."""
+def test_nothing_is_rejected_as_invalid_while_members_use_two_check_versions(status: int, final: bool) -> None:
+    """The next head may use the other version and accept a delayed copy of the write."""
     world = quiet_world()
     replica, now_s = world.replicas["a"], world.now_s
     for replica.check_version, final_now in (
         (1, final),
         (0, True),
-    ):  # the others' is 0: first before, then after the roll-out
-        told = replica.chain_effects([SendMessage("client", frames.WriteResult(7, status, "no valid one"))], now_s)
-        assert (statuses(told) == {}) is final_now and (final_now or statuses(told) == {7: 503})
+    ):  # the other members use version 0: first mixed versions, then equal ones
+        effects = replica.chain_effects([SendMessage("client", frames.WriteResult(7, status, "invalid"))], now_s)
+        assert (statuses(effects) == {}) is final_now and (final_now or statuses(effects) == {7: 503})
         replica.reads.pending.clear()
 
 
-def test_a_pulse_tells_the_version_of_the_check_and_that_stays_known_of_a_disk_in_trouble() -> None:
+def test_a_heartbeat_reports_the_check_version_which_stays_known_while_the_disk_fails() -> None:
     world = quiet_world()
-    here, there = world.replicas["a"], world.replicas["b"]
-    assert here.checks_agree() and there.own_heartbeat(world.now_s).disk_flags == 1
-    there.check_version = 3
-    here.on_heartbeat(there.own_heartbeat(world.now_s), world.now_s)
-    assert not here.checks_agree() and here.failure_detector.peers["b"].disk_works
-    there.disk.failed_s = world.now_s
-    here.on_heartbeat(there.own_heartbeat(world.now_s), world.now_s)
-    assert not here.checks_agree() and not here.failure_detector.peers["b"].disk_works
-    here.peer_check_versions["x"] = 9  # no member: it will not be the head
-    here.check_version, here.peer_check_versions["c"] = 3, 3
-    assert here.checks_agree()
+    local, peer = world.replicas["a"], world.replicas["b"]
+    assert local.checks_agree() and peer.own_heartbeat(world.now_s).disk_flags == 1
+    peer.check_version = 3
+    local.on_heartbeat(peer.own_heartbeat(world.now_s), world.now_s)
+    assert not local.checks_agree() and local.failure_detector.peers["b"].disk_works
+    peer.disk.failed_s = world.now_s
+    local.on_heartbeat(peer.own_heartbeat(world.now_s), world.now_s)
+    assert not local.checks_agree() and not local.failure_detector.peers["b"].disk_works
+    local.peer_check_versions["x"] = 9  # not a member, so it can't become the head
+    local.check_version, local.peer_check_versions["c"] = 3, 3
+    assert local.checks_agree()
 
 
 # -- digests ------------------------------------------------------------------------------------------------------
 
 
-def test_what_stands_above_an_entry_s_base_was_not_taken() -> None:
-    known = {10: b"ten", 20: b"twenty", 30: b"thirty"}
-    deduplication.record(known, 25, 10, b"new")
-    assert known == {10: b"ten", 25: b"new"}
+def test_digests_above_the_base_of_an_entry_are_dropped() -> None:
+    digests = {10: b"ten", 20: b"twenty", 30: b"thirty"}
+    deduplication.record(digests, 25, 10, b"new")
+    assert digests == {10: b"ten", 25: b"new"}
 
 
-def test_without_the_digests_all_versions_may_be_forgotten() -> None:
+def test_without_digests_every_version_may_be_forgotten() -> None:
     assert deduplication.forgotten_up_to({}, 0) == 0 and deduplication.forgotten_up_to({}, 5) == MAX_REVISION
     assert (
         deduplication.forgotten_up_to({40: b"", 50: b""}, 5) == 39
@@ -121,22 +122,25 @@
     )
 
 
-def test_of_one_s_own_digests_count_those_that_all_hold() -> None:
+def test_merge_keeps_own_digests_only_up_to_the_revision_that_all_hold() -> None:
     own = {10: b"ten", 20: b"twenty", 30: b"refused"}
     assert deduplication.merge(own, 20, {40: b"forty"}) == {10: b"ten", 20: b"twenty", 40: b"forty"}
 
 
-def test_between_machines_go_the_digests_that_the_other_lacks() -> None:
-    """The proposer names the base of its newest entry; a promise brings what is above; each is sent what it lacks."""
+def test_machines_exchange_only_the_digests_that_the_other_lacks() -> None:
+    """The proposer names the base of its newest entry, a promise returns the digests above it, and each member is sent
+    the digests that it lacks."""
     world = quiet_world()
     for replica in world.replicas.values():
         assert replica.state.chain is not None
         replica.state.chain.last = Entry(3, 256, 30, 20, b"30:x")
         replica.state.chain.applied_digests.update({number: bytes([number]) * 32 for number in (10, 20, 30)})
     replica = world.replicas["a"]
-    (prepare, *_) = (one.frame for one in replica.proposer.propose(world.now_s) if isinstance(one, SendMessage))
+    (prepare, *_) = (
+        effect.frame for effect in replica.proposer.propose(world.now_s) if isinstance(effect, SendMessage)
+    )
     assert isinstance(prepare, frames.Prepare) and prepare.digests_since == 20
-    promise = promised(world.replicas["b"], prepare, world.now_s)
+    promise = promise_of(world.replicas["b"], prepare, world.now_s)
     assert list(deduplication.unpack(promise.applied_digests)) == [30]
     proposal = Proposal(prepare.epoch, (), (), world.now_s, promises={promise.name: promise})
     known = world.replicas["b"].state.applied_digests()
@@ -147,19 +151,19 @@
         )
 
 
-def promised(replica: Replica, prepare: frames.Prepare, now_s: float) -> frames.Promise:
+def promise_of(replica: Replica, prepare: frames.Prepare, now_s: float) -> frames.Promise:
     assert replica.on_prepare(prepare, now_s)
-    (told,) = replica.promise_persisted(prepare.epoch, "a", now_s)
-    assert isinstance(told, SendMessage) and isinstance(told.frame, frames.Promise)
-    return told.frame
+    (sent,) = replica.promise_persisted(prepare.epoch, "a", now_s)
+    assert isinstance(sent, SendMessage) and isinstance(sent.frame, frames.Promise)
+    return sent.frame
 
 
-# -- at the node that took the call -------------------------------------------------------------------------------
+# -- at the node that received the call -------------------------------------------------------------------------------
 
 
-def test_a_call_is_sent_again_until_its_caller_goes_on_and_then_left_without_a_clear_answer() -> None:
+def test_a_call_is_resent_until_its_timeout_and_then_gets_503() -> None:
     sent: list[tuple[str, frames.Frame]] = []
-    later: list[tuple[float, Any]] = []
+    timers: list[tuple[float, Any]] = []
 
     async def scenario() -> None:
         control = ControlApi("10.0.0.1", lambda: ("head", "tail"), lambda ip, frame: sent.append((ip, frame)), Mock())
@@ -167,16 +171,17 @@
         control.loop = cast(
             Any,
             SimpleNamespace(
-                time=lambda: now_s, call_later=lambda wait_s, what, name: later.append((wait_s, lambda: what(name)))
+                time=lambda: now_s,
+                call_later=lambda delay_s, callback, name: timers.append((delay_s, lambda: callback(name))),
             ),
         )
-        control.submit(order(1), connection)
+        control.submit(write_request(1), connection)
         for _ in range(20):
-            if not later:
+            if not timers:
                 break
-            wait_s, what = later.pop()
-            now_s += wait_s
-            what()
+            delay_s, callback = timers.pop()
+            now_s += delay_s
+            callback()
         assert {ip for ip, _ in sent} == {"head"} and 3 <= len(sent) <= 5
         assert CALL_TIMEOUT_S <= now_s - 5.0 < CALL_TIMEOUT_S + RESEND_INTERVAL_S
         assert connection.respond.call_args.args[0].status == 503 and not control.calls
--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -1,4 +1,4 @@
-"""What a loss of power leaves of the state and of a saved one; disks that refuse, hang or are torn."""
+"""What a power failure leaves of the database and of atomically written files; disks that fail, hang or are corrupt."""
 
 from __future__ import annotations
 
@@ -29,23 +29,23 @@
     return disk_power_loss.lived(tmp_path_factory.mktemp("life"))
 
 
-def test_a_loss_of_power_after_any_operation_leaves_what_was_told(life: Life) -> None:
-    """First use, checkpoints, a disk that fills up within a commit, a closed file, a file that is set aside."""
+def test_a_power_failure_after_any_operation_preserves_acknowledged_state(life: Life) -> None:
+    """Covers first use, checkpoints, a disk that fills up during a commit, a closed file, and a file set aside."""
     assert {op.kind for op in life.notes.ops} >= {"create", "write", "truncate", "sync", "folder", "remove", "rename"}
     for point in range(0, len(life.notes.ops) + 1, 7):
         life.check(point, seed=0)
 
 
 @pytest.mark.parametrize("kind", ["folder", "sync"])
-def test_a_sync_that_is_left_out_shows(life: Life, kind: str) -> None:
+def test_an_omitted_sync_is_detected(life: Life, kind: str) -> None:
     ops = without(life.notes.ops, kind)
     with pytest.raises(LostWriteError):
         for point in range(0, len(ops), 7):
             life.check(point, seed=0, ops=ops)
 
 
-def test_the_disk_itself_tears_writes_and_loses_names() -> None:
-    """The stand-in does all that a loss of power may do, and leaves what was synced alone."""
+def test_the_simulated_disk_tears_writes_and_loses_names() -> None:
+    """The simulated disk produces every outcome that a power failure allows, and never loses synced data."""
     ops = [
         Op("create", "a"),
         Op("write", "a", 0, b"x" * 2048),
@@ -56,16 +56,16 @@
         Op("sync", "b"),
         Op("rename", "a", to="c"),
     ]
-    found = [image(ops, random.Random(seed)) for seed in range(300)]
-    assert {tuple(sorted(files)) for files in found} == {("a",), ("c",), ("a", "b"), ("b", "c")}
-    bodies = {files.get("a", files.get("c", b"")) for files in found}
+    images = [image(ops, random.Random(seed)) for seed in range(300)]
+    assert {tuple(sorted(files)) for files in images} == {("a",), ("c",), ("a", "b"), ("b", "c")}
+    bodies = {files.get("a", files.get("c", b"")) for files in images}
     assert b"x" * 2048 in bodies and b"y" * 2048 in bodies and len(bodies) > 4
     assert image(ops[:4], random.Random(1)) == {"a": b"x" * 2048}
 
 
-def test_a_saved_state_is_the_old_or_the_new_one_whole(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_atomic_write_leaves_the_old_or_the_new_contents(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     ops = [Op("create", "state"), Op("write", "state", 0, b"old" * 900), Op("sync", "state"), Op("folder")]
-    rename = files.replace_file
+    real_replace = files.replace_file
 
     def fsync(handle: int) -> None:
         path = Path(os.readlink(f"/proc/self/fd/{handle}"))
@@ -74,38 +74,38 @@
         else:
             ops.extend([Op("create", path.name), Op("write", path.name, 0, path.read_bytes()), Op("sync", path.name)])
 
-    def noted_rename(old: Path, new: Path) -> None:
-        rename(old, new)
+    def recorded_replace(old: Path, new: Path) -> None:
+        real_replace(old, new)
         ops.append(Op("rename", old.name, to=new.name))
 
     monkeypatch.setattr(os, "fsync", fsync)
-    monkeypatch.setattr(files, "replace_file", noted_rename)
+    monkeypatch.setattr(files, "replace_file", recorded_replace)
     files.write_atomically(tmp_path / "state", b"new" * 900)
     assert [op.kind for op in ops[4:]] == ["create", "write", "sync", "rename", "folder"]
     for point in range(4, len(ops) + 1):
-        left = {image(ops[:point], random.Random(seed)).get("state") for seed in range(40)}
-        assert left <= ({b"old" * 900, b"new" * 900} if point < len(ops) else {b"new" * 900})
+        contents = {image(ops[:point], random.Random(seed)).get("state") for seed in range(40)}
+        assert contents <= ({b"old" * 900, b"new" * 900} if point < len(ops) else {b"new" * 900})
 
 
-def test_a_disk_that_is_full_leaves_the_saved_state_as_it_was(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_full_disk_leaves_the_old_contents(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     file = tmp_path / "state"
     file.write_bytes(b"old")
 
-    def refuse(handle: int) -> None:
+    def fail(handle: int) -> None:
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(os, "fsync", refuse)
+    monkeypatch.setattr(os, "fsync", fail)
     with pytest.raises(OSError, match="No space"):
         files.write_atomically(file, b"new")
     assert file.read_bytes() == b"old" and [path.name for path in tmp_path.iterdir()] == ["state"]
 
 
-def test_a_store_whose_disk_hangs_lets_the_process_go(tmp_path: Path) -> None:
-    """The interpreter would wait for a thread that is no daemon."""
-    held = threading.Event()
+def test_a_store_whose_disk_hangs_does_not_block_process_exit(tmp_path: Path) -> None:
+    """At exit the interpreter would wait for a thread that is not a daemon."""
+    released = threading.Event()
 
     def hang(path: Path) -> Any:
-        held.wait(5.0)
+        released.wait(5.0)
         raise sqlite3.OperationalError("disk I/O error")
 
     async def scenario() -> None:
@@ -114,7 +114,7 @@
         await asyncio.sleep(0)
         store.close()
         assert not await store.closed(0.05) and store.thread.daemon
-        held.set()
+        released.set()
         with pytest.raises(StoreError, match="disk I/O error"):
             await loading
         assert await store.closed(2.0)
@@ -125,80 +125,81 @@
 # -- whole nodes on a simulated network ------------------------------------------------------------------------------
 
 
-class Trying(Disk):
-    """A disk that refuses its first reads, or finds itself torn at a write."""
+class FaultyDisk(Disk):
+    """A disk whose first loads fail, or that turns out to be corrupt at a write."""
 
-    refuses = 0
-    torn = False
+    failures_left = 0
+    corrupt = False
 
     async def load(self, anew: bool = False) -> LoadedState:
-        self.refuses -= 1
-        if self.refuses >= 0:
+        self.failures_left -= 1
+        if self.failures_left >= 0:
             raise StoreError("state.db: disk I/O error")
         return await super().load(anew)
 
     async def save_entry(self, entry: Entry) -> None:
-        if self.torn:
-            self.torn = False
+        if self.corrupt:
+            self.corrupt = False
             raise CorruptStateError("state.db: database disk image is malformed")
         await super().save_entry(entry)
 
 
-def through(
-    trouble: Callable[[Cluster, Trying], Awaitable[None]], seed: int, back_s: float = 0.0, number: int = 1
+def run_with_fault(
+    fault: Callable[[Cluster, FaultyDisk], Awaitable[None]], seed: int, back_s: float = 0.0, number: int = 1
 ) -> tuple[str, str, int]:
-    """A system in which one core machine's disk has a trouble: its identity before and after, and its entry."""
+    """Run a cluster in which the disk of one core machine has a fault. Returns the identity of the disk before and
+    after, and by how many revisions its entry is behind."""
     cluster = Cluster(4, seed)
     name = cluster.machines[number][1].node
-    disk = Trying("0123456789ab")
+    disk = FaultyDisk("0123456789ab")
     cluster.disks[name] = disk
 
     async def play() -> None:
         cluster.start_all()
         await chaos.settle(cluster, "the start")
-        await trouble(cluster, disk)
+        await fault(cluster, disk)
         if back_s:
             await asyncio.sleep(back_s)
             cluster.start(*cluster.machines[1])
             await asyncio.sleep(cores.LOAD_TIMEOUT_S + 0.3)
             assert cluster.nodes[name].tree.subscription.parent is not None or cluster.nodes[name].tree.position.is_root
-        await chaos.settle(cluster, "the trouble")
+        await chaos.settle(cluster, "the fault")
 
     run_nodes(cluster, play())
     assert disk.kept.entry is not None
     return "0123456789ab", disk.kept.identity, disk.kept.entry.revision - cluster.revision
 
 
-def test_a_node_with_an_older_copy_of_its_disk_goes_on_as_another_machine() -> None:
-    async def put_back(cluster: Cluster, disk: Trying) -> None:
+def test_a_node_with_a_rolled_back_disk_continues_as_a_new_member() -> None:
+    async def roll_back(cluster: Cluster, disk: FaultyDisk) -> None:
         older = disk.kept
         for _ in range(3):
-            await chaos.settle(cluster, "an order")
+            await chaos.settle(cluster, "a write")
         cluster.stop(*cluster.machines[1])
         disk.kept = older
 
-    old, new, lag = through(put_back, 3, back_s=0.5)
+    old, new, lag = run_with_fault(roll_back, 3, back_s=0.5)
     assert new != old and lag == 0
 
 
-def test_a_node_whose_disk_refuses_or_hangs_at_the_start_serves_and_reads_it_later() -> None:
-    async def refuse(cluster: Cluster, disk: Trying) -> None:
-        disk.refuses = 2
+def test_a_node_whose_disk_fails_or_hangs_at_startup_serves_and_loads_it_later() -> None:
+    async def fail(cluster: Cluster, disk: FaultyDisk) -> None:
+        disk.failures_left = 2
         cluster.stop(*cluster.machines[1])
 
-    async def hang(cluster: Cluster, disk: Trying) -> None:
+    async def hang(cluster: Cluster, disk: FaultyDisk) -> None:
         disk.hangs_s = 3.0
         cluster.stop(*cluster.machines[1])
 
-    for trouble in (refuse, hang):
-        old, new, lag = through(trouble, 4, back_s=0.5)
+    for fault in (fail, hang):
+        old, new, lag = run_with_fault(fault, 4, back_s=0.5)
         assert new == old and lag == 0
 
 
-def test_a_node_that_finds_its_state_torn_at_a_write_goes_on_as_another_machine() -> None:
-    async def tear(cluster: Cluster, disk: Trying) -> None:
-        disk.torn = True
+def test_a_node_whose_state_is_found_corrupt_at_a_write_continues_as_a_new_member() -> None:
+    async def corrupt(cluster: Cluster, disk: FaultyDisk) -> None:
+        disk.corrupt = True
 
-    for number in range(3):  # one of them is the root of the relays
-        old, new, lag = through(tear, 5, number=number)
+    for number in range(3):  # one of them is the root of the distribution tree
+        old, new, lag = run_with_fault(corrupt, 5, number=number)
         assert new != old and lag == 0
--- a/tests/test_quorum_loss.py
+++ b/tests/test_quorum_loss.py
@@ -1,4 +1,4 @@
-"""A majority of the core that is missing: what is said, how soon, and the operator's way out on real processes."""
+"""Quorum loss: what is reported and how soon, and recovery by an operator with real processes."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 from tests.test_gateway import Rig, ask, read_back, rig
 
 ABC = ("10.0.0.1/a", "10.0.0.2/b", "10.0.0.3/c")
-#: The bound of the operator: so long after the loss it is told.
-TOLD_S = 10.0
+#: A quorum loss must be reported within this time.
+REPORT_LIMIT_S = 10.0
 
 
-def heard(*names: str) -> Mapping[str, str]:
+def alive(*names: str) -> Mapping[str, str]:
     return {name.partition("/")[0]: name for name in names}
 
 
 @pytest.mark.parametrize(
-    ("group", "there", "lost"),
+    ("group", "available", "lost"),
     [
         (ABC, ABC, False),
         (ABC, ABC[:2], False),
@@ -48,59 +48,59 @@
     ],
     ids=str,
 )
-def test_a_majority_is_missing_where_fewer_than_that_are_there(
-    group: tuple[str, ...], there: tuple[str, ...], lost: bool
+def test_quorum_is_lost_when_fewer_than_a_majority_are_available(
+    group: tuple[str, ...], available: tuple[str, ...], lost: bool
 ) -> None:
-    assert (detect(group, heard(*there), {}) is not None) is lost
+    assert (detect(group, alive(*available), {}) is not None) is lost
 
 
-def test_the_statement_names_who_is_missing_and_both_ways_out() -> None:
-    found = detect(ABC, heard("10.0.0.1/a", "10.0.0.2/new"), {"10.0.0.3": 7.4})
-    assert found is not None and found.here == ("10.0.0.1",) and found.majority == 2
-    assert [(one.ip, one.absence, one.for_s) for one in found.missing] == [
+def test_the_report_names_missing_members_and_both_ways_to_recover() -> None:
+    loss = detect(ABC, alive("10.0.0.1/a", "10.0.0.2/new"), {"10.0.0.3": 7.4})
+    assert loss is not None and loss.here == ("10.0.0.1",) and loss.majority == 2
+    assert [(member.ip, member.absence, member.for_s) for member in loss.missing] == [
         ("10.0.0.2", Absence.NEW_DISK, None),
         ("10.0.0.3", Absence.SILENT, 7.4),
     ]
-    seen, _, way_out = found.lines()
-    assert seen.endswith(
+    observation, _, recovery = loss.lines()
+    assert observation.endswith(
         ": 1 of 3 members are there, 2 are needed; missing: 10.0.0.2 (without its disk), 10.0.0.3 (silent for 7 s)"
     )
-    assert "with their disks" in way_out and RUNBOOK in way_out and RUNBOOK_SECTION in way_out
+    assert "with their disks" in recovery and RUNBOOK in recovery and RUNBOOK_SECTION in recovery
     page = (Path(__file__).parent.parent / RUNBOOK).read_text(encoding="utf-8")
     assert f"\n## {RUNBOOK_SECTION}\n" in page
 
 
-def told(
-    watch: QuorumMonitor, there: Mapping[str, str], from_s: float, to_s: float, group: tuple[str, ...] = ABC
+def reports(
+    monitor: QuorumMonitor, available: Mapping[str, str], from_s: float, to_s: float, group: tuple[str, ...] = ABC
 ) -> list[tuple[float, int]]:
-    """When something is said, and at which level, of ticks ten times a second."""
+    """The times and levels of reports, with ten ticks a second."""
     ticks = [round(from_s + number / 10, 1) for number in range(round(10 * (to_s - from_s)))]
-    said = [(at_s, watch.tick(group, there, at_s)) for at_s in ticks]
-    return [(at_s, line.level) for at_s, line in said if line is not None]
-
-
-def test_a_lost_majority_is_told_once_it_has_lasted_and_again_and_its_end_too() -> None:
-    watch = QuorumMonitor()
-    assert told(watch, heard(*ABC), 0.0, 1.0) == []
-    assert told(watch, heard(*ABC[:2]), 1.0, 20.0) == []  # one may be missing for as long as it likes
-    assert told(watch, heard(ABC[0]), 20.0, 24.9) == [] and watch.silences() == ()
-    assert told(watch, heard(*ABC[:2]), 24.9, 25.0) == []  # back in time
-    assert told(watch, heard(ABC[0]), 25.0, 95.0) == [(30.0, logging.ERROR), (90.0, logging.ERROR)]
-    assert parse_silences(watch.silences()) == {"10.0.0.2": 70.0, "10.0.0.3": 94.0}
-    assert told(watch, heard(*ABC[1:]), 95.0, 96.0) == [(95.0, logging.WARNING)] and watch.silences() == ()
-
-
-def test_a_machine_that_stood_still_or_is_no_member_tells_nothing_of_that_time() -> None:
-    watch = QuorumMonitor()
-    assert told(watch, heard(ABC[0]), 0.0, 4.0) == []
-    assert told(watch, heard(ABC[0]), 30.0, 34.9) == []
-    assert told(watch, heard(ABC[0]), 34.9, 36.0) == [(35.0, logging.ERROR)]
-    assert told(QuorumMonitor(), {}, 0.0, 60.0, group=()) == []
+    results = [(at_s, monitor.tick(group, available, at_s)) for at_s in ticks]
+    return [(at_s, report.level) for at_s, report in results if report is not None]
+
+
+def test_a_lasting_quorum_loss_is_reported_repeatedly_and_so_is_its_end() -> None:
+    monitor = QuorumMonitor()
+    assert reports(monitor, alive(*ABC), 0.0, 1.0) == []
+    assert reports(monitor, alive(*ABC[:2]), 1.0, 20.0) == []  # one missing member is tolerated indefinitely
+    assert reports(monitor, alive(ABC[0]), 20.0, 24.9) == [] and monitor.silences() == ()
+    assert reports(monitor, alive(*ABC[:2]), 24.9, 25.0) == []  # back before the report was due
+    assert reports(monitor, alive(ABC[0]), 25.0, 95.0) == [(30.0, logging.ERROR), (90.0, logging.ERROR)]
+    assert parse_silences(monitor.silences()) == {"10.0.0.2": 70.0, "10.0.0.3": 94.0}
+    assert reports(monitor, alive(*ABC[1:]), 95.0, 96.0) == [(95.0, logging.WARNING)] and monitor.silences() == ()
+
+
+def test_a_pause_restarts_the_delay_and_a_machine_outside_the_group_reports_nothing() -> None:
+    monitor = QuorumMonitor()
+    assert reports(monitor, alive(ABC[0]), 0.0, 4.0) == []
+    assert reports(monitor, alive(ABC[0]), 30.0, 34.9) == []
+    assert reports(monitor, alive(ABC[0]), 34.9, 36.0) == [(35.0, logging.ERROR)]
+    assert reports(QuorumMonitor(), {}, 0.0, 60.0, group=()) == []
     assert parse_silences(("10.0.0.1 7", "10.0.0.2", "10.0.0.3 x", "")) == {"10.0.0.1": 7.0}
 
 
 async def lose_two_disks_and_start_anew(cluster: repair.Core, identities: tuple[str, str]) -> list[Absence]:
-    """What the member that is left says of them."""
+    """The absences that the remaining member reports."""
     await repair.begin(cluster)
     cores = [machine for machine in cluster.machines if machine[1].front_listener is None]
     for machine, identity in zip(cores[:2], identities, strict=True):
@@ -109,18 +109,22 @@
     await asyncio.sleep(1.0)
     for host, settings in cores[:2]:
         cluster.start(host, replace(settings, bootstrap=False))
-    await asyncio.sleep(TOLD_S - 1.0)
+    await asyncio.sleep(REPORT_LIMIT_S - 1.0)
     core = cluster.nodes[cores[2][1].node].core
     assert core is not None and core.quorum_monitor.loss is not None
-    return [one.absence for one in core.quorum_monitor.loss.missing]
+    return [member.absence for member in core.quorum_monitor.loss.missing]
 
 
 @pytest.mark.usefixtures("quiet")
 @pytest.mark.parametrize(
     ("identities", "absence"),
-    [(("new-one", "new-two"), Absence.NEW_DISK), (("000000000000", "000000000001"), Absence.OLD_DISK)],
-)  # their own, and all that they told is not there
-def test_members_that_come_back_without_what_they_had_are_missing_all_the_same(
+    [
+        (("new-one", "new-two"), Absence.NEW_DISK),
+        # their own identities, without the state that they had reported
+        (("000000000000", "000000000001"), Absence.OLD_DISK),
+    ],
+)
+def test_members_that_return_without_their_data_still_count_as_missing(
     identities: tuple[str, str], absence: Absence
 ) -> None:
     cluster = repair.Core(3, 3)
@@ -132,7 +136,7 @@
 
 
 class Caller:
-    """In place of the connection that asks for the state."""
+    """Stands in for the connection that requests the state."""
 
     def __init__(self) -> None:
         self.request = ""
@@ -143,16 +147,16 @@
 
 
 async def status_while(cluster: repair.Core, cut: Callable[[Host, Host], bool]) -> dict[str, Any] | None:
-    """What an edge node that reaches all machines tells of a core with paths cut."""
+    """What an edge node that reaches all machines reports about a core with paths cut between its members."""
     await repair.begin(cluster)
     edge, caller = cluster.edges[0], Caller()
     cores = {host for host, settings in cluster.machines if settings.front_listener is None}
     cluster.net.cut = lambda one, other: one in cores and other in cores and cut(one, other)
-    await asyncio.sleep(TOLD_S - 1.0)
+    await asyncio.sleep(REPORT_LIMIT_S - 1.0)
     cluster.at(edge, edge.state_query.begin, caller)
     await asyncio.sleep(1.0)
-    found: dict[str, Any] = json.loads(caller.answers[0].body)
-    loss: dict[str, Any] | None = found["quorumLoss"]
+    state: dict[str, Any] = json.loads(caller.answers[0].body)
+    loss: dict[str, Any] | None = state["quorumLoss"]
     return loss
 
 
@@ -160,12 +164,13 @@
 @pytest.mark.parametrize(
     ("cut", "lost"),
     [
-        (lambda one, other: True, True),  # no two members hear each other, and all answer this node
+        (lambda one, other: True, True),  # no two members reach each other, and all answer this node
+        # one reports a loss, the others still have a leader
         (lambda one, other: "10.0.0.1" in (one.ip, other.ip), False),
-    ],  # one says so, and the others lead on
-    ids=["all apart", "one apart"],
+    ],
+    ids=["all isolated", "one isolated"],
 )
-def test_a_core_whose_members_are_apart_has_no_majority_though_all_answer(
+def test_a_core_partitioned_internally_has_no_majority_though_every_member_answers(
     cut: Callable[[Host, Host], bool], lost: bool
 ) -> None:
     cluster = repair.Core(3, 3)
@@ -175,14 +180,14 @@
         cluster.close()
 
 
-async def statement(machine: Machine, within_s: float = TOLD_S) -> dict[str, Any]:
-    """What `status` of a node tells, once it tells of a lost majority and since when."""
+async def state_with_loss(machine: Machine, within_s: float = REPORT_LIMIT_S) -> dict[str, Any]:
+    """The state that a node reports, once it includes a quorum loss with all durations."""
     async with asyncio.timeout(within_s):
         while True:
-            found = await status.read_state(machine.control)
-            loss = found["quorumLoss"]
-            if loss is not None and all(one["for_s"] is not None for one in loss["missing"]):
-                return found
+            state = await status.read_state(machine.control)
+            loss = state["quorumLoss"]
+            if loss is not None and all(member["for_s"] is not None for member in loss["missing"]):
+                return state
             await asyncio.sleep(0.1)
 
 
@@ -191,37 +196,37 @@
         await asyncio.sleep(0.05)
 
 
-async def lose_two_disks(made: Rig) -> tuple[Machine, list[Machine]]:
-    """The member that is left, and those that are gone for ever."""
-    left, *gone = [machine for machine in made.system.machines if machine.core]
+async def lose_two_disks(setup: Rig) -> tuple[Machine, list[Machine]]:
+    """Kill two members and delete their state; returns the remaining member and the lost ones."""
+    left, *gone = [machine for machine in setup.system.machines if machine.core]
     for machine in gone:
-        await made.system.kill(machine)
+        await setup.system.kill(machine)
         shutil.rmtree(machine.folder / "state")
     return left, gone
 
 
-def test_a_majority_that_is_gone_is_told_and_a_new_core_is_made_from_a_saved_copy(tmp_path: Path) -> None:
-    """As docs/operations/recovery.md has it, step by step."""
+def test_a_permanent_quorum_loss_is_reported_and_a_new_core_is_restored_from_a_backup(tmp_path: Path) -> None:
+    """Follows docs/operations/recovery.md step by step."""
 
     async def scenario() -> None:
-        async with rig(edges=1) as made:
-            edge, system, copy = made.edges[0], made.system, tmp_path / "copy"
+        async with rig(edges=1) as setup:
+            edge, system, copy = setup.edges[0], setup.system, tmp_path / "copy"
             assert (await status.read_state(edge.control))["quorumLoss"] is None
             await backup.backup(edge.control, copy)
-            left, gone = await lose_two_disks(made)
-            async with asyncio.timeout(TOLD_S):
+            left, gone = await lose_two_disks(setup)
+            async with asyncio.timeout(REPORT_LIMIT_S):
                 await logged(left, "no majority of the core: 1 of 3 members are there")
                 for machine in (left, edge):
-                    found = await statement(machine)
-                    assert {one["ip"] for one in found["quorumLoss"]["missing"]} == {one.ip for one in gone}
-                    for text in (status.describe_state(found), membership.describe_members(found)):
+                    state = await state_with_loss(machine)
+                    assert {member["ip"] for member in state["quorumLoss"]["missing"]} == {lost.ip for lost in gone}
+                    for text in (status.describe_state(state), membership.describe_members(state)):
                         assert "! no majority of the core" in text and RUNBOOK in text
-            assert (await ask(edge)).status == 200  # it serves on
+            assert (await ask(edge)).status == 200  # it keeps serving
             with pytest.raises(errors.RequestRefusedError, match="503"):
                 await config_calls.push(edge.control, cbor2.dumps(demo_configuration(2)), 1)
             await system.kill(left)
-            found = await status.read_state(edge.control)
-            assert len(found["quorumLoss"]["missing"]) == 3 and not found["quorumLoss"]["here"]
+            state = await status.read_state(edge.control)
+            assert len(state["quorumLoss"]["missing"]) == 3 and not state["quorumLoss"]["here"]
             shutil.rmtree(left.folder / "state")
             for machine in (left, *gone):
                 await system.start(machine, bootstrap=True)
@@ -249,17 +254,17 @@
     run(scenario())
 
 
-def test_members_that_come_back_with_their_disks_are_a_majority_again() -> None:
+def test_members_that_return_with_their_disks_restore_the_quorum() -> None:
     async def scenario() -> None:
-        async with rig(edges=1) as made:
-            left, *away = [machine for machine in made.system.machines if machine.core]
+        async with rig(edges=1) as setup:
+            left, *away = [machine for machine in setup.system.machines if machine.core]
             for machine in away:
-                await made.system.kill(machine)
-            await statement(left)
-            await made.system.start(away[0])
+                await setup.system.kill(machine)
+            await state_with_loss(left)
+            await setup.system.start(away[0])
             async with asyncio.timeout(10.0):
                 await logged(left, "a majority of the core is available again")
-                while (await status.read_state(made.edges[0].control))["quorumLoss"] is not None:
+                while (await status.read_state(setup.edges[0].control))["quorumLoss"] is not None:
                     await asyncio.sleep(0.1)
 
     run(scenario())
