--- a/lab/rules_orders.py
+++ b/lab/rules_orders.py
@@ -1,4 +1,4 @@
-"""What docs/design/orders.md tells, rule by rule: what is taken and refused, what a valid configuration is, and that
+"""The rules of docs/design/orders.md: which writes are applied and rejected, which configurations are valid, and that
 added routes are served."""
 
 from __future__ import annotations
@@ -41,78 +41,81 @@
 
 ORDERS_RULES = (
     orders(
-        "what was taken is answered 200, before it is checked",
+        "a write that was already applied gets 200 before it is validated",
         CHAIN,
         "if self.digest(request.body) in self.applied_digests.values():",
         "if False:",
     ),
     orders(
-        "an order on an older base is refused unread",
+        "a write on an older base is rejected without reading its body",
         CHAIN,
         "if deduplication.forgotten_up_to(self.applied_digests, self.number) <= request.base < self.revision:",
         "if False:",
     ),
     orders(
-        "not where its digest may have gone",
+        "unless its digest may have been discarded",
         CHAIN,
         "if deduplication.forgotten_up_to(self.applied_digests, self.number) <= request.base < self.revision:",
         "if request.base < self.revision:",
     ),
     orders(
-        "no valid configuration is refused",
+        "an invalid configuration is rejected",
         CHAIN,
         "            return [write_result(request, 400, str(err))]\n",
         "            revision = self.revision + 1\n",
     ),
     orders(
-        "one whose base may come into force yet is not refused",
+        "a write whose base may still become current is not rejected",
         CHAIN,
         "if self.base_may_become_current(request.base, revision):",
         "if False:",
     ),
     orders(
-        "it is one only if its number is above its base",
+        "a base may become current only if it is below the revision of the write",
         CHAIN,
         "return self.revision < base < revision",
         "return self.revision < base",
     ),
     orders(
-        "one that may have been taken is not refused",
+        "a write that may have been applied is not rejected",
         CHAIN,
         "if self.may_have_been_applied(request.base, revision):",
         "if False:",
     ),
     orders(
-        "it is one only if its base is below its number",
+        "a write may have been applied only if its base is below its revision",
         CHAIN,
         "return base < revision <= deduplication",
-        "return revision <= taken",
+        "return revision <= deduplication",
     ),
-    orders("the base must be the version in force", CHAIN, "if request.base != self.revision:", "if False:"),
-    orders("numbers only rise", CHAIN, "if revision <= self.revision:", "if revision < self.revision:"),
+    orders("the base must be the current version", CHAIN, "if request.base != self.revision:", "if False:"),
+    orders("revisions only increase", CHAIN, "if revision <= self.revision:", "if revision < self.revision:"),
     orders(
-        "orders are decided one at a time, once what came before is committed",
+        "writes are decided one at a time, after the entry before them is committed",
         CHAIN,
         "return self.persisting is not None or self.number > self.committed",
         "return self.persisting is not None",
     ),
     orders(
-        "none while a write is under way",
+        "no write is decided while an entry is being written to disk",
         CHAIN,
         "return self.persisting is not None or self.number > self.committed",
         "return self.number > self.committed",
     ),
     orders(
-        "the same bytes get the answer of those under way",
+        "a write with the same body as the entry in flight gets its result",
         CHAIN,
         "            if self.has_uncommitted():\n                self.coalesce_duplicates()\n",
         "            if self.has_uncommitted():\n",
     ),
     orders(
-        "by their bytes, not by their base", CHAIN, "if request.body == entry.body]:", "if request.base == entry.base]:"
+        "writes are coalesced by body, not by base",
+        CHAIN,
+        "if request.body == entry.body]:",
+        "if request.base == entry.base]:",
     ),
     orders(
-        "an order that comes again waits once",
+        "a repeated write is queued once",
         CHAIN,
         "if (\n"
         "            any(other.request_id == request.request_id for other in self.queue)\n"
@@ -120,27 +123,32 @@
         "        ):",
         "if False:",
     ),
-    orders("too many that wait are told to come back", CHAIN, "if len(self.queue) >= MAX_QUEUED_WRITES:", "if False:"),
     orders(
-        "only the head decides",
+        "writes beyond the queue limit are rejected with 503",
+        CHAIN,
+        "if len(self.queue) >= MAX_QUEUED_WRITES:",
+        "if False:",
+    ),
+    orders(
+        "only the head accepts writes",
         CHAIN,
         "if not self.is_head() or self.sealed or not self.active:",
         "if self.sealed or not self.active:",
     ),
     orders(
-        "not one that has promised a later epoch",
+        "a head that has promised a later epoch accepts no writes",
         CHAIN,
         "if not self.is_head() or self.sealed or not self.active:",
         "if not self.is_head() or not self.active:",
     ),
     orders(
-        "not before its view is active",
+        "a head accepts no writes before its view is active",
         CHAIN,
         "if not self.is_head() or self.sealed or not self.active:",
         "if not self.is_head() or self.sealed:",
     ),
     orders(
-        "the tail answers the first asker",
+        "the tail answers the first caller",
         CHAIN,
         "        effects += [\n"
         '            SendMessage(origin, frames.WriteResult(request_id, 200, "taken"))\n'
@@ -149,7 +157,7 @@
         "",
     ),
     orders(
-        "the head answers the others",
+        "the head answers the other callers",
         CHAIN,
         "            effects += [\n"
         '                SendMessage(origin, frames.WriteResult(request_id, 200, "taken"))\n'
@@ -158,13 +166,13 @@
         "",
     ),
     orders(
-        "word of an earlier entry acknowledges no later one",
+        "a commit notice for an earlier entry does not acknowledge a later one",
         CHAIN,
         "if self.is_head() and self.committed == self.number:",
         "if self.is_head():",
     ),
     orders(
-        "a disk that refuses is no clear answer",
+        "a failed disk write gives no definite answer",
         CHAIN,
         "return [\n"
         '            SendMessage(origin, frames.WriteResult(request_id, 503, "the disk refuses"))\n'
@@ -173,60 +181,65 @@
         'return [SendMessage(origin, frames.WriteResult(request_id, 400, "the disk refuses")) for request_id, origin in callers]',
     ),
     orders(
-        "what waited is decided once the entry is committed",
+        "queued writes are decided once the entry is committed",
         CHAIN,
         "return effects + self.process_queue(now_s)",
         "return effects",
     ),
     orders(
-        "a refusal waits for a majority's word",
+        "a rejection waits for the confirmation of a majority",
         CONSENSUS_REPLICA,
         "if result.status in REFUSALS:",
         "if False:",
     ),
     orders(
-        "both kinds of refusal do",
+        "both kinds of rejection wait for it",
         CONSENSUS_REPLICA,
         "REFUSALS = (INVALID, PRECONDITION_FAILED)",
         "REFUSALS = (PRECONDITION_FAILED,)",
     ),
-    orders("a refusal's text fits into its frame", CHAIN, "text[:MAX_RESULT_TEXT]", "text"),
+    orders("the text of a result fits into its frame", CHAIN, "text[:MAX_RESULT_TEXT]", "text"),
     orders(
         "an entry drops the digests above its base", DEDUPLICATION, "        del applied[discarded]\n", "        pass\n"
     ),
-    orders("on disk too", STORE, '    database.execute("delete from taken where revision > ?", (entry.base,))\n', ""),
     orders(
-        "the newest digests are kept, in memory",
+        "an entry drops the digests above its base on disk",
+        STORE,
+        '    database.execute("delete from taken where revision > ?", (entry.base,))\n',
+        "",
+    ),
+    orders(
+        "only the newest digests are kept in memory",
         DEDUPLICATION,
         "    while len(applied) > MAX_DIGESTS:\n        del applied[next(iter(applied))]\n",
         "",
     ),
-    orders("and on disk", STORE, "        (MAX_DIGESTS,),\n", "        (10**9,),\n"),
+    orders("only the newest digests are kept on disk", STORE, "        (MAX_DIGESTS,),\n", "        (10**9,),\n"),
     orders(
-        "digests are missing when there are fewer than entries", DEDUPLICATION, "if len(applied) >= number:", "if True:"
+        "digests are missing if there are fewer than entries", DEDUPLICATION, "if len(applied) >= number:", "if True:"
     ),
     orders(
-        "all below the lowest are missing then",
+        "then all digests below the lowest are missing",
         DEDUPLICATION,
         "return next(iter(applied)) - 1 if applied else MAX_REVISION",
         "return 0 if applied else MAX_REVISION",
     ),
     orders(
-        "without any all may be",
+        "without digests every version may be forgotten",
         DEDUPLICATION,
         "return next(iter(applied)) - 1 if applied else MAX_REVISION",
         "return next(iter(applied)) - 1 if applied else 0",
     ),
-    orders("digests that cannot be are refused: cut off", DEDUPLICATION, "if len(data) % RECORD.size:", "if False:"),
-    orders("too many", DEDUPLICATION, "if len(found) > MAX_DIGESTS:", "if False:"),
+    orders("truncated digests are rejected", DEDUPLICATION, "if len(data) % RECORD.size:", "if False:"),
+    orders("too many digests are rejected", DEDUPLICATION, "if len(found) > MAX_DIGESTS:", "if False:"),
     orders(
-        "out of order",
+        "digests out of order are rejected",
         DEDUPLICATION,
         "if any(record[0] >= following[0] for record, following in pairwise(found)):",
         "if False:",
     ),
     orders(
-        "one's own digests count up to the revision that all hold",
+        "own digests count up to the revision that all members hold",
         DEDUPLICATION,
         "for revision, digest in sorted(own.items()) if revision <= above} | reported",
         "for revision, digest in sorted(own.items())} | reported",
@@ -238,82 +251,87 @@
         "return entry.revision if entry is not None else 0",
     ),
     orders(
-        "a promise brings the digests above that",
+        "a promise returns the digests above that base",
         VOTING,
         "deduplication.pack(state.applied_digests(), self.digests_since),",
         "deduplication.pack(state.applied_digests(), 1 << 60),",
     ),
     orders(
-        "who lacks the base takes no part",
+        "a member that lacks the base does not accept the view",
         CONSENSUS_REPLICA,
         "if frame.digests_since and frame.digests_since not in digests:",
         "if False:",
     ),
     orders(
-        "to each member go the digests above its own base",
+        "each member is sent the digests above its own base",
         REPAIR,
         "since = promise.base if promise is not None else 0",
         "since = promise.revision if promise is not None else 0",
     ),
     orders(
-        "a member that takes a view up keeps its own digests",
+        "a member that accepts a view keeps its own digests",
         CONSENSUS_REPLICA,
         "digests = deduplication.merge(digests, frame.digests_since, deduplication.unpack(frame.applied_digests))",
         "digests = deduplication.unpack(frame.applied_digests)",
     ),
     orders(
-        "an edge node passes on what it can't read",
+        "an edge node forwards a body that it can't read",
         CONTROL,
         "        # The head judges whether it is valid",
         '        if not message.body.startswith(b"\\xa4"):\n'
         '            raise BadRequestError(400, "no configuration")\n'
         "        # The head judges whether it is valid",
     ),
-    orders("an edge node refuses a base that is no number", CONTROL, "or not given[0].isdigit()", ""),
+    orders("an edge node rejects a base that is not a number", CONTROL, "or not given[0].isdigit()", ""),
     orders(
-        "or none that a version can have",
+        "an edge node rejects a base above the highest revision",
         CONTROL,
         "len(given[0]) > 19 or int(given[0]) > MAX_REVISION:",
         "len(given[0]) > 19:",
     ),
     orders(
-        "any that a version can have is passed on",
+        "an edge node forwards any base up to the highest revision",
         CONTROL,
         "len(given[0]) > 19 or int(given[0]) > MAX_REVISION:",
         "len(given[0]) > 18:",
     ),
     orders(
-        "a call is sent again until its caller goes on",
+        "a call is resent until its timeout",
         CONTROL,
         "        self.loop.call_later(\n"
         "            min(RESEND_INTERVAL_S, max(call.deadline_s - self.loop.time(), 0.001)), self.send_pending, name\n"
         "        )\n",
         "",
     ),
-    orders("and then answered 503", CONTROL, "        if self.loop.time() >= call.deadline_s:", "        if False:"),
     orders(
-        "valid: whole CBOR",
+        "a call gets 503 after its timeout",
+        CONTROL,
+        "        if self.loop.time() >= call.deadline_s:",
+        "        if False:",
+    ),
+    orders(
+        "valid: well-formed CBOR",
         CONFIGURATION,
         '    except Exception as err:  # noqa: BLE001 (the decoder raises what it likes on hostile bytes)\n        raise InvalidConfigurationError(f"no CBOR: {err}") from None\n',
         '    except Exception:\n        value = {"revision": 99, "channels": [], "plants": []}\n'
         "        stream.seek(0, 2)\n",
     ),
-    orders("valid: nothing behind the item", CONFIGURATION, "if stream.tell() != len(body):", "if False:"),
-    orders("valid: no key twice", CONFIGURATION, "allow_duplicate_keys=committed)", "allow_duplicate_keys=True)"),
+    orders("valid: no data after the item", CONFIGURATION, "if stream.tell() != len(body):", "if False:"),
+    orders("valid: no duplicate key", CONFIGURATION, "allow_duplicate_keys=committed)", "allow_duplicate_keys=True)"),
     orders(
-        "what was committed with a key twice is read",
+        "a committed configuration with a duplicate key is read",
         CONFIGURATION,
         "return convert(decode(body, committed=True))",
         "return convert(decode(body))",
     ),
     orders(
-        "what was committed is not checked again",
+        "a committed configuration is not validated again",
         CONFIGURATION,
         "return convert(decode(body, committed=True))",
         "return read(body)",
     ),
     orders(
-        "valid: a revision that fits",
+        "valid: a revision up to the highest one",
         CONFIGURATION,
         "if not 0 < configuration.revision <= MAX_REVISION:",
         "if not 0 < configuration.revision:",
@@ -325,33 +343,38 @@
         "if not configuration.revision <= MAX_REVISION:",
     ),
     orders(
-        "valid: constraints that are numbers above 0",
+        "valid: constraints above 0",
         CONFIGURATION,
         "if not all(\n        0 < figure < math.inf\n        for figure in",
         "if not all(True for figure in",
     ),
     orders(
-        "valid: byte limits that fit",
+        "valid: byte limits within the range of an integer",
         CONFIGURATION,
         "if max(limits.header_max_bytes, limits.body_max_bytes) > MAX_INTEGER:",
         "if False:",
     ),
     orders(
-        "valid: no two services of one label",
+        "valid: no two services with the same label",
         CONFIGURATION,
         "if len(services) != len(configuration.services):",
         "if False:",
     ),
-    orders("valid: no two routes at one place", CONFIGURATION, "        if place in places:", "        if False:"),
     orders(
-        "places are compared as requests are matched",
+        "valid: no two routes for the same host and prefix",
+        CONFIGURATION,
+        "        if place in places:",
+        "        if False:",
+    ),
+    orders(
+        "routes are compared as requests are matched",
         CONFIGURATION,
         "place = (host_name(channel.host), channel.prefix)",
         "place = (channel.host, channel.prefix)",
     ),
     orders("valid: a host", CONFIGURATION, "if not host_name(channel.host):", "if not channel.host:"),
     orders(
-        "valid: a prefix between slashes",
+        "valid: a prefix that begins and ends with a slash",
         CONFIGURATION,
         'if not (channel.prefix.startswith("/") and channel.prefix.endswith("/")):',
         "if False:",
@@ -363,25 +386,25 @@
         "if not 0 <= channel.timeout_ms < 1e9 or",
     ),
     orders(
-        "valid: numbers of tries and ranks that can be written",
+        "valid: tries and ranks within the range of an integer",
         CONFIGURATION,
         "if not (0 <= channel.tries <= MAX_INTEGER and 0 <= channel.rank <= MAX_INTEGER):",
         "if channel.tries < 0 or channel.rank < 0:",
     ),
     orders(
-        "valid: either a service or shares",
+        "valid: either a service or an allocation",
         CONFIGURATION,
         "if (channel.service is None) == (not channel.allocation):",
         "if False:",
     ),
-    orders("valid: services that there are", CONFIGURATION, "if unknown := named - services:", "if unknown := set():"),
+    orders("valid: only services that exist", CONFIGURATION, "if unknown := named - services:", "if unknown := set():"),
     orders(
-        "valid: weights that add up to more than 0",
+        "valid: weights with a sum above 0",
         CONFIGURATION,
         "or not 0 < total < math.inf:",
         "or not total < math.inf:",
     ),
-    orders("valid: weights whose sum is a number", CONFIGURATION, "or not 0 < total < math.inf:", "or not 0 < total:"),
+    orders("valid: weights with a finite sum", CONFIGURATION, "or not 0 < total < math.inf:", "or not 0 < total:"),
     orders(
         "valid: no weight below 0",
         CONFIGURATION,
@@ -389,20 +412,20 @@
         "if",
     ),
     orders(
-        "a host is matched without its port and in any case",
+        "a host is matched without its port and ignoring case",
         ROUTING,
         "self.routes.setdefault(host_name(channel.host), {})",
         "self.routes.setdefault(channel.host, {})",
     ),
     orders(
-        "a new service's balancer knows its servers at once",
+        "the balancer of a new service knows its servers immediately",
         GATE,
         "                self.notify_servers(service)\n            elif",
         "            elif",
         ROUTES,
     ),
     orders(
-        "servers that are listed later reach the balancer",
+        "servers listed later reach the balancer",
         GATE,
         "        for service in touched:\n            self.notify_servers(service)\n",
         "",
@@ -416,27 +439,27 @@
         ROUTES,
     ),
     orders(
-        "an older version is not taken",
+        "an older version is not applied",
         CONFIGURATION_REPLICA,
         "        if revision <= self.revision:\n            return\n        before",
         "        before",
         ROUTES,
     ),
     orders(
-        "nor asked for",
+        "an older version is not requested",
         CONFIGURATION_REPLICA,
         "if revision <= self.revision or revision < self.newest[0]:",
         "if False:",
         ROUTES,
     ),
     orders(
-        "while members judge by two versions of the check nothing is said to be invalid",
+        "nothing is rejected as invalid while members use two check versions",
         CONSENSUS_REPLICA,
         "if result.status == INVALID and not self.checks_agree():",
         "if False:",
     ),
     orders(
-        "all members count for that",
+        "the check versions of all members count",
         CONSENSUS_REPLICA,
         "return view is None or all(\n"
         "            self.peer_check_versions.get(ip_of(name), self.check_version) == self.check_version for name in view.group\n"
@@ -444,19 +467,19 @@
         "return True",
     ),
     orders(
-        "members only",
+        "only the check versions of members count",
         CONSENSUS_REPLICA,
         "self.check_version for name in view.group\n",
         "self.check_version\n            for name in [*view.group, *self.peer_check_versions]\n",
     ),
     orders(
-        "a pulse tells the version of the check",
+        "a heartbeat reports the check version",
         CONSENSUS_REPLICA,
         "1 + 2 * self.check_version if self.offers_disk(now_s) else 0,",
         "int(self.offers_disk(now_s)),",
     ),
     orders(
-        "which stays known of a disk in trouble",
+        "the check version of a member with a failed disk stays known",
         CONSENSUS_REPLICA,
         "        if frame.disk_flags:\n            self.peer_check_versions[ip]",
         "        if True:\n            self.peer_check_versions[ip]",
