--- a/cypressbeam/storage/store.py
+++ b/cypressbeam/storage/store.py
@@ -1,4 +1,4 @@
-"""The state on disk: the view and the entries of the chain, in a SQLite database with a thread of its own.
+"""The state on disk: the view and the entries of the chain, in a SQLite database (`sqlite3`) with its own thread.
 
 Every transaction is synced. What a power failure may leave on disk, and how it is handled: docs/design/disk.md.
 """
@@ -136,8 +136,8 @@
         while (task := self.work.get()) is not None:
             task()
 
-    async def run(self, operation: Callable[[Any], T], anew: bool = False) -> T:
-        """Run an operation on the database in the store's thread, with `anew` on an empty one. Raises StoreError."""
+    async def run(self, operation: Callable[[Any], T], reset: bool = False) -> T:
+        """Run an operation on the database in the store's thread, with `reset` on an empty one. Raises StoreError."""
         loop = asyncio.get_running_loop()
         future: asyncio.Future[T] = loop.create_future()
 
@@ -152,7 +152,7 @@
         def task() -> None:
             value, error = None, None
             try:
-                value = self._run(operation, anew)
+                value = self._run(operation, reset)
             except BaseException as err:  # noqa: BLE001 (raised again for the caller)
                 error = err
             with contextlib.suppress(RuntimeError):  # the event loop is closed, so nothing waits for the result
@@ -161,9 +161,9 @@
         self.work.put(task)
         return await future
 
-    def _run(self, operation: Callable[[Any], T], anew: bool) -> T:
+    def _run(self, operation: Callable[[Any], T], reset: bool) -> T:
         try:
-            if anew:
+            if reset:
                 self._set_aside()
             if self.database is None:
                 self.database = self._open()
@@ -252,7 +252,7 @@
             loaded = await self.run(read_all, anew)
         except CorruptStateError as err:
             log.error("state corrupt: %s", err)
-            loaded = await self.run(read_all, anew=True)
+            loaded = await self.run(read_all, reset=True)
         self.stored_marks, self.staged_marks = dict(loaded.reported_marks), dict(loaded.reported_marks)
         self.pending_marks = loaded.pending_marks if loaded.pending_marks != loaded.durable_marks else None
         return loaded
--- a/lab/rules_core.py
+++ b/lab/rules_core.py
@@ -710,7 +710,7 @@
     disk(
         "what is no state is set aside",
         STORE,
-        "            loaded = await self.run(read_all, anew=True)\n",
+        "            loaded = await self.run(read_all, reset=True)\n",
         "            raise\n",
     ),
     disk(
