--- a/lab/rules_core.py
+++ b/lab/rules_core.py
@@ -22,10 +22,10 @@
     "tests/test_core_rules.py",
     "tests/test_chain_rules.py",
     "tests/test_chain.py",
-    "tests/test_agreement.py::test_a_member_that_waits_for_the_others_hears_them_at_once",
-    "tests/test_agreement.py::test_a_head_names_the_version_in_force_only_once_others_have_confirmed_its_epoch",
-    "tests/test_agreement.py::test_what_others_confirmed_of_an_epoch_does_not_count_in_the_next",
-    "tests/test_agreement.py::test_a_call_does_not_go_round_between_two_that_hold_each_other_for_the_head",
+    "tests/test_agreement.py::test_a_heartbeat_is_echoed_immediately",
+    "tests/test_agreement.py::test_a_head_rejects_a_write_only_after_a_majority_has_confirmed_its_epoch",
+    "tests/test_agreement.py::test_confirmations_of_an_epoch_do_not_count_in_the_next",
+    "tests/test_agreement.py::test_a_request_is_not_forwarded_endlessly_between_two_machines",
     "tests/test_contact.py::test_one_that_was_frozen_for_20_s_leads_nothing_answers_nothing_and_resigns",
     "tests/test_contact.py::test_after_a_short_stall_the_root_stays_it_and_answers_only_once_it_is_echoed",
     "tests/test_contact.py::test_a_root_that_is_cut_off_is_it_for_no_longer_than_its_bound",
@@ -353,7 +353,7 @@
     state(
         "a machine that hears of a newer view drops its proposal",
         CONSENSUS_REPLICA,
-        "        self.proposer.proposal = None  # it was to follow on another view, and its majority is that of another group\n",
+        "        self.proposer.proposal = None  # it was based on the previous view, whose group may have another majority\n",
         "",
     ),
     state(
@@ -679,16 +679,18 @@
     disk(
         "each start raises the incarnation",
         STORE,
-        "own.incarnation + 1, secrets.randbits(INCARNATION_ID_BITS))",
-        "        own.incarnation, own.incarnation_id)",
+        "durable_marks.incarnation + 1, secrets.randbits(INCARNATION_ID_BITS))",
+        "        durable_marks.incarnation, durable_marks.incarnation_id)",
     ),
     disk(
         "with the first write",
         STORE,
-        "            if raised is not None:\n                database.executemany",
+        "            if pending_marks is not None:\n                database.executemany",
         "            if False:\n                database.executemany",
     ),
-    disk("what others told goes to disk", STORE, 'if packed != (held[0] if held is not None else ""):', "if False:"),
+    disk(
+        "what others told goes to disk", STORE, 'if packed != (stored[0] if stored is not None else ""):', "if False:"
+    ),
     disk(
         "by itself too, but for numbers of entries",
         STORE,
@@ -708,30 +710,31 @@
     disk(
         "what is no state is set aside",
         STORE,
-        "            found = await self.run(read_all, anew=True)\n",
+        "            loaded = await self.run(read_all, reset=True)\n",
         "            raise\n",
     ),
     disk(
         "under a name that is free",
         STORE,
-        "aside = next((name for name in names if not name.exists()), names[-1])",
-        "aside = names[0]",
+        "aside = next((path for path in paths if not path.exists()), paths[-1])",
+        "aside = paths[0]",
     ),
     disk(
         "the database first, then its log",
         STORE,
         "            files.replace_file(self.path, aside)\n"
         "            files.sync_folder(self.path.parent)\n"
-        "            self._move_beside(aside)\n",
-        "            self._move_beside(aside)\n"
+        "            self._move_companions(aside)\n",
+        "            self._move_companions(aside)\n"
         "            files.replace_file(self.path, aside)\n"
         "            files.sync_folder(self.path.parent)\n",
     ),
     disk(
         "a log that was left beside is not the new database's",
         STORE,
-        "            self._move_beside(next((name for name in reversed(self._asides()) if "
-        "name.exists()), self._asides()[0]))\n",
+        "            self._move_companions(\n"
+        "                next((path for path in reversed(self._aside_paths()) if path.exists()), self._aside_paths()[0])\n"
+        "            )\n",
         "            pass\n",
     ),
     disk(
@@ -743,7 +746,7 @@
     disk(
         "a refused write closes the database",
         STORE,
-        "            self._shut()\n            if isinstance(err, CorruptStateError)",
+        "            self._close_database()\n            if isinstance(err, CorruptStateError)",
         "            if isinstance(err, CorruptStateError)",
     ),
     disk("the last three bodies are kept", STORE, "(entry.number - BODIES_KEPT,))", "(entry.number,))"),
