--- a/cypressbeam/consensus/quorum_loss.py
+++ b/cypressbeam/consensus/quorum_loss.py
@@ -164,14 +164,14 @@
             logging.WARNING, f"a majority of the core is available again, after {now_s - self.lost_s:.0f} s"
         )
 
-    def silences(self) -> tuple[str, ...]:
+    def missing_durations(self) -> tuple[str, ...]:
         """During a reported loss, a line "address seconds" for each missing member, as sent in the machine's status."""
         if self.loss is None:
             return ()
         return tuple(f"{member.ip} {member.for_s:.0f}" for member in self.loss.missing if member.for_s is not None)
 
 
-def parse_silences(lines: Collection[str]) -> dict[str, float]:
+def parse_missing_durations(lines: Collection[str]) -> dict[str, float]:
     """Parse lines "address seconds" into seconds by address; malformed lines are ignored."""
     words = [line.split(" ") for line in lines]
     return {pair[0]: float(pair[1]) for pair in words if len(pair) == 2 and pair[1].isdecimal()}
--- a/cypressbeam/consensus/replica.py
+++ b/cypressbeam/consensus/replica.py
@@ -51,7 +51,7 @@
 #: Statuses that assert which version is current; whether a body is invalid also depends on the program's version.
 INVALID = 400
 PRECONDITION_FAILED = 412
-REFUSALS = (INVALID, PRECONDITION_FAILED)
+REJECTION_STATUSES = (INVALID, PRECONDITION_FAILED)
 UNAVAILABLE = 503
 
 #: Requests that a replica may forward to the one responsible.
@@ -99,7 +99,9 @@
 
     # -- start ---------------------------------------------------------------------------------------------
 
-    def remember(self, durable: HighWaterMarks, pending: HighWaterMarks, reported: dict[str, HighWaterMarks]) -> None:
+    def restore_marks(
+        self, durable: HighWaterMarks, pending: HighWaterMarks, reported: dict[str, HighWaterMarks]
+    ) -> None:
         """Restore the incarnation on disk, the one that the first write stores, and the marks that other members have
         reported. Called before `load`."""
         self.rollback.durable, self.rollback.pending, self.rollback.reported = durable, pending, reported
@@ -421,7 +423,7 @@
         """Send the result of a write; a rejection only once a majority has confirmed the epoch."""
         if result.status == INVALID and not self.checks_agree():
             return [SendMessage(ip, replace(result, status=UNAVAILABLE, text=f"for now: {result.text}"))]
-        if result.status in REFUSALS:
+        if result.status in REJECTION_STATUSES:
             return self.reads.begin(result.request_id, ip, result, now_s)
         return [SendMessage(ip, result)]
 
--- a/cypressbeam/node/core_machine.py
+++ b/cypressbeam/node/core_machine.py
@@ -136,7 +136,7 @@
         self.replacement = ReplacementManager(self.membership, settings.replace_after_s)
         self.dispatcher = Dispatcher(replica)
         self.dispatcher.add_membership(self.membership, self.replacement)
-        replica.remember(loaded.durable_marks, loaded.pending_marks, loaded.reported_marks)
+        replica.restore_marks(loaded.durable_marks, loaded.pending_marks, loaded.reported_marks)
         self.marks_saved_s = self.loop.time()
         if loaded.view is not None:
             log.info("view %d loaded: chain %s", loaded.view.epoch, " ".join(loaded.view.chain))
@@ -376,7 +376,7 @@
     ) -> Sequence[Effect]:
         """What this machine holds and whom it hears, for an operator."""
         spares = replacement.describe(frame.request_id, now_s)
-        silent = self.quorum_monitor.silences() or spares.silent_members
+        silent = self.quorum_monitor.missing_durations() or spares.silent_members
         return [
             SendMessage(frame.origin, replace(spares, silent_members=silent)),
             SendMessage(frame.origin, replica.status(frame.request_id, now_s)),
--- a/cypressbeam/node/gateway_node.py
+++ b/cypressbeam/node/gateway_node.py
@@ -197,7 +197,7 @@
         await leaving
         if self.core is not None:
             self.core.close()
-            if not await self.core.store.closed(DISK_CLOSE_TIMEOUT_S):
+            if not await self.core.store.wait_closed(DISK_CLOSE_TIMEOUT_S):
                 log.error("disk close timed out: exiting anyway")
         self.failure_detector.close()
         self.peers.close()
--- a/cypressbeam/node/state_query.py
+++ b/cypressbeam/node/state_query.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from cypressbeam.consensus.quorum_loss import detect, parse_silences
+from cypressbeam.consensus.quorum_loss import detect, parse_missing_durations
 from cypressbeam.consensus.views import ip_of
 from cypressbeam.protocol import frames
 from cypressbeam.proxy.frontend import ClientConnection
@@ -126,7 +126,7 @@
         means and what to do. Where nobody answers, of the machines that were asked."""
         group = newest.group if newest is not None else tuple(query.queried)
         alive = {ip: state.name for ip, state in query.answers.items()}
-        silent_s = parse_silences(query.silent_members)
+        silent_s = parse_missing_durations(query.silent_members)
         if not any(state.flags & frames.IS_ROOT for state in query.answers.values()):
             alive = {ip: name for ip, name in alive.items() if ip not in silent_s}
         loss = detect(group, alive, silent_s)
--- a/cypressbeam/storage/store.py
+++ b/cypressbeam/storage/store.py
@@ -76,8 +76,8 @@
     """Durable state of a machine. A write survives a power failure once its call has returned. The calls that access
     the disk raise StoreError."""
 
-    async def load(self, anew: bool = False) -> LoadedState:
-        """Read the state from disk. With `anew`, start with an empty one and keep the previous files under another
+    async def load(self, reset: bool = False) -> LoadedState:
+        """Read the state from disk. With `reset`, start with an empty one and keep the previous files under another
         name."""
 
     async def save_promise(self, epoch: int) -> None:
@@ -101,7 +101,7 @@
     def close(self) -> None:
         """Start closing; pending operations complete first."""
 
-    async def closed(self, wait_s: float) -> bool:
+    async def wait_closed(self, wait_s: float) -> bool:
         """Wait until all pending operations have completed, for at most `wait_s`, since a disk may hang for seconds;
         returns whether they have."""
 
@@ -246,10 +246,10 @@
             self._move_companions(aside)
             log.error("%s is kept as %s; this machine continues with an empty state", self.path.name, aside.name)
 
-    async def load(self, anew: bool = False) -> LoadedState:
+    async def load(self, reset: bool = False) -> LoadedState:
         """Read the state; a corrupt database is set aside as well."""
         try:
-            loaded = await self.run(read_all, anew)
+            loaded = await self.run(read_all, reset)
         except CorruptStateError as err:
             log.error("state corrupt: %s", err)
             loaded = await self.run(read_all, reset=True)
@@ -326,7 +326,7 @@
         self.work.put(self._close_database)
         self.work.put(None)
 
-    async def closed(self, wait_s: float) -> bool:
+    async def wait_closed(self, wait_s: float) -> bool:
         """Wait for the thread to end, for at most `wait_s`; returns whether it has."""
         deadline_s = asyncio.get_running_loop().time() + wait_s
         while self.thread.is_alive() and asyncio.get_running_loop().time() < deadline_s:
--- a/lab/disk_power_loss.py
+++ b/lab/disk_power_loss.py
@@ -373,7 +373,7 @@
     await life.call(store.load(), lambda kept: kept)
     await promise(768)
     await put(18, 512)
-    await life.call(store.load(anew=True), lambda kept: Kept())
+    await life.call(store.load(reset=True), lambda kept: Kept())
     await promise(1024)
     await hold(1024, entry(1, 1024))
     store.close()
--- a/lab/histories/simulated_core.py
+++ b/lab/histories/simulated_core.py
@@ -23,7 +23,7 @@
 from cypressbeam.consensus.failure_detection import FAILURE_TIMEOUT_S, LEADER_CONTACT_GRACE_S
 from cypressbeam.consensus.high_water_marks import HighWaterMarks
 from cypressbeam.consensus.quorum_reads import CONFIRMATION_TIMEOUT_S
-from cypressbeam.consensus.replica import REFUSALS, Replica
+from cypressbeam.consensus.replica import REJECTION_STATUSES, Replica
 from cypressbeam.consensus.views import Entry, View, ip_of, majority
 from cypressbeam.protocol import frames
 from lab.histories.disks import Copies, Disk
@@ -127,7 +127,7 @@
         self.network.bodies[ip] = {disk.last.body: 0.0} if disk.last is not None else {}
         replica = self.replicas[ip] = Replica(disk.name, self.copies, revision, digest, self.rng.random)
         self.dispatchers[ip] = Dispatcher(replica)
-        replica.remember(disk.own, HighWaterMarks(disk.own.incarnation + 1, self.lives[ip]), dict(disk.marks))
+        replica.restore_marks(disk.own, HighWaterMarks(disk.own.incarnation + 1, self.lives[ip]), dict(disk.marks))
         self.execute(ip, replica.load(disk.view, disk.promised, disk.last, dict(disk.taken), self.now_s))
         self.at(TICK_S, "tick", ip, self.lives[ip])
 
@@ -249,7 +249,9 @@
 
     def may_answer(self, ip: str, frame: frames.Frame) -> None:
         """What is in force is told only by a machine in contact with a majority."""
-        if isinstance(frame, frames.ReadResult) or (isinstance(frame, frames.WriteResult) and frame.status in REFUSALS):
+        if isinstance(frame, frames.ReadResult) or (
+            isinstance(frame, frames.WriteResult) and frame.status in REJECTION_STATUSES
+        ):
             demand(self.alone_s(ip) <= ANSWER_BOUND_S + LEEWAY_S, f"{ip} answers after {self.alone_s(ip):.3f} s alone")
 
     def speak(self, ip: str) -> None:
--- a/lab/rules_orders.py
+++ b/lab/rules_orders.py
@@ -189,14 +189,14 @@
     orders(
         "a rejection waits for the confirmation of a majority",
         CONSENSUS_REPLICA,
-        "if result.status in REFUSALS:",
+        "if result.status in REJECTION_STATUSES:",
         "if False:",
     ),
     orders(
         "both kinds of rejection wait for it",
         CONSENSUS_REPLICA,
-        "REFUSALS = (INVALID, PRECONDITION_FAILED)",
-        "REFUSALS = (PRECONDITION_FAILED,)",
+        "REJECTION_STATUSES = (INVALID, PRECONDITION_FAILED)",
+        "REJECTION_STATUSES = (PRECONDITION_FAILED,)",
     ),
     orders("the text of a result fits into its frame", CHAIN, "text[:MAX_RESULT_TEXT]", "text"),
     orders(
--- a/lab/simulation/disk.py
+++ b/lab/simulation/disk.py
@@ -25,13 +25,13 @@
         self.raised = HighWaterMarks()
         self.noted: dict[str, HighWaterMarks] = {}
 
-    async def load(self, anew: bool = False) -> LoadedState:
-        """What is on the disk; with `anew` an empty one under another identity."""
+    async def load(self, reset: bool = False) -> LoadedState:
+        """What is on the disk; with `reset` an empty one under another identity."""
         hangs_s, self.hangs_s = self.hangs_s, 0.0
         if hangs_s:
             await asyncio.sleep(hangs_s)
         self.starts += 1
-        if anew:
+        if reset:
             self.kept = LoadedState(f"{self.kept.identity}.{self.starts}", 0, None, None, {})
         self.raised, self.noted = (
             HighWaterMarks(self.kept.durable_marks.incarnation + 1, self.starts),
@@ -76,6 +76,6 @@
     def close(self) -> None:
         """Nothing is open."""
 
-    async def closed(self, wait_s: float) -> bool:
+    async def wait_closed(self, wait_s: float) -> bool:
         """All writes are done."""
         return True
--- a/tests/golden_state.py
+++ b/tests/golden_state.py
@@ -25,7 +25,7 @@
 async def close(store: SqliteStore) -> None:
     """Close a store and wait until its thread has closed the file."""
     store.close()
-    assert await store.closed(CLOSE_S)
+    assert await store.wait_closed(CLOSE_S)
 
 
 async def load(folder: Path) -> LoadedState:
--- a/tests/test_disk_rules.py
+++ b/tests/test_disk_rules.py
@@ -127,7 +127,7 @@
 
 def test_only_what_is_on_disk_is_told() -> None:
     replica = Replica("a/0", 2, invariants.revision, invariants.digest, lambda: 0.5)
-    replica.remember(HighWaterMarks(1, 5), HighWaterMarks(2, 6), {})
+    replica.restore_marks(HighWaterMarks(1, 5), HighWaterMarks(2, 6), {})
     replica.load(VIEW, 256, None, {}, 0.0)
     assert replica.on_prepare(frames.Prepare(1024, "b/0"), 0.0)
     pulses = [replica.own_heartbeat(0.0)]
--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -113,11 +113,11 @@
         loading = asyncio.ensure_future(store.load())
         await asyncio.sleep(0)
         store.close()
-        assert not await store.closed(0.05) and store.thread.daemon
+        assert not await store.wait_closed(0.05) and store.thread.daemon
         released.set()
         with pytest.raises(StoreError, match="disk I/O error"):
             await loading
-        assert await store.closed(2.0)
+        assert await store.wait_closed(2.0)
 
     asyncio.run(scenario())
 
@@ -131,11 +131,11 @@
     failures_left = 0
     corrupt = False
 
-    async def load(self, anew: bool = False) -> LoadedState:
+    async def load(self, reset: bool = False) -> LoadedState:
         self.failures_left -= 1
         if self.failures_left >= 0:
             raise StoreError("state.db: disk I/O error")
-        return await super().load(anew)
+        return await super().load(reset)
 
     async def save_entry(self, entry: Entry) -> None:
         if self.corrupt:
--- a/tests/test_quorum_loss.py
+++ b/tests/test_quorum_loss.py
@@ -15,7 +15,14 @@
 import pytest
 
 from cypressbeam.admin import backup, config_calls, errors, membership, status
-from cypressbeam.consensus.quorum_loss import RUNBOOK, RUNBOOK_SECTION, Absence, QuorumMonitor, detect, parse_silences
+from cypressbeam.consensus.quorum_loss import (
+    RUNBOOK,
+    RUNBOOK_SECTION,
+    Absence,
+    QuorumMonitor,
+    detect,
+    parse_missing_durations,
+)
 from cypressbeam.proxy.http_responses import Answer
 from lab import repair
 from lab.local_cluster import demo_configuration
@@ -83,11 +90,13 @@
     monitor = QuorumMonitor()
     assert reports(monitor, alive(*ABC), 0.0, 1.0) == []
     assert reports(monitor, alive(*ABC[:2]), 1.0, 20.0) == []  # one missing member is tolerated indefinitely
-    assert reports(monitor, alive(ABC[0]), 20.0, 24.9) == [] and monitor.silences() == ()
+    assert reports(monitor, alive(ABC[0]), 20.0, 24.9) == [] and monitor.missing_durations() == ()
     assert reports(monitor, alive(*ABC[:2]), 24.9, 25.0) == []  # back before the report was due
     assert reports(monitor, alive(ABC[0]), 25.0, 95.0) == [(30.0, logging.ERROR), (90.0, logging.ERROR)]
-    assert parse_silences(monitor.silences()) == {"10.0.0.2": 70.0, "10.0.0.3": 94.0}
-    assert reports(monitor, alive(*ABC[1:]), 95.0, 96.0) == [(95.0, logging.WARNING)] and monitor.silences() == ()
+    assert parse_missing_durations(monitor.missing_durations()) == {"10.0.0.2": 70.0, "10.0.0.3": 94.0}
+    assert (
+        reports(monitor, alive(*ABC[1:]), 95.0, 96.0) == [(95.0, logging.WARNING)] and monitor.missing_durations() == ()
+    )
 
 
 def test_a_pause_restarts_the_delay_and_a_machine_outside_the_group_reports_nothing() -> None:
@@ -96,7 +105,7 @@
     assert reports(monitor, alive(ABC[0]), 30.0, 34.9) == []
     assert reports(monitor, alive(ABC[0]), 34.9, 36.0) == [(35.0, logging.ERROR)]
     assert reports(QuorumMonitor(), {}, 0.0, 60.0, group=()) == []
-    assert parse_silences(("10.0.0.1 7", "10.0.0.2", "10.0.0.3 x", "")) == {"10.0.0.1": 7.0}
+    assert parse_missing_durations(("10.0.0.1 7", "10.0.0.2", "10.0.0.3 x", "")) == {"10.0.0.1": 7.0}
 
 
 async def lose_two_disks_and_start_anew(cluster: repair.Core, identities: tuple[str, str]) -> list[Absence]:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -158,7 +158,7 @@
         store = SqliteStore(tmp_path)
         names = set()
         for number in range(11):
-            loaded = await store.load(anew=number > 0)
+            loaded = await store.load(reset=number > 0)
             names.add(loaded.identity)
             await store.save_promise(256 + number)
             await store.save_entry(entry(number + 1))
