--- a/cypressbeam/distribution/configuration_replica.py
+++ b/cypressbeam/distribution/configuration_replica.py
@@ -183,7 +183,7 @@
             log.warning("node %s: an update of %d bytes for %d", link.ip, len(frame.data), len(frame.digest))
             link.close()
         elif not self.fence.rejects(link, frame.epoch) and self.should_fetch(frame.revision, frame.digest):
-            body = self.fetcher.open_brief(frame.digest, frame.base_digest, frame.data)
+            body = self.fetcher.apply_inline_delta(frame.digest, frame.base_digest, frame.data)
             if body is None:
                 self.fetch(link.ip)
             else:
--- a/cypressbeam/transport/__init__.py
+++ b/cypressbeam/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Connections between nodes, and the transfer of configuration bodies beside them."""
+"""Connections between nodes, and the transfer of configuration bodies over them."""
--- a/cypressbeam/transport/blobs/__init__.py
+++ b/cypressbeam/transport/blobs/__init__.py
@@ -1,15 +1,15 @@
-"""Blob transfer: bodies of configurations between nodes, by their digests (docs/design/news.md).
+"""Blob transfer: configuration bodies between nodes, addressed by digest (docs/design/news.md).
 
-Messages name a body by its digest; a node that lacks it fetches it from the one that named it, over a connection
-beside the one for messages, so nothing small waits behind it. It comes packed (delta.py), in chunks that the fetching
-side asks for a window at a time: so a thin link never holds more than a window of it. The handing side spaces its
-chunks by its own link.
+Messages refer to a body by its digest. A node that does not have it fetches it from the sender of the message, over a
+separate connection so that messages never queue behind it. Bodies are delta-encoded (delta.py) and sent in chunks. The
+receiver requests one window at a time, so a slow link never has more than a window in flight; the sender paces its
+chunks by the rate of its own link.
 
-| module | what it holds |
+| module | contents |
 | --- | --- |
-| `link` | what is needed of connections; shares of the link |
-| `store` | the bodies that are here |
-| `fetcher` | those on their way here |
-| `server` | those on their way to others |
-| `transfer` | the three, joined |
+| `link` | interfaces of the connections, and how much of the link's rate transfers use |
+| `store` | the bodies that the node holds |
+| `fetcher` | incoming transfers |
+| `server` | outgoing transfers |
+| `transfer` | combines the three |
 """
--- a/cypressbeam/transport/blobs/transfer.py
+++ b/cypressbeam/transport/blobs/transfer.py
@@ -1,4 +1,4 @@
-"""The blob transfer of one node: joins what it holds, what it fetches and what it hands out."""
+"""The blob transfer of one node: combines the store, incoming and outgoing transfers."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class BlobTransfer:
-    """Its parts, and the messages that go to each."""
+    """The components of the blob transfer, and the handlers of its messages."""
 
     def __init__(self, connections: Connections, link_mbps: float, shared: bool) -> None:
-        """`shared`: the link also carries clients' requests."""
-        rate = LinkRate.of(link_mbps, shared)
+        """`shared` says whether the network link also carries client traffic."""
+        rate = LinkRate.from_link(link_mbps, shared)
         self.store = BlobStore(MAX_BLOBS if shared else MAX_BLOBS_CORE)
         self.fetcher = Fetcher(connections, self.store, rate.window_bytes, lambda: self.server.pump())
         self.server = ChunkServer(self.store, self.fetcher, rate)
@@ -28,6 +28,6 @@
         }
 
     def link_lost(self, link: Connection) -> None:
-        """A connection is over."""
+        """Drop what belongs to a closed connection."""
         self.server.link_lost(link)
         self.fetcher.link_lost(link)
--- a/cypressbeam/transport/peers.py
+++ b/cypressbeam/transport/peers.py
@@ -1,5 +1,8 @@
-"""Connections between nodes: frames over TCP, one connection out to each node that is written to, and one more for the
-slices of bodies, so that no frame waits behind them."""
+"""Frame connections between nodes over TCP.
+
+A node opens one outbound connection for messages to each node that it writes to, and a second one for chunks of blobs,
+so that messages never queue behind bulk data.
+"""
 
 from __future__ import annotations
 
@@ -14,28 +17,30 @@
 
 log = logging.getLogger(__name__)
 
-#: A machine without power stays silent, and the kernel goes on sending to it, ever more seldom. Whoever has written to
-#: one and heard nothing of it for so long opens a new connection for what comes next.
+#: A connection whose peer has sent nothing for this long since the first unanswered write is replaced on the next send.
+#: The kernel retransmits to a powered-off machine with growing intervals, so waiting for TCP takes much longer.
 SILENCE_TIMEOUT_S = 1.5
-#: A connect that gets no answer is given up after the first of these, and later ones after longer, up to the last: a
-#: machine without power is tried again soon, one behind a full link has the time it needs.
+#: Initial and maximum timeout of a connect. It doubles with each failure: a powered-off machine is retried soon, and
+#: one behind a saturated link gets the time it needs.
 CONNECT_TIMEOUT_S = (0.4, 1.6)
-#: One for bodies is waited for longer: at a full link the answer takes seconds, and a fetch goes elsewhere by itself.
+#: Connect timeout of bulk connections. On a saturated link the handshake takes seconds, and a stalled fetch switches to
+#: another source by itself.
 BULK_CONNECT_TIMEOUT_S = 4.0
-#: One that has not come up after so long is begun anew when its machine is heard: it runs by now.
+#: A connect that has been pending for at least this long is restarted when another connection with the same node
+#: succeeds, because that node is running by then.
 CONNECT_RESTART_AFTER_S = 0.05
-#: A connect that hangs is joined by another one after so long, and again: the first packet of one that was begun before
-#: its machine had power is sent again only after a second, and then after two more. One that is waited for longer is
-#: joined by a few in all.
-PROBE_INTERVAL_S, MAX_BULK_PROBES = 0.2, 5
-#: The two connections out to a node.
+#: Interval at which parallel connect attempts are added while a connect is pending. If the machine was off when the
+#: first SYN was sent, the kernel retransmits it only after 1 s and then after 2 s more. Bulk connects, which have the
+#: longer timeout, are limited to `MAX_BULK_ATTEMPTS`.
+ATTEMPT_INTERVAL_S, MAX_BULK_ATTEMPTS = 0.2, 5
+#: The two outbound connections to a node: messages, and chunks of blobs.
 CONTROL_LANE, BULK_LANE = 0, 1
-#: Bytes that may wait for a peer that does not read.
+#: Limit of the write buffer of one connection; a peer that lets it grow beyond this is disconnected.
 MAX_UNWRITTEN_BYTES = 8 * 1024 * 1024
 
 
 class Link(asyncio.Protocol):
-    """One connection to another node, either way. Frames sent before it is up wait for it."""
+    """One inbound or outbound connection to another node. Frames sent before it is established are queued."""
 
     def __init__(self, peers: Peers, ip: str, lane: int = CONTROL_LANE) -> None:
         self.peers = peers
@@ -48,12 +53,12 @@
         self.connecting_since_s = peers.loop.time()
         self.connecting: asyncio.Task[None] | None = None
         self.waiting_since_s = 0.0
-        """When the first bytes were sent since the node was last heard."""
+        """Time of the first write since data was last received from the node."""
         self.last_received_s = 0.0
-        """When anything came on this connection."""
+        """Time at which data was last received on this connection."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up: what was queued goes out."""
+        """The connection is established: send the queued frames."""
         self.transport = cast(asyncio.Transport, transport)
         self.ip = transport.get_extra_info("peername")[0]
         if self.closed:
@@ -66,13 +71,13 @@
         self.peers.on_connected(self.ip)
 
     def send(self, frame: frames.Frame) -> None:
-        """Send a message; the body that it names can be fetched here from now on."""
+        """Send a message. If it refers to a body, the body is stored first so that the receiver can fetch it."""
         if body := frame.body_or_digest():
             self.peers.blobs.store.put(body)
         self.send_packed(frame.pack())
 
     def send_packed(self, data: bytes) -> None:
-        """Send a message that is packed already; one that comes before the connection is up waits for it."""
+        """Send an encoded message, or queue it until the connection is established."""
         if self.closed:
             return
         if self.waiting_since_s <= self.last_heard_s():
@@ -80,116 +85,120 @@
         if self.transport is None:
             self.queued.append(data)
         elif self.transport.get_write_buffer_size() > MAX_UNWRITTEN_BYTES:
-            log.warning("node %s does not read: closing its connection", self.ip)
+            log.warning("node %s: write buffer is full, closing connection", self.ip)
             self.close()
         else:
             try:
                 self.transport.write(data)
-            except RuntimeError as err:  # uvloop raises it where a connection is over and its loss was never signalled
+            except RuntimeError as err:  # uvloop: the transport is closed, and connection_lost was never called
                 log.warning("connection to node %s failed: %s", self.ip, err)
                 self.mark_closed()
 
     def last_heard_s(self) -> float:
-        """Of the node, on any connection. One for bodies goes by itself: after a cut it may be sent again to only after
-        seconds, while the one for frames is new, and heard."""
+        """When the node was last heard on any connection; for a bulk connection, on that connection only. After a
+        network partition the kernel may resume sending on the old bulk connection only after seconds, while the control
+        connection is new and receives data."""
         return self.last_received_s if self.lane == BULK_LANE else self.peers.last_heard_s.get(self.ip, 0.0)
 
     def is_silent(self) -> bool:
-        """Whether bytes were sent and no answer, nor anything else, has come from there for long."""
+        """Whether data was sent and nothing was received for more than `SILENCE_TIMEOUT_S` since."""
         return (
             self.waiting_since_s > self.last_heard_s()
             and self.peers.loop.time() - self.waiting_since_s > SILENCE_TIMEOUT_S
         )
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come: each whole frame is taken."""
+        """Buffer received data and process each complete frame."""
         self.last_received_s = self.peers.last_heard_s[self.ip] = self.peers.loop.time()
         self.buffer += data
         while len(self.buffer) >= frames.HEADER.size and not self.closed:
             length, kind = frames.HEADER.unpack_from(self.buffer)
             end = frames.HEADER.size + length
             if length > frames.MAX_FRAME_BYTES:
-                log.warning("node %s: frame of %d bytes is too long, closing its connection", self.ip, length)
+                log.warning("node %s: frame of %d bytes exceeds the limit, closing connection", self.ip, length)
                 self.close()
                 return
             if len(self.buffer) < end:
                 return
-            body = bytes(self.buffer[frames.HEADER.size : end])
+            payload = bytes(self.buffer[frames.HEADER.size : end])
             del self.buffer[:end]
-            self.receive(kind, body)
+            self.receive(kind, payload)
 
-    def receive(self, kind: int, body: bytes) -> None:
-        """Take a frame; one that names a body waits until the body is here."""
+    def receive(self, kind: int, payload: bytes) -> None:
+        """Decode a frame and deliver it; one that refers to a body is delivered once the body was fetched."""
         try:
-            frame = frames.unpack(kind, body)
+            frame = frames.unpack(kind, payload)
         except frames.FrameError as err:
-            log.warning("node %s: invalid frame, closing its connection: %s", self.ip, err)
+            log.warning("node %s: invalid frame, closing connection: %s", self.ip, err)
             self.close()
             return
-        if mark := frame.body_or_digest():
+        if blob_digest := frame.body_or_digest():
             self.peers.blobs.fetcher.fetch(
-                mark, self.ip, lambda whole: self.deliver(replace(cast(Any, frame), body=whole)), key=(kind, body)
+                blob_digest,
+                self.ip,
+                lambda body: self.deliver(replace(cast(Any, frame), body=body)),
+                key=(kind, payload),
             )
         else:
             self.deliver(frame)
 
     def deliver(self, frame: frames.Frame) -> None:
-        """To whoever carries it out, now that it is whole."""
+        """Pass a complete frame to its handler. An exception of the handler is logged and keeps the connection open."""
         try:
             self.peers.dispatch(self, frame)
         except frames.FrameError as err:
-            log.warning("node %s: invalid %s, closing its connection: %s", self.ip, type(frame).__name__, err)
+            log.warning("node %s: invalid %s, closing connection: %s", self.ip, type(frame).__name__, err)
             self.close()
         except Exception:
             log.exception("handler of %s from node %s failed", type(frame).__name__, self.ip)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The other side, or the network, has ended the connection."""
+        """The connection was closed by the peer or failed."""
         self.mark_closed()
 
     def close(self) -> None:
-        """End the connection at once."""
+        """Abort the connection."""
         if self.transport is not None:
             self.transport.abort()
         self.mark_closed()
 
     def mark_closed(self) -> None:
-        """The connection is over; signalled once."""
+        """Mark the connection as closed and notify `Peers` once."""
         if not self.closed:
             self.closed = True
             self.peers.on_link_closed(self)
 
 
-class ConnectProbe(asyncio.Protocol):
-    """One of the connects of a link, until it is certain that it has come up: then it becomes the link's connection."""
+class ConnectAttempt(asyncio.Protocol):
+    """Protocol of one connect attempt of a link, until its connection is handed over to the link."""
 
     def __init__(self) -> None:
         self.received = bytearray()
         self.up = self.lost = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection has come up, and may still be cancelled."""
+        """The connection is established; the attempt may still be cancelled."""
         self.up = True
 
     def data_received(self, data: bytes) -> None:
-        """Keep bytes that come before the connection is the link's."""
+        """Buffer data that arrives before the connection is handed over to the link."""
         self.received += data
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is over before it was the link's."""
+        """The connection was lost before it was handed over to the link."""
         self.lost = True
 
 
 class LocalLink(Link):
-    """To the node itself: frames come back in the next turn of the loop."""
+    """Loopback to the node itself: frames are dispatched in the next iteration of the event loop."""
 
     def send(self, frame: frames.Frame) -> None:
-        """Hand the message to this node in the next turn."""
+        """Schedule the frame for dispatch to this node."""
         self.peers.loop.call_soon(self.peers.dispatch, self, frame)
 
 
 class Peers:
-    """All connections to other nodes."""
+    """All connections of a node to other nodes."""
 
     def __init__(
         self,
@@ -200,7 +209,7 @@
         link_mbps: float,
         shared: bool = True,
     ) -> None:
-        """`shared`: the link also carries clients' requests."""
+        """`shared` says whether the network link also carries client traffic."""
         self.loop = asyncio.get_running_loop()
         self.ip = ip
         self.blobs = BlobTransfer(self, link_mbps, shared)
@@ -211,23 +220,23 @@
         self.links: set[Link] = set()
         self.outbound: dict[tuple[str, int], Link] = {}
         self.last_heard_s: dict[str, float] = {}
-        """When a node was last heard, on any connection, by its address."""
+        """Time at which data was last received from a node on any connection, by address."""
         self.connect_timeouts_s: dict[str, float] = {}
-        """How long the next connect to a node is waited for."""
+        """Timeout of the next connect to a node, by address."""
         self.tasks: set[asyncio.Task[None]] = set()
         self.server: asyncio.Server | None = None
 
     async def listen(self) -> None:
-        """Take connections of other nodes. Raises OSError."""
+        """Accept connections from other nodes. Raises OSError."""
         self.server = await self.loop.create_server(lambda: Link(self, ""), self.ip, self.port)
 
     def dispatch(self, link: Link, frame: frames.Frame) -> None:
-        """Give a message to the blob transfer, if it is one of its own, or to the node."""
+        """Pass a frame to the blob transfer if it handles that type, otherwise to the node."""
         handler = self.blobs.handlers.get(type(frame), self.on_frame)
         handler(link, frame)
 
     def link_to(self, ip: str, lane: int = CONTROL_LANE) -> Link:
-        """The connection out to a node; it comes up by itself."""
+        """The outbound connection to a node; connects in the background if there is none or it is silent."""
         if ip == self.ip:
             return self.local
         link = self.outbound.get((ip, lane))
@@ -240,94 +249,96 @@
         return link
 
     def start_connect(self, link: Link) -> None:
-        """Begin to connect a link."""
+        """Start connecting a link."""
         link.connecting_since_s = self.loop.time()
         link.connecting = self.loop.create_task(self.connect(link))
         self.tasks.add(link.connecting)
         link.connecting.add_done_callback(self.tasks.discard)
 
     def on_connected(self, ip: str) -> None:
-        """A connection with a node has come up. Others to it that hang were begun while it had no power: their packets
-        are sent again only after a second and more. One that was begun just now gets the time it needs first."""
+        """A connection with a node is established: restart its other pending connects. They may have been started while
+        the machine was off, and the kernel retransmits their SYN only after 1 s or more. A connect younger than
+        `CONNECT_RESTART_AFTER_S` is restarted only once it reaches that age."""
         self.connect_timeouts_s[ip] = CONNECT_TIMEOUT_S[0]
         for lane in (CONTROL_LANE, BULK_LANE):
             link = self.outbound.get((ip, lane))
             if link is not None and link.transport is None and link.connecting is not None:
-                left_s = link.connecting_since_s + CONNECT_RESTART_AFTER_S - self.loop.time()
-                if left_s > 0:
-                    self.loop.call_later(left_s, self.restart_connect, link, link.connecting)
+                delay_s = link.connecting_since_s + CONNECT_RESTART_AFTER_S - self.loop.time()
+                if delay_s > 0:
+                    self.loop.call_later(delay_s, self.restart_connect, link, link.connecting)
                 else:
                     self.restart_connect(link, link.connecting)
 
     def restart_connect(self, link: Link, connecting: asyncio.Task[None]) -> None:
-        """Unless that connect has come up, or was given up, by now."""
+        """Restart a connect that is still pending."""
         if link.connecting is connecting and link.transport is None and not link.closed:
             connecting.cancel()
             self.start_connect(link)
 
     def bulk_link_to(self, ip: str) -> Link:
-        """The connection out for slices of bodies."""
+        """The outbound connection for chunks of blobs."""
         return self.link_to(ip, BULK_LANE)
 
     def send(self, ip: str, frame: frames.Frame) -> None:
-        """Send a message to a node; the connection comes up by itself."""
+        """Send a message to a node, connecting in the background if needed."""
         self.link_to(ip).send(frame)
 
     async def connect(self, link: Link) -> None:
-        """Connect a link, by several connects beside each other, until one is up or time is up."""
-        wait_s = self.connect_timeouts_s.get(link.ip, CONNECT_TIMEOUT_S[0])
+        """Connect a link with parallel attempts until one succeeds or the timeout expires."""
+        timeout_s = self.connect_timeouts_s.get(link.ip, CONNECT_TIMEOUT_S[0])
         bulk = link.lane == BULK_LANE
-        probes: dict[asyncio.Task[Any], ConnectProbe] = {}
+        attempts: dict[asyncio.Task[Any], ConnectAttempt] = {}
         try:
-            async with asyncio.timeout(BULK_CONNECT_TIMEOUT_S if bulk else wait_s):
+            async with asyncio.timeout(BULK_CONNECT_TIMEOUT_S if bulk else timeout_s):
                 while link.transport is None and not link.closed:
-                    if not bulk or len(probes) < MAX_BULK_PROBES:
-                        self.probe_connect(link, probes)
-                    pending = [task for task in probes if not task.done()]
+                    if not bulk or len(attempts) < MAX_BULK_ATTEMPTS:
+                        self.start_attempt(link, attempts)
+                    pending = [task for task in attempts if not task.done()]
                     await asyncio.wait(
                         pending,
-                        timeout=PROBE_INTERVAL_S * len(probes) if bulk else PROBE_INTERVAL_S,
+                        timeout=ATTEMPT_INTERVAL_S * len(attempts) if bulk else ATTEMPT_INTERVAL_S,
                         return_when=asyncio.FIRST_COMPLETED,
                     )
-                    for task in probes:
+                    for task in attempts:
                         if task.done() and link.transport is None:
-                            task.result()  # raises what it failed of
-                            raise ConnectionResetError("lost as it came up")
+                            task.result()  # re-raises the error of the attempt
+                            raise ConnectionResetError("connection lost before it was set up")
         except (OSError, TimeoutError):
             if link.transport is None:
-                self.connect_timeouts_s[link.ip] = min(2 * wait_s, CONNECT_TIMEOUT_S[1])
+                self.connect_timeouts_s[link.ip] = min(2 * timeout_s, CONNECT_TIMEOUT_S[1])
                 link.mark_closed()
         finally:
-            for task, probe in probes.items():
-                if not probe.up:  # one that is ends by itself in the next turn
+            for task, attempt in attempts.items():
+                if not attempt.up:  # an established one is closed by on_attempt_done in the next loop iteration
                     task.cancel()
 
-    def probe_connect(self, link: Link, probes: dict[asyncio.Task[Any], ConnectProbe]) -> None:
-        """Begin one more connect of a link."""
-        probe = ConnectProbe()
-        # From the node's own address: the other side knows nodes by it, also on machines with several.
+    def start_attempt(self, link: Link, attempts: dict[asyncio.Task[Any], ConnectAttempt]) -> None:
+        """Start another connect attempt of a link."""
+        attempt = ConnectAttempt()
+        # Bind to the node's own address: peers identify nodes by it, also on machines with several addresses.
         task = self.loop.create_task(
-            self.loop.create_connection(lambda: probe, link.ip, self.port, local_addr=(self.ip, 0))
+            self.loop.create_connection(lambda: attempt, link.ip, self.port, local_addr=(self.ip, 0))
         )
-        task.add_done_callback(lambda done: self.on_probe_done(link, done))
-        probes[task] = probe
+        task.add_done_callback(lambda done: self.on_attempt_done(link, done))
+        attempts[task] = attempt
 
-    def on_probe_done(self, link: Link, task: asyncio.Task[Any]) -> None:
-        """A connect has ended. Only now is its connection a link's: cancelled a moment before, when it had come up
-        already, uvloop closes it and tells nobody. The first one counts; others are closed."""
+    def on_attempt_done(self, link: Link, task: asyncio.Task[Any]) -> None:
+        """Hand the connection of the first successful attempt over to the link, and close any others. The link must not
+        use it earlier: if the task is cancelled after the connection was established, uvloop closes the connection
+        without calling connection_lost."""
         if task.cancelled() or task.exception() is not None:
             return
-        transport, probe = task.result()
-        if link.transport is not None or link.closed or probe.lost:
+        transport, attempt = task.result()
+        if link.transport is not None or link.closed or attempt.lost:
             transport.abort()
             return
         transport.set_protocol(link)
         link.connection_made(transport)
-        if probe.received:
-            link.data_received(bytes(probe.received))
+        if attempt.received:
+            link.data_received(bytes(attempt.received))
 
     def on_link_closed(self, link: Link) -> None:
-        """A link is over: a later message to that node opens a new one."""
+        """Drop a closed link; the next message to its node opens a new one."""
         self.links.discard(link)
         if self.outbound.get((link.ip, link.lane)) is link:
             del self.outbound[link.ip, link.lane]
@@ -335,7 +346,7 @@
         self.on_lost(link)
 
     def close(self) -> None:
-        """End all connections."""
+        """Stop listening and close all connections."""
         if self.server is not None:
             self.server.close()
         for link in [*self.links]:
--- a/tests/test_fetches.py
+++ b/tests/test_fetches.py
@@ -59,17 +59,17 @@
 def test_a_connect_that_is_begun_anew_as_it_comes_up_leaves_no_dead_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     """The same on the simulated network, which closes a cancelled connect as uvloop does."""
     line = Line(2)
-    made = peers.ConnectProbe.connection_made
+    made = peers.ConnectAttempt.connection_made
     begun = [0]
 
-    def connection_made(self: peers.ConnectProbe, transport: asyncio.BaseTransport) -> None:
+    def connection_made(self: peers.ConnectAttempt, transport: asyncio.BaseTransport) -> None:
         link = line.peers[0].outbound.get((line.hosts[1].ip, BULK_LANE))
         if link is not None and link.connecting is not None and not begun[0]:
             begun[0] += 1
             line.at(0, line.peers[0].restart_connect, link, link.connecting)
         made(self, transport)
 
-    monkeypatch.setattr(peers.ConnectProbe, "connection_made", connection_made)
+    monkeypatch.setattr(peers.ConnectAttempt, "connection_made", connection_made)
     got: list[bytes] = []
     line.need(0, line.peers[1].blobs.store.put(b"body"), 1, got)
     line.run(0.2)
@@ -96,7 +96,7 @@
     cut_off(line, 0)
     line.peers[2].blobs.fetcher.other_sources = lambda: [line.hosts[0].ip, line.hosts[1].ip]
     line.need(2, mark, 0, got)
-    line.run(fetcher.STALL_S * (1 + fetcher.JITTER) + 60_000 * 8e-6 / (2.75 / 2) + 0.3)
+    line.run(fetcher.STALL_S * (1 + fetcher.STALL_JITTER) + 60_000 * 8e-6 / (2.75 / 2) + 0.3)
     assert got == [body]
 
 
@@ -109,10 +109,10 @@
     line.peers[2].blobs.fetcher.other_sources = lambda: [line.hosts[1].ip]
     line.need(2, mark, 0, got)
     line.run(0.15)
-    line.peers[0].blobs.server.serving.clear()
+    line.peers[0].blobs.server.transfers.clear()
     cut_off(line, 0)
     line.run(1.2)
-    assert got == [body] and line.peers[1].blobs.server.handed_bytes < 60_000
+    assert got == [body] and line.peers[1].blobs.server.sent_bytes < 60_000
     assert line.peers[2].blobs.fetcher.fetched_bytes == len(delta.pack(body))
 
 
@@ -127,10 +127,10 @@
     line.at(2, line.peers[2].blobs.fetcher.on_chunk, link, frames.Chunk(mark, b"", 100, 0, b"twenty bytes of them"))
     line.at(2, line.peers[2].blobs.fetcher.on_chunk, link, frames.Chunk(mark, b"", 90, 0, b"other"))
     fetch = line.peers[2].blobs.fetcher.fetches[mark]
-    assert (fetch.total, len(fetch.got)) == (100, 20)
+    assert (fetch.total, len(fetch.data)) == (100, 20)
     line.run(fetcher.QUIET_S + 0.05)  # and takes the place of one that does not
     line.at(2, line.peers[2].blobs.fetcher.on_chunk, link, frames.Chunk(mark, b"", 90, 0, b"other"))
-    assert (fetch.total, len(fetch.got)) == (90, 5)
+    assert (fetch.total, len(fetch.data)) == (90, 5)
 
 
 def test_a_connection_for_bodies_that_hangs_is_replaced_though_its_node_is_heard() -> None:
@@ -159,7 +159,7 @@
     usual = Fetcher.request
 
     def ask(self: Fetcher, wanted: bytes, fetch: fetcher.Fetch) -> None:
-        if wanted != mark and fetch.asked_again == 1:
+        if wanted != mark and fetch.retries == 1:
             raise RuntimeError("as it was seen")
         usual(self, wanted, fetch)
 
@@ -179,7 +179,7 @@
 def test_a_small_change_goes_with_its_news_and_is_fetched_by_nobody() -> None:
     cluster = fleet()
     try:
-        before = [node.peers.blobs.server.handed_bytes for node in cluster.nodes.values() if node.tree.children]
+        before = [node.peers.blobs.server.sent_bytes for node in cluster.nodes.values() if node.tree.children]
         held = {node: node.peers.blobs.fetcher.fetched_bytes for node in cluster.edges}
         cluster.order()
         assert cluster.run(cluster.known_by_all()) < 0.2
@@ -279,7 +279,7 @@
         assert child.tree.configuration.revision == 1
         told = [record.message for record in caplog.records if "behind for" in record.message]
         assert len(told) == len(cluster.edges)
-        assert all("version 1 is here, 2 is known of" in text and "asked" in text for text in told)
+        assert all("version 1 is here, 2 is known of" in text and "last request" in text for text in told)
     finally:
         cluster.close()
 
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -129,7 +129,7 @@
     orders = [frame for number, frame, _ in line.got if isinstance(frame, frames.WriteRequest)]
     assert orders and all(order.body == body for order in orders)
     size = len(delta.pack(body))
-    assert line.peers[1].blobs.fetcher.fetched_bytes == line.peers[0].blobs.server.handed_bytes == size
+    assert line.peers[1].blobs.fetcher.fetched_bytes == line.peers[0].blobs.server.sent_bytes == size
     assert line.hosts[0].bytes < size * 1.1 + 5000
 
 
--- a/tests/test_thin_links.py
+++ b/tests/test_thin_links.py
@@ -50,7 +50,7 @@
     monkeypatch.setattr(link, "CHUNK_BYTES", (1 << 24, 1 << 24))
     monkeypatch.setattr(link, "WINDOW_BYTES", (1 << 24, 1 << 24))
     monkeypatch.setattr(link, "LINK_SHARE", 1e9)
-    monkeypatch.setattr(link, "FREE_SHARE", 1e9)
+    monkeypatch.setattr(link, "DEDICATED_LINK_SHARE", 1e9)
     found = rows(kills=False)
     assert sum(row.silences for row in found.values() if "root" not in row.case) > 0
     drain_s = found["a server drains amid those"].drain_s
