--- a/cypressbeam/distribution/children.py
+++ b/cypressbeam/distribution/children.py
@@ -1,4 +1,4 @@
-"""The children of a node in the distribution tree: who subscribed here, and what each had when it came."""
+"""The children of a node in the distribution tree, and their pending subscription requests."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 
 
 class Children:
-    """Subscribers, in the order in which they came: runs can be repeated."""
+    """Subscribers in order of subscription, so that simulations are deterministic."""
 
     def __init__(self) -> None:
         self.links: dict[Link, frames.Subscribe | None] = {}
-        """With what each had when it came, until it was given what it lacks."""
+        """Each with its subscription request until that was served, then with None."""
 
     def __len__(self) -> int:
         return len(self.links)
 
-    def add(self, link: Link, had: frames.Subscribe) -> None:
-        """A child has subscribed, or again."""
-        self.links[link] = had
+    def add(self, link: Link, request: frames.Subscribe) -> None:
+        """Add a child, or replace its request if it subscribes again."""
+        self.links[link] = request
 
     def remove(self, link: Link) -> None:
-        """A connection is lost; it may have been a child's."""
+        """Remove a closed connection, if it was a child's."""
         self.links.pop(link, None)
 
     def unserved(self) -> Iterator[tuple[Link, frames.Subscribe]]:
-        """Children that were given nothing yet."""
-        for link, had in [*self.links.items()]:
-            if had is not None:
-                yield link, had
+        """Children whose request was not served yet."""
+        for link, request in [*self.links.items()]:
+            if request is not None:
+                yield link, request
 
     def mark_served(self, link: Link) -> None:
-        """A child is given what it lacks."""
+        """Mark the request of a child as served."""
         self.links[link] = None
 
     def broadcast(self, frame: frames.Frame) -> None:
@@ -44,7 +44,8 @@
                 child.send_packed(data)
 
     def release(self) -> None:
-        """Children look for others. Connections stay: what else goes over them must not be lost."""
+        """Unsubscribe all children, which then look for another parent. Their connections stay open, because they also
+        carry other messages."""
         links, self.links = self.links, {}
         for child in links:
             child.send(frames.Unsubscribed())
--- a/cypressbeam/distribution/configuration_replica.py
+++ b/cypressbeam/distribution/configuration_replica.py
@@ -1,8 +1,8 @@
-"""The replica of the committed configuration that goes down the distribution tree.
+"""The replica of the committed configuration, distributed down the tree.
 
-A parent names a version (`ConfigurationAnnouncement`), or sends what it changes (`ConfigurationDelta`); the body is
-fetched from it in chunks beside that (transport/blobs/). Bodies are fetched one at a time, so that each is the base of
-the next. Invariant: the revision never falls.
+A parent announces a version (`ConfigurationAnnouncement`) or sends a small change inline (`ConfigurationDelta`). The
+body is fetched from it in chunks over a separate connection (transport/blobs/). Bodies are fetched one at a time, so
+that each can be the delta base of the next. Invariant: the revision never decreases.
 """
 
 from __future__ import annotations
@@ -20,25 +20,26 @@
 
 log = logging.getLogger(__name__)
 
-#: A node that has been behind the newest version for so long says so in its log, once.
+#: A node whose configuration has been outdated for longer than this logs one warning.
 LAG_REPORT_S = 1.0
-#: Under which key the replica's fetches stand in `Fetcher`.
-FETCH_KEY = "news"
+#: Key of the replica's callbacks in `Fetcher`.
+FETCH_KEY = "configuration"
 
 
 class ConfigurationTransfer:
-    """The fetch of the newest body, and of one before it that did not move. On a full link nothing would ever come in a
-    storm of versions, if each put an end to the one before."""
+    """The fetch of the newest body, and of one earlier body whose fetch stalled. The earlier one is not cancelled at
+    once: if each version of a rapid sequence cancelled the fetch before it, none would complete on a saturated link."""
 
     def __init__(self, fetcher: Fetcher) -> None:
         self.fetcher = fetcher
         self.digest = b""
-        """The digest of the body that is on its way here, or nothing."""
+        """Digest of the body that is being fetched, or b""."""
         self.earlier_digest = b""
-        """That of one before it, which does not move: it is waited for beside the newest."""
+        """Digest of an earlier body whose stalled fetch continues in parallel, or b""."""
 
     def may_start(self, blob_digest: bytes) -> bool:
-        """Whether a body may be fetched now, for none before it is on its way and moves."""
+        """Whether the fetch of a body may start now: not while another one makes progress. A stalled fetch becomes the
+        earlier one, or is cancelled if there is an earlier one already."""
         if not self.digest or self.digest == blob_digest:
             return True
         if self.fetcher.is_arriving(self.digest):
@@ -50,33 +51,33 @@
         return True
 
     def end(self) -> None:
-        """The body is here, or wanted no more."""
+        """Cancel the fetch: the body was received or is no longer needed."""
         self.fetcher.cancel(self.digest, FETCH_KEY)
         self.digest = b""
 
     def end_earlier(self) -> None:
-        """The newest body is here: the one before it is wanted no more."""
+        """Cancel the earlier fetch: the newest body was received."""
         self.fetcher.cancel(self.earlier_digest, FETCH_KEY)
         self.earlier_digest = b""
 
 
 @dataclass(slots=True)
 class Lag:
-    """Since when a newer version is known of than is here; 0: none is."""
+    """Since when a newer version is known than the local one; 0 if the local one is the newest."""
 
     since_s: float = 0.0
     reported: bool = False
 
     def begin(self, now_s: float) -> None:
-        """A newer version is known of."""
+        """A newer version is known."""
         self.since_s = self.since_s or now_s
 
     def end(self) -> None:
-        """The newest version is here."""
+        """The local version is the newest."""
         self.since_s, self.reported = 0.0, False
 
     def should_report(self, now_s: float) -> bool:
-        """Whether it lasts for long and was not reported; then it counts as reported."""
+        """Whether the lag exceeds `LAG_REPORT_S` and was not reported yet; marks it as reported."""
         if now_s - self.since_s <= LAG_REPORT_S or self.reported:
             return False
         self.reported = True
@@ -85,34 +86,34 @@
 
 @dataclass(slots=True)
 class Announcement:
-    """What is announced to children of the version that is here."""
+    """The message that announces the local version to children."""
 
     message: frames.ConfigurationAnnouncement | frames.ConfigurationDelta | None = None
     base: int = 0
-    """The revision that was here before: to a child that has it the message is enough."""
+    """The previous local revision; a child that has it can be sent this message."""
 
 
 class ConfigurationReplica:
-    """The newest configuration that is here, and the fetch of a newer one."""
+    """The local configuration, and the fetch of a newer one."""
 
     def __init__(
         self,
         context: NodeContext,
         fence: EpochFence,
-        tell: Callable[[frames.Frame], None],
-        standing: Callable[[], int],
+        broadcast: Callable[[frames.Frame], None],
+        message_epoch: Callable[[], int],
         parent_ip: Callable[[], str],
     ) -> None:
-        """`tell` sends to all children, `standing` is the epoch under which this node's own statements stand."""
+        """`broadcast` sends to all children; `message_epoch` returns the epoch of this node's own messages."""
         self.context = context
         self.fence = fence
-        self.broadcast = tell
-        self.epoch_of_statements = standing
+        self.broadcast = broadcast
+        self.message_epoch = message_epoch
         self.parent_ip = parent_ip
         self.revision = 0
         self.body = b""
         self.newest = (0, b"")
-        """The newest version that was announced: its revision, and its body's digest."""
+        """Revision and body digest of the newest announced version."""
         self.announced = Announcement()
         self.transfer = ConfigurationTransfer(context.peers.blobs.fetcher)
         self.lag = Lag()
@@ -130,57 +131,63 @@
 
     # -- to children ---------------------------------------------------------------------------------------
 
-    def for_child(self, revision: int) -> frames.Frame | None:
-        """What is announced to a child that has a revision, if anything."""
+    def update_for_child(self, revision: int) -> frames.Frame | None:
+        """The announcement for a child that has the given revision, if it is outdated."""
         newest, blob_digest = self.newest if self.transfer.digest else (self.revision, b"")
         if newest <= revision:
             return None
         blob_digest = blob_digest or self.store.put(self.body)
         if not self.transfer.digest and revision == self.announced.base and self.announced.message is not None:
-            return replace(self.announced.message, epoch=self.epoch_of_statements())
-        return frames.ConfigurationAnnouncement(newest, blob_digest, self.epoch_of_statements())
+            return replace(self.announced.message, epoch=self.message_epoch())
+        return frames.ConfigurationAnnouncement(newest, blob_digest, self.message_epoch())
 
     def publish(self, revision: int, body: bytes) -> None:
-        """A committed configuration. One that is not newer is ignored: a node never goes back."""
+        """Take over a committed configuration and announce it. One that is not newer is ignored."""
         if revision <= self.revision:
             return
-        before, former = self.revision, self.store.put(self.body) if self.body else b""
+        base_revision, base_digest = self.revision, self.store.put(self.body) if self.body else b""
         self.revision, self.body = revision, body
         blob_digest = self.store.put(body)
         if revision > self.newest[0]:
             self.newest = (revision, blob_digest)
         if revision == self.newest[0]:
             self.lag.end()
-        self.announce(blob_digest, before, former)
+        self.announce(blob_digest, base_revision, base_digest)
         if self.transfer.digest != self.newest[1] or revision == self.newest[0]:
             self.transfer.end()
         if revision == self.newest[0]:
             self.transfer.end_earlier()
         self.on_committed(revision, body)
 
-    def announce(self, blob_digest: bytes, before: int, former: bytes) -> None:
-        """Tell children of the version that is here, in what it changes where that is little."""
-        brief = self.store.inline_delta(blob_digest, former)
+    def announce(self, blob_digest: bytes, base_revision: int, base_digest: bytes) -> None:
+        """Announce the local version to the children, with an inline delta if it is small enough."""
+        inline_delta = self.store.inline_delta(blob_digest, base_digest)
         message = (
-            frames.ConfigurationDelta(self.revision, blob_digest, former, brief, self.epoch_of_statements())
-            if brief
-            else frames.ConfigurationAnnouncement(self.revision, blob_digest, self.epoch_of_statements())
+            frames.ConfigurationDelta(self.revision, blob_digest, base_digest, inline_delta, self.message_epoch())
+            if inline_delta
+            else frames.ConfigurationAnnouncement(self.revision, blob_digest, self.message_epoch())
         )
-        self.announced = Announcement(message, before)
-        if brief or blob_digest != self.transfer.digest:  # otherwise it was announced to children when it began to come
+        self.announced = Announcement(message, base_revision)
+        # Without an inline delta, a fetched version was announced already when its fetch started.
+        if inline_delta or blob_digest != self.transfer.digest:
             self.broadcast(message)
 
     # -- from the parent -----------------------------------------------------------------------------------
 
     def on_announcement(self, link: Link, frame: frames.ConfigurationAnnouncement) -> None:
-        """A version is to be had from a node that has it, or a part of it."""
+        """The parent announces a version whose body it has, or is fetching."""
         if not self.fence.rejects(link, frame.epoch) and self.should_fetch(frame.revision, frame.digest):
             self.fetch(link.ip)
 
     def on_delta(self, link: Link, frame: frames.ConfigurationDelta) -> None:
-        """A version, in what has changed since the one before. Who lacks that one fetches it all."""
+        """The parent sends a version as a delta. Without its base, or if the result is wrong, the body is fetched."""
         if len(frame.digest) != frames.DIGEST_BYTES or len(frame.data) > MAX_INLINE_DELTA_BYTES:
-            log.warning("node %s: an update of %d bytes for %d", link.ip, len(frame.data), len(frame.digest))
+            log.warning(
+                "node %s: invalid configuration delta (%d bytes of data, %d bytes of digest), closing connection",
+                link.ip,
+                len(frame.data),
+                len(frame.digest),
+            )
             link.close()
         elif not self.fence.rejects(link, frame.epoch) and self.should_fetch(frame.revision, frame.digest):
             body = self.fetcher.apply_inline_delta(frame.digest, frame.base_digest, frame.data)
@@ -190,7 +197,7 @@
                 self.publish(frame.revision, body)
 
     def should_fetch(self, revision: int, blob_digest: bytes) -> bool:
-        """Whether a version that a node tells of is to be got; then it is the newest one."""
+        """Whether an announced version should be fetched; it becomes the newest known one then."""
         if revision <= self.revision or revision < self.newest[0]:
             return False
         self.newest = (revision, blob_digest)
@@ -198,36 +205,37 @@
         return True
 
     def fetch(self, source: str) -> None:
-        """Get the newest body, one at a time. It is announced to children as it begins to come, and they fetch it as it
-        comes. An older one that does not move holds up nothing: the newest is asked for beside it."""
+        """Fetch the newest body, unless another fetch makes progress. The version is announced to children at the
+        start, so that they fetch the body while it is still being received here. A stalled fetch of an older body does
+        not delay the newest one."""
         revision, blob_digest = self.newest
         if not self.transfer.may_start(blob_digest):
             return
         if self.transfer.digest != blob_digest:
             self.transfer.digest = blob_digest
-            self.broadcast(frames.ConfigurationAnnouncement(revision, blob_digest, self.epoch_of_statements()))
+            self.broadcast(frames.ConfigurationAnnouncement(revision, blob_digest, self.message_epoch()))
         self.fetcher.fetch(blob_digest, source, lambda body: self.complete_fetch(revision, body, source), key=FETCH_KEY)
 
     def complete_fetch(self, revision: int, body: bytes, source: str) -> None:
-        """A body is here; the next one may be wanted already."""
+        """A body was received: publish it, and fetch the next one if a newer version was announced meanwhile."""
         self.publish(revision, body)
         if self.newest[0] > self.revision:
             self.fetch(self.parent_ip() or source)
 
     def is_missing(self, revision: int) -> bool:
-        """Whether a revision is neither here nor coming."""
+        """Whether a revision is neither held nor being received."""
         coming = self.newest[0] if self.fetcher.is_arriving(self.transfer.digest) else self.revision
         return revision > coming
 
     def report_lag(self, revision: int) -> None:
-        """A revision is in force. Say once that this node has been behind for long, and how its fetch stands."""
+        """Log a warning, once, if this node has been behind the committed revision for too long."""
         if revision <= self.revision:
             return
         now_s = self.context.now_s()
         self.lag.begin(now_s)
         if self.lag.should_report(now_s):
             log.warning(
-                "behind for %.1f s: version %d is here, %d is known of, %d in force; %s",
+                "configuration outdated for %.1f s: revision %d here, newest known %d, committed %d; %s",
                 now_s - self.lag.since_s,
                 self.revision,
                 self.newest[0],
--- a/cypressbeam/distribution/context.py
+++ b/cypressbeam/distribution/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a node's distribution layer share: settings, connections, clock and randomness."""
+"""Shared by the components of a node's distribution layer: settings, connections, clock, random number generator."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class NodeContext:
-    """One for all parts of a node, so that a reload of the settings reaches each of them."""
+    """One instance is shared by all components of a node, so that reloaded settings apply to all of them."""
 
     settings: Settings
     peers: Peers
--- a/cypressbeam/distribution/endpoint_list.py
+++ b/cypressbeam/distribution/endpoint_list.py
@@ -1,4 +1,7 @@
-"""The platform's list of servers: reading its pages, telling what changed, and its rows between nodes. Pure."""
+"""The platform's list of servers: parsing its pages, computing changes, and encoding rows for transfer between nodes.
+
+Does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -15,13 +18,13 @@
 IN_SERVICE, DRAINING, GONE = 0, 1, 2
 STATES = {"in_service": IN_SERVICE, "draining": DRAINING}
 ROW = struct.Struct("!HIB4sH")
-#: Bytes of all rows of a frame: a list of 100,000 servers fits.
+#: Maximum uncompressed size of the rows of a frame, enough for 100,000 servers.
 MAX_ROW_BYTES = 8 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One incarnation of a server. `warmup_ms` is how much longer it was slow when the root first saw it."""
+    """One incarnation of a server. `warmup_ms` is its remaining warm-up time when the root first saw it."""
 
     instance_id: str
     service: str
@@ -33,7 +36,7 @@
 
 
 class PlatformRow(msgspec.Struct, frozen=True, rename="camel"):
-    """A server as the platform lists it."""
+    """A server in the platform's list."""
 
     id: str
     plant: str
@@ -52,29 +55,29 @@
 
 
 def read_page(body: bytes) -> tuple[list[Endpoint], str | None]:
-    """The servers of a page, and the token of the next. Raises ValueError for what is no page."""
+    """The servers of a page, and the token of the next page. Raises ValueError for an invalid page."""
     try:
         page = msgspec.convert(decode(body), PlatformPage)
     except (msgspec.ValidationError, InvalidConfigurationError) as err:
-        raise ValueError(f"no page of servers: {err}") from None
-    return [read_endpoint(listed) for listed in page.servers], page.next_token
+        raise ValueError(f"invalid page of servers: {err}") from None
+    return [read_endpoint(row) for row in page.servers], page.next_token
 
 
-def read_endpoint(listed: PlatformRow) -> Endpoint:
-    """An endpoint from the platform's row. Raises ValueError for an address that is none."""
+def read_endpoint(row: PlatformRow) -> Endpoint:
+    """Convert a row of the platform's list. Raises ValueError for an invalid address."""
     return Endpoint(
-        listed.id,
-        listed.plant,
-        read_address(listed.address),
-        listed.zone,
-        min(max(listed.capacity, 1), 65535),
-        STATES.get(listed.state, DRAINING),
-        min(max(int(listed.warmup_left_ms), 0), 2**32 - 1),
+        row.id,
+        row.plant,
+        read_address(row.address),
+        row.zone,
+        min(max(row.capacity, 1), 65535),
+        STATES.get(row.state, DRAINING),
+        min(max(int(row.warmup_left_ms), 0), 2**32 - 1),
     )
 
 
 def pack_rows(servers: list[Endpoint]) -> bytes:
-    """Rows as they go between nodes: an address by its four bytes, all of it compressed."""
+    """Encode rows for transfer between nodes: IPv4 addresses as four bytes, the whole compressed with zlib."""
     parts = []
     for server in servers:
         host = bytes(int(part) for part in server.address[0].split("."))
@@ -86,32 +89,32 @@
 
 
 def unpack_bytes(packed: bytes) -> bytes:
-    """Raises FrameError for what is broken, cut off or too large when unpacked."""
+    """Decompress rows. Raises FrameError if they are corrupt, truncated or too large."""
     reader = zlib.decompressobj()
     try:
         data = reader.decompress(packed, MAX_ROW_BYTES)
     except zlib.error as err:
         raise frames.FrameError(f"rows: {err}") from None
     if not reader.eof or reader.unused_data:
-        raise frames.FrameError("rows: too large, cut off, or with bytes behind them")
+        raise frames.FrameError("rows: too large, truncated, or followed by extra bytes")
     return data
 
 
 def unpack_rows(packed: bytes) -> list[Endpoint]:
-    """Raises FrameError."""
-    servers, at = [], 0
+    """Decode rows. Raises FrameError for invalid ones."""
+    servers, offset = [], 0
     data = unpack_bytes(packed)
     try:
-        while at < len(data):
-            capacity, warmup_ms, state, host, port = ROW.unpack_from(data, at)
-            at += ROW.size
+        while offset < len(data):
+            capacity, warmup_ms, state, host, port = ROW.unpack_from(data, offset)
+            offset += ROW.size
             texts = []
             for _ in range(3):
-                length = data[at]
-                texts.append(data[at + 1 : at + 1 + length].decode())
-                at += 1 + length
-            if at > len(data):
-                raise frames.FrameError("a row ends behind the frame")
+                length = data[offset]
+                texts.append(data[offset + 1 : offset + 1 + length].decode())
+                offset += 1 + length
+            if offset > len(data):
+                raise frames.FrameError("rows: the last row is truncated")
             instance_id, service, zone = texts
             servers.append(
                 Endpoint(instance_id, service, (".".join(map(str, host)), port), zone, capacity, state, warmup_ms)
@@ -122,38 +125,42 @@
 
 
 class EndpointList:
-    """A node's copy of the list. A term is one root's; changes follow one another within it."""
+    """A node's copy of the list. Each root has its own term; changes are numbered consecutively within a term."""
 
     def __init__(self, term: int = 0) -> None:
         self.term = term
         self.sequence = 0
         self.servers: dict[str, Endpoint] = {}
 
-    def update_from_platform(self, polled: list[Endpoint]) -> frames.EndpointUpdate | None:
-        """At the root: take up a whole list from the platform; returns what changed, for the children."""
+    def update_from_platform(self, servers: list[Endpoint]) -> frames.EndpointUpdate | None:
+        """At the root: replace the list by one from the platform. Returns the changes for the children, if any."""
         changed = []
-        now = {server.instance_id: server for server in polled}
-        for instance_id, server in now.items():
-            known = self.servers.get(instance_id)
-            # The warm-up runs on by itself: only its first figure is sent.
-            same = replace(server, warmup_ms=known.warmup_ms) if known is not None else server
-            now[instance_id] = same
-            if same != known:
-                changed.append(same)
-        changed += [replace(known, state=GONE) for instance_id, known in self.servers.items() if instance_id not in now]
+        current = {server.instance_id: server for server in servers}
+        for instance_id, server in current.items():
+            previous = self.servers.get(instance_id)
+            # The remaining warm-up time decreases without any update: only its first value is sent.
+            updated = replace(server, warmup_ms=previous.warmup_ms) if previous is not None else server
+            current[instance_id] = updated
+            if updated != previous:
+                changed.append(updated)
+        changed += [
+            replace(previous, state=GONE)
+            for instance_id, previous in self.servers.items()
+            if instance_id not in current
+        ]
         if not changed and self.sequence:
             return None
-        self.servers = now
+        self.servers = current
         self.sequence += 1
         return frames.EndpointUpdate(self.term, self.sequence - 1, self.sequence, 0, pack_rows(changed))
 
     def snapshot(self) -> frames.EndpointUpdate:
-        """All that is known, for a child that has none of it."""
+        """The complete list, for a child that has none or another one."""
         return frames.EndpointUpdate(self.term, 0, self.sequence, 1, pack_rows(list(self.servers.values())))
 
     def apply(self, frame: frames.EndpointUpdate) -> bool | None:
-        """Take up what a parent sent. True: the list changed; False: it says nothing new; None: it does not follow
-        on what is here, so the whole is needed."""
+        """Apply an update from the parent. Returns True if the list changed, False if the update is not new, and None
+        if it does not follow on the local list, so that the complete list is needed."""
         if frame.whole:
             if (frame.term, frame.sequence) == (self.term, self.sequence):
                 return False
--- a/cypressbeam/distribution/feed.py
+++ b/cypressbeam/distribution/feed.py
@@ -1,4 +1,4 @@
-"""What a node sends to its children: what each lacks when it subscribes, and the root's heartbeats."""
+"""What a node sends to its children: missing state after they subscribe, and the root's heartbeats."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ChildFeed:
-    """Serves the children; at the root it also makes the heartbeats."""
+    """Serves the children; at the root it also generates the heartbeats."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         self.servers = servers
 
     def on_subscribe(self, link: Link, frame: frames.Subscribe) -> None:
-        """A child subscribes."""
+        """A node subscribes. It is served now, or with the next heartbeat if the local state is of an older epoch."""
         fence = self.position.fence
         if self.position.registration.is_draining:
             link.close()
@@ -39,46 +39,50 @@
             link.send(frames.Unsubscribed())
             return
         self.children.add(link, frame)
-        if self.position.epoch_of_statements() == fence.epoch:
+        if self.position.message_epoch() == fence.epoch:
             self.serve(link, frame)
 
-    def serve(self, link: Link, had: frames.Subscribe) -> None:
-        """What a child lacks, and the last heartbeat unless the child has it."""
+    def serve(self, link: Link, request: frames.Subscribe) -> None:
+        """Send a child the state that it lacks, and the last heartbeat if it is still valid."""
         self.children.mark_served(link)
-        epoch, beat = self.position.fence.epoch, self.position.heartbeats.last
-        in_force = epoch if self.position.is_root else self.servers.epoch
-        for frame in (self.configuration.for_child(had.revision), self.servers.for_child(had, in_force, epoch)):
+        epoch, heartbeat = self.position.fence.epoch, self.position.heartbeats.last
+        list_epoch = epoch if self.position.is_root else self.servers.epoch
+        for frame in (
+            self.configuration.update_for_child(request.revision),
+            self.servers.update_for_child(request, list_epoch, epoch),
+        ):
             if frame is not None:
                 link.send(frame)
-        if beat is not None and beat.epoch == epoch and self.position.known_leader():
-            link.send(beat)
+        if heartbeat is not None and heartbeat.epoch == epoch and self.position.known_leader():
+            link.send(heartbeat)
 
     def forward_heartbeat(self, frame: frames.RootHeartbeat) -> None:
-        """To all children; those that came while this node could not vouch for what it has get that now."""
+        """Send a heartbeat to all children, and serve those that subscribed while the local state was outdated."""
         self.position.heartbeats.last = frame
         self.children.broadcast(frame)
-        for link, had in self.children.unserved():
-            self.serve(link, had)
+        for link, request in self.children.unserved():
+            self.serve(link, request)
 
-    def start_heartbeats(self, life: int) -> None:
-        """The root sends a heartbeat every `HEARTBEAT_INTERVAL_S`, as long as its term lasts."""
-        if self.position.is_root and self.servers.endpoints.term == life:
-            self.position.context.loop.call_later(HEARTBEAT_INTERVAL_S, self.start_heartbeats, life)
+    def start_heartbeats(self, term: int) -> None:
+        """At the root: send a heartbeat every `HEARTBEAT_INTERVAL_S` until its term ends."""
+        if self.position.is_root and self.servers.endpoints.term == term:
+            self.position.context.loop.call_later(HEARTBEAT_INTERVAL_S, self.start_heartbeats, term)
             self.send_heartbeat()
 
     def send_heartbeat(self) -> None:
-        """The root sends a heartbeat; one that a majority does not hear has no word to give, and sends a keep-alive."""
-        fence, heartbeats, listing = self.position.fence, self.position.heartbeats, self.servers.endpoints
+        """At the root: send a heartbeat, or only a keep-alive while it can't confirm its leadership, for example
+        without contact with a majority of the core."""
+        fence, heartbeats, endpoints = self.position.fence, self.position.heartbeats, self.servers.endpoints
         if not fence.vouched_leader():
             self.children.broadcast(frames.KeepAlive())
             return
-        beat = frames.RootHeartbeat(
-            listing.term,
-            listing.sequence,
+        heartbeat = frames.RootHeartbeat(
+            endpoints.term,
+            endpoints.sequence,
             self.configuration.revision,
             self.position.registration.edge_count,
-            heartbeats.next_number(listing.term),
+            heartbeats.next_number(endpoints.term),
             fence.epoch,
         )
-        heartbeats.record(beat, self.position.context.now_s())
-        self.forward_heartbeat(beat)
+        heartbeats.record(heartbeat, self.position.context.now_s())
+        self.forward_heartbeat(heartbeat)
--- a/cypressbeam/distribution/fencing.py
+++ b/cypressbeam/distribution/fencing.py
@@ -1,8 +1,8 @@
 """Epoch fencing (docs/design/fencing.md).
 
-Whatever says who leads, or what is in force, carries the epoch of the view under which it was said. A node keeps the
-highest epoch that it has seen, rejects messages of a lower one, and replies to them with the current one.
-Invariant: the epoch never falls.
+Every message about the leader or the committed state carries the epoch of the view in which it was sent. A node keeps
+the highest epoch that it has seen, rejects messages of a lower one, and replies to them with the current one.
+Invariant: the epoch never decreases.
 """
 
 from __future__ import annotations
@@ -18,24 +18,24 @@
 
     def __init__(self) -> None:
         self.epoch = 0
-        """The highest in which anybody led, as far as was heard here."""
+        """The highest epoch in which a node is known to have led."""
         self.group: tuple[str, ...] = ()
         """Addresses of the core's group."""
         self.group_epoch = 0
-        """Since which epoch."""
+        """The epoch of the message that named the group."""
         self.on_epoch: Callable[[], None] = lambda: None
-        """Told when a higher epoch was seen."""
+        """Called when a higher epoch was seen."""
         self.vouched_leader: Callable[[], str] = str
-        """The root's address as this node may name it to others, or nothing."""
+        """Returns the root's address if this node may name it to others, otherwise an empty string."""
 
     def observe(self, epoch: int) -> None:
-        """Somebody leads in this epoch, or has: what was said under lower ones is over."""
+        """Record an epoch in which a node leads or has led; messages of lower epochs are obsolete."""
         if epoch > self.epoch:
             self.epoch = epoch
             self.on_epoch()
 
     def rejects(self, link: Link, epoch: int) -> bool:
-        """Whether a message is of an older epoch: it is ignored, and its sender is sent the current one."""
+        """Whether a message must be ignored because its epoch is outdated; its sender is sent the current one then."""
         if epoch < self.epoch:
             link.send(self.redirect())
             return True
@@ -43,10 +43,10 @@
         return False
 
     def redirect(self) -> frames.LeaderRedirect:
-        """Where the root is, as this node knows it."""
+        """A message that names the root, as far as this node may, with the current epoch and the core's group."""
         return frames.LeaderRedirect(self.vouched_leader(), self.epoch, self.group)
 
     def learn_group(self, group: tuple[str, ...], epoch: int) -> None:
-        """Addresses of the core's group, as somebody knows it who has seen that epoch."""
+        """Record the core's group from a message of the given epoch, unless a newer message named it already."""
         if group and epoch >= self.group_epoch:
             self.group, self.group_epoch = group, epoch
--- a/cypressbeam/distribution/position.py
+++ b/cypressbeam/distribution/position.py
@@ -1,4 +1,5 @@
-"""Where a node stands in the distribution tree: whether it is the root, is fed, or has to look for the root."""
+"""A node's position in the distribution tree: whether it is the root, has a valid parent, or must search for the
+root."""
 
 from __future__ import annotations
 
@@ -11,7 +12,8 @@
 
 
 class TreePosition:
-    """What follows from the state of the parts; of its own it has only whether this node is the root."""
+    """Derives the position from the state of the other components; its only own state is whether this node is the
+    root."""
 
     def __init__(
         self,
@@ -31,32 +33,33 @@
         self.is_root = False
 
     def known_leader(self) -> str:
-        """The root, if its own word is fresh here and nobody is known to have led since; or nobody."""
+        """Address of the root if it was heard recently and no node is known to have led since, otherwise empty."""
         if self.is_root:
             return self.context.settings.ip
         fresh = self.heartbeats.is_fresh(self.context.now_s())
         return self.locator.root if fresh and self.subscription.parent is not None and not self.is_stale() else ""
 
     def assigned_epoch(self) -> int:
-        """The epoch of the newest assignment or heartbeat that was given to this node."""
+        """The epoch of the newest assignment or heartbeat that this node has received."""
         return max(self.subscription.epoch, self.registration.assigned_epoch())
 
     def is_stale(self) -> bool:
-        """Whether what feeds this node, and its assignment, are of an epoch that is over."""
+        """Whether the parent and the assignment are of an epoch that is over."""
         return self.assigned_epoch() < self.fence.epoch
 
-    def epoch_of_statements(self) -> int:
-        """The epoch under which this node's own statements stand."""
+    def message_epoch(self) -> int:
+        """The epoch of messages that this node sends: at the root the current one, otherwise that of the last
+        heartbeat, even if a higher one was seen since."""
         return self.fence.epoch if self.is_root else self.subscription.epoch
 
     def needs_root(self, now_s: float) -> bool:
-        """Whether the root is to be looked for: nobody feeds this node, or one whose word is over, or has none."""
+        """Whether to search for the root: there is no parent, it is of an old epoch, or it sends no heartbeats."""
         return self.subscription.parent is None or self.is_stale() or self.subscription.misses_heartbeat(now_s)
 
     def may_have_children(self) -> bool:
-        """Whether children may subscribe here."""
+        """Whether nodes may subscribe here."""
         return bool(self.fence.vouched_leader()) if self.is_root else not self.needs_root(self.context.now_s())
 
     def leader_age_s(self) -> float | None:
-        """Seconds since the root's word came last; None: it never did."""
+        """Seconds since the root was last heard; None if it never was."""
         return 0.0 if self.is_root else self.heartbeats.age_s(self.context.now_s())
--- a/cypressbeam/distribution/root_locator.py
+++ b/cypressbeam/distribution/root_locator.py
@@ -1,7 +1,7 @@
-"""How a node finds the root: it asks the one that it knows, and beside it one after another of all that may know it.
+"""How a node finds the root: it asks the known root and, in parallel, one after another all nodes that may know it.
 
-`root_search.py` has the order and pace of those requests. A root that was named is asked once, and has
-`registration.RESPONSE_TIMEOUT_S` to answer.
+`root_search.py` determines the order and rate of those requests. A node that was named as the root is sent one request,
+and is forgotten if it does not answer within `registration.RESPONSE_TIMEOUT_S`.
 """
 
 from __future__ import annotations
@@ -15,56 +15,57 @@
 
 
 class RootLocator:
-    """The root's address, as far as it is known, and the search for it."""
+    """The root's address, if known, and the search for it."""
 
     def __init__(
         self,
         context: NodeContext,
         fence: EpochFence,
         registration: Registration,
-        ask: Callable[[str], None],
+        send_request: Callable[[str], None],
         resume: Callable[[], None],
     ) -> None:
-        """`ask` sends the registration to an address; `resume` is called when the search may go on."""
+        """`send_request` sends the registration to an address; `resume` continues the search."""
         self.context = context
         self.fence = fence
         self.registration = registration
-        self.send_request = ask
+        self.send_request = send_request
         self.resume = resume
         self.root = ""
-        """Who has given the last assignment, or was named since, as long as it answers."""
+        """The sender of the last assignment, or the node that was named as the root since; empty if it did not
+        answer."""
         self.asked_s = 0.0
-        """When it was asked; 0: it has answered."""
+        """When a request was sent to it; 0 once it has answered."""
         self.search = RootSearch(context.settings.ip)
         self.is_searching = False
         self.search_count = 0
-        """How many were begun."""
+        """Number of searches started."""
 
     def candidates(self) -> tuple[list[str], list[str]]:
-        """Who may know the root: machines of the core, and the seeds."""
+        """Addresses of nodes that may know the root: the machines of the core, and the seeds."""
         group = [*self.fence.group, *self.registration.chain()]
         return group, [host for host, _ in self.context.settings.seeds]
 
     def confirm_root(self, ip: str) -> None:
-        """The root has answered."""
+        """Record that the root has answered."""
         self.root, self.asked_s = ip, 0.0
 
     def forget(self) -> None:
-        """The known root is none any more."""
+        """Forget the known root."""
         self.root, self.asked_s = "", 0.0
 
     def forget_if(self, ip: str) -> None:
-        """The same, if it is this one."""
+        """Forget the known root if it has this address."""
         if self.root == ip:
             self.forget()
 
     def forget_silent(self, now_s: float) -> None:
-        """The same, if it has not answered in time."""
+        """Forget the known root if it has not answered in time."""
         if self.asked_s and now_s - self.asked_s >= RESPONSE_TIMEOUT_S:
             self.forget()
 
     def renew(self, now_s: float) -> None:
-        """Register again at the root that is known; one that does not answer is searched for."""
+        """Renew the registration at the known root, or search for the root if none is known."""
         self.forget_silent(now_s)
         if self.root:
             self.request_root(self.root, now_s)
@@ -72,7 +73,7 @@
             self.search_step(now_s)
 
     def search_step(self, now_s: float) -> None:
-        """Ask the root that is known, and beside it the next one that may know it."""
+        """Send a request to the known root, and one to the next node that may know it."""
         self.search_count += not self.is_searching
         self.is_searching = True
         self.forget_silent(now_s)
@@ -83,23 +84,23 @@
             self.send_request(target)
 
     def request_root(self, ip: str, now_s: float) -> None:
-        """One that was named, by whomever: it is asked once, and has its time to answer."""
+        """Send one request to a node that was named as the root, and wait for its answer."""
         if ip != self.root or not self.asked_s:
             self.root, self.asked_s = ip, now_s
             self.send_request(ip)
 
-    def on_redirect(self, sender: str, root: str, now_s: float, seeking: bool) -> None:
-        """A node names the root, or nobody. `seeking`: this node needs it now."""
+    def on_redirect(self, sender: str, root: str, now_s: float, needs_root: bool) -> None:
+        """A node names the root, or says that it knows none. `needs_root`: this node is searching for it."""
         if sender == self.root and root != self.root:
-            self.forget()  # it is the root no more, or not yet
-        if root and root != self.context.settings.ip and (seeking or not self.root):
+            self.forget()  # it is not, or no longer, the root
+        if root and root != self.context.settings.ip and (needs_root or not self.root):
             self.request_root(root, now_s)
         elif not root:
             self.on_unhelpful(sender)
 
     def on_unhelpful(self, ip: str) -> None:
-        """One that was asked names nobody, or can't be reached: the next one has its turn."""
+        """A node that was asked knows no root or can't be reached: ask the next one soon."""
         group, seeds = self.candidates()
-        soon_s = self.search.skip(ip, self.context.now_s(), [*group, *seeds], self.context.rng)
-        if soon_s is not None:
-            self.context.loop.call_later(soon_s, self.resume)
+        delay_s = self.search.skip(ip, self.context.now_s(), [*group, *seeds], self.context.rng)
+        if delay_s is not None:
+            self.context.loop.call_later(delay_s, self.resume)
--- a/cypressbeam/distribution/root_search.py
+++ b/cypressbeam/distribution/root_search.py
@@ -1,8 +1,9 @@
-"""Whom a node asks for the root of the relays, and when. Pure: times in seconds of a steady clock.
+"""Order and timing of the requests by which a node searches for the root of the tree.
 
-All that may know are asked one after another, a short step apart, whether or not those before have answered: a machine
-that is cut off says nothing, or names nobody, and must not keep the others from their turn. One that names nobody ends
-its step at once. A round is over once all were asked; a new one begins after a pause.
+Does no I/O; times are seconds of a monotonic clock. All nodes that may know the root are asked one after another at
+short intervals, whether or not earlier ones have answered: a partitioned machine does not answer, or knows no root, and
+must not delay the requests to others. A reply without a root ends the interval early. A round ends once all were asked;
+the next one starts after a pause.
 """
 
 from __future__ import annotations
@@ -10,64 +11,64 @@
 import random
 from collections.abc import Sequence
 
-#: Between two that are asked, and after one that names nobody.
+#: Interval between requests, and the range of the random delay after a reply that names no root.
 STEP_INTERVAL_S, SKIP_DELAY_S = 0.1, (0.005, 0.03)
-#: From the last one of a round to the next round.
+#: Range of the random pause between rounds.
 ROUND_PAUSE_S = (0.1, 0.2)
-#: A whole fleet that looks for the root at once asks no more often than this, all nodes and machines together.
+#: Limit of the total request rate when all nodes search for the root at the same time.
 MAX_REQUESTS_PER_S = 6000.0
 
 
 class RootSearch:
-    """One node's search. It goes on over its rounds until it is stopped."""
+    """The search of one node, round after round until `reset` is called."""
 
-    def __init__(self, me: str) -> None:
-        self.own_ip = me
+    def __init__(self, own_ip: str) -> None:
+        self.own_ip = own_ip
         self.asked: set[str] = set()
-        """Who was asked in this round."""
+        """Addresses asked in this round."""
         self.unanswered: set[str] = set()
-        """Those of them that have not answered."""
+        """Those of them that have neither replied without a root nor failed."""
         self.due_s = 0.0
 
     def reset(self) -> None:
-        """The root is found: the next search begins anew, with its first step at once."""
+        """The root was found: the next search starts a new round immediately."""
         self.asked.clear()
         self.unanswered.clear()
         self.due_s = 0.0
 
     def next_target(
-        self, now_s: float, group: Sequence[str], seeds: Sequence[str], fleet: int, rng: random.Random
+        self, now_s: float, group: Sequence[str], seeds: Sequence[str], node_count: int, rng: random.Random
     ) -> str | None:
-        """Whom to ask now: one of the group by chance, then the seeds in their order. `fleet` is the number of nodes,
-        as far as it is known. None: nobody, or not yet."""
+        """The address to ask now: random ones of the group first, then the seeds in order. `node_count` is the number
+        of nodes, 0 while unknown. None if no request is due."""
         if now_s < self.due_s:
             return None
         if not self.remaining([*group, *seeds]):
             self.asked.clear()
-        near = self.remaining(group)
-        target = rng.choice(near) if near else next(iter(self.remaining(seeds)), None)
+        candidates = self.remaining(group)
+        target = rng.choice(candidates) if candidates else next(iter(self.remaining(seeds)), None)
         if target is None:
             return None
         self.asked.add(target)
         self.unanswered.add(target)
-        step_s = max(STEP_INTERVAL_S, fleet / MAX_REQUESTS_PER_S) * rng.uniform(0.8, 1.1)
+        interval_s = max(STEP_INTERVAL_S, node_count / MAX_REQUESTS_PER_S) * rng.uniform(0.8, 1.1)
         if not self.remaining([*group, *seeds]):
-            step_s = max(step_s, rng.uniform(*ROUND_PAUSE_S))
-        self.due_s = now_s + step_s
+            interval_s = max(interval_s, rng.uniform(*ROUND_PAUSE_S))
+        self.due_s = now_s + interval_s
         return target
 
     def remaining(self, known: Sequence[str]) -> list[str]:
-        """Those that were not asked in this round."""
+        """The addresses that were not asked in this round."""
         return [ip for ip in dict.fromkeys(known) if ip != self.own_ip and ip not in self.asked]
 
     def skip(self, ip: str, now_s: float, known: Sequence[str], rng: random.Random) -> float | None:
-        """One that was asked names nobody, or can't be reached: seconds until the next may be asked, if any of those
-        that are known is left in this round, and that is sooner than planned."""
+        """A node that was asked knows no root or can't be reached. Returns the delay until the next request, if any
+        known address is left in this round and that is sooner than planned."""
         if ip not in self.unanswered:
             return None
         self.unanswered.discard(ip)
-        soon_s = rng.uniform(*SKIP_DELAY_S)
-        if not self.remaining(known) or now_s + soon_s >= self.due_s:
+        delay_s = rng.uniform(*SKIP_DELAY_S)
+        if not self.remaining(known) or now_s + delay_s >= self.due_s:
             return None
-        self.due_s = now_s + soon_s
-        return soon_s
+        self.due_s = now_s + delay_s
+        return delay_s
--- a/cypressbeam/distribution/subscription.py
+++ b/cypressbeam/distribution/subscription.py
@@ -1,4 +1,4 @@
-"""A node's subscription to its parent in the distribution tree, and when that parent is given up."""
+"""A node's subscription to its parent in the distribution tree, and the detection of a failed parent."""
 
 from __future__ import annotations
 
@@ -8,95 +8,94 @@
 from cypressbeam.protocol import frames
 from cypressbeam.transport.peers import Link
 
-#: The silence after which a parent is given up: a new one must be found, and the updates taken up, well inside the
-#: bounds of configuration and draining.
+#: A parent that was silent for this long is replaced. Finding a new one and receiving missed updates must fit well
+#: within the deadlines for distributing configurations and drains.
 PARENT_TIMEOUT_S = 1.1
-#: A parent that misses the root's heartbeat itself sends keep-alives. Its children stay with it for so long after the
-#: last heartbeat: a root that is back at once finds the tree as it was. Nodes that hold each other in a circle part
-#: then.
+#: A parent that receives no heartbeats itself sends keep-alives. Its children stay with it for this long after the last
+#: heartbeat, so that the tree survives a short outage of the root. The timeout also breaks up cycles of parents.
 HEARTBEAT_TIMEOUT_S = 1.6
-#: A node that has a parent and no heartbeat for so long looks for the root beside it: that one may lead no more.
+#: A node that has a parent but no heartbeat for this long searches for the root in parallel, because the known root may
+#: no longer lead.
 SEARCH_AFTER_S = PARENT_TIMEOUT_S
-#: A child that lacks something asks for it again after so long.
+#: Interval at which a child repeats the request for state that it lacks.
 REQUEST_INTERVAL_S = 0.3
 
 
 class Subscription:
-    """The parent, what was heard from it, and its place among the assigned parents."""
+    """The parent, when it was last heard, and its index among the assigned parents."""
 
     def __init__(self, context: NodeContext, request: Callable[[], frames.Subscribe]) -> None:
-        """`request` makes the message by which this node subscribes."""
+        """`request` creates the subscription message."""
         self.context = context
         self.request = request
         self.parent: Link | None = None
         self.heard_s = 0.0
-        """When the parent was heard last."""
+        """When the parent was last heard."""
         self.heartbeat_s = 0.0
-        """When a heartbeat of the root came last, or a new parent was taken."""
+        """When the last heartbeat of the root was received, or the parent changed."""
         self.epoch = 0
-        """Of the last heartbeat that was taken."""
+        """Epoch of the last accepted heartbeat."""
         self.source: Link | None = None
-        """The parent, if that came from it since this node subscribed there."""
+        """The parent, if it has sent a heartbeat since this node subscribed to it."""
         self.requested_s = 0.0
-        """When the parent was last asked for what this node lacks."""
+        """When the subscription message was last sent."""
         self.attempted_parents = 0
-        """Parents of the assignment that were tried."""
+        """Index of the parent that was tried last in the assignment; -1 if none of a new assignment was tried."""
         self.silent_parents = 0
-        """Parents that were given up for silence."""
+        """Number of parents that were replaced because of a timeout."""
 
     def subscribe(self, ip: str) -> None:
-        """Subscribe at a node; the old parent goes."""
-        # Let go of first: a parent that is left on purpose is not lost, and must not be reported as lost.
+        """Subscribe to a node, and unsubscribe from the previous parent."""
+        # First, so that the closed connection of the previous parent is not taken, and reported, for a lost parent.
         self.unsubscribe()
         self.heard_s = self.heartbeat_s = self.context.now_s()
         self.parent = self.context.peers.link_to(ip)
-        self.source = None  # what it gave before says nothing: it may be cut off from the root since
-        self.context.peers.bulk_link_to(
-            ip
-        )  # so that it is there when a body is to be fetched, though links are full then
+        self.source = None  # earlier heartbeats don't count: it may have been partitioned from the root since
+        # Connect the bulk connection now: when a body is to be fetched, a saturated link would delay the handshake.
+        self.context.peers.bulk_link_to(ip)
         self.send_request()
 
     def unsubscribe(self) -> Link | None:
-        """Close the connection to the parent; gives it, if there was one."""
+        """Close the connection to the parent; returns it, if there was one."""
         parent, self.parent = self.parent, None
         if parent is not None:
             parent.close()
         return parent
 
     def send_request(self) -> None:
-        """Tell the parent what is here; it sends what is lacking."""
+        """Send the parent the versions that this node has; it replies with newer ones."""
         self.requested_s = self.context.now_s()
         if self.parent is not None:
             self.parent.send(self.request())
 
     def may_repeat_request(self, now_s: float) -> bool:
-        """Whether the last request is long ago."""
+        """Whether the last request was at least `REQUEST_INTERVAL_S` ago."""
         return now_s - self.requested_s >= REQUEST_INTERVAL_S
 
     def parent_ip(self) -> str:
-        """The parent's address, or nothing."""
+        """The parent's address, or an empty string."""
         return self.parent.ip if self.parent is not None else ""
 
     def on_heard(self, ip: str) -> None:
-        """A node lives; it may be the parent."""
+        """A node was heard; it may be the parent."""
         if self.parent is not None and self.parent.ip == ip:
             self.heard_s = self.context.now_s()
 
     def on_heartbeat(self, link: Link, epoch: int, now_s: float) -> None:
-        """The parent has passed on a heartbeat of the root."""
+        """The parent has forwarded a heartbeat of the root."""
         self.heard_s = self.heartbeat_s = now_s
         self.epoch, self.source = epoch, link
 
     def misses_heartbeat(self, now_s: float) -> bool:
-        """Whether the root was not heard, through any parent, for so long that it is to be looked for."""
+        """Whether heartbeats have been missing for so long that the node must search for the root."""
         return now_s - self.heartbeat_s > SEARCH_AFTER_S
 
     def failure(self, now_s: float) -> str | None:
-        """Why the parent is to be given up, if it is."""
+        """The reason to replace the parent, or None."""
         if self.parent is None:
             return None
         if now_s - self.heard_s > PARENT_TIMEOUT_S:
             return "silent"
         if now_s - self.heartbeat_s > HEARTBEAT_TIMEOUT_S:
-            return "alive without a heartbeat of the root"
+            return "no heartbeat of the root"
         return None
--- a/cypressbeam/distribution/tree_node.py
+++ b/cypressbeam/distribution/tree_node.py
@@ -1,7 +1,7 @@
-"""A node's place in the distribution tree: joins the parts of `distribution/`, and handles the tree's messages.
+"""A node of the distribution tree: combines the components of `distribution/`, and handles the tree's messages.
 
-A node registers at the root, subscribes to one of the parents that it is assigned, passes on to its own children what
-comes from there, and takes another parent when that one fails. At the root all that goes down begins here.
+A node registers at the root, subscribes to one of its assigned parents, forwards updates to its own children, and
+switches to another parent when that one fails. The root is the source of all updates.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
 
 TICK_S = 0.1
 
-#: By the type of a message: what handles it, given the connection that it came on.
+#: Handlers by message type, called with the connection that a message was received on.
 Handlers = dict[type[frames.Frame], Callable[[Link, Any], None]]
 
 
 class TreeNode:
-    """The node's end of the tree."""
+    """The components of one node of the tree."""
 
     def __init__(self, settings: Settings, peers: Peers, flags: int) -> None:
         self.context = NodeContext(settings, peers)
@@ -54,7 +54,7 @@
             self.context,
             self.fence,
             self.children.broadcast,
-            self.position.epoch_of_statements,
+            self.position.message_epoch,
             self.subscription.parent_ip,
         )
         self.endpoints = EndpointListReplica()
@@ -63,7 +63,7 @@
         peers.blobs.fetcher.other_sources = self.blob_sources
 
     def handlers(self) -> Handlers:
-        """The messages of the tree, but for `JoinRequest`, which is the core's at the root."""
+        """The handlers of the tree's messages, except for `JoinRequest`, which the root's core handles."""
         return {
             frames.RootHeartbeat: self.on_heartbeat,
             frames.ConfigurationAnnouncement: self.configuration.on_announcement,
@@ -77,11 +77,11 @@
         }
 
     def start(self) -> None:
-        """Begin to search for the root."""
+        """Start the timer, which starts the search for the root."""
         self.tick()
 
     def tick(self) -> None:
-        """Look after the parent, the children and the registration; every `TICK_S`."""
+        """Check the parent, the children and the registration; called every `TICK_S`."""
         self.context.loop.call_later(TICK_S, self.tick)
         now_s = self.context.now_s()
         self.registration.lag.on_tick(now_s, TICK_S)
@@ -101,26 +101,27 @@
     # -- joining -------------------------------------------------------------------------------------------
 
     def register_or_search(self, now_s: float) -> None:
-        """Register anew, or again at the root that feeds this node still; the node registry there is soft state."""
+        """Search for the root if needed, otherwise renew the registration there."""
         if self.position.needs_root(now_s):
             self.locator.search_step(now_s)
         elif self.registration.take_request_slot(now_s):
             self.locator.renew(now_s)
 
     def resume_search(self) -> None:
-        """Go on with the search, if the root is still looked for."""
+        """Continue the search, if the root is still needed."""
         now_s = self.context.now_s()
         if not self.position.is_root and self.position.needs_root(now_s):
             self.locator.search_step(now_s)
 
     def send_registration(self, target: str) -> None:
-        """Send the registration to a node that may be the root, or know it."""
+        """Send the registration to a node that may be the root or know it."""
         self.context.peers.send(target, self.registration.request(self.fence.epoch, self.position.assigned_epoch()))
 
     def on_leader_redirect(self, link: Link, frame: frames.LeaderRedirect) -> None:
-        """Another node names the root, or nobody. One that names a root of an epoch that is over learns that."""
+        """Another node names the root, or says that it knows none. If it names one of an old epoch it is told the
+        current epoch."""
         self.fence.learn_group(frame.group, frame.epoch)
-        # Who names nobody is not answered: two that know no root would go on telling each other.
+        # A redirect without a root is not answered: two nodes that know no root would answer each other endlessly.
         if frame.leader and self.fence.rejects(link, frame.epoch):
             return
         self.fence.observe(frame.epoch)
@@ -133,8 +134,9 @@
         if self.fence.rejects(link, frame.epoch) or self.position.is_root:
             return
         now_s, subscription = self.context.now_s(), self.subscription
-        # The root that feeds it lives, and there is no beat: the way is being mended, and is soon left if it isn't.
-        waits = (
+        # The root is alive but its heartbeats are missing: the path to it is probably being repaired. Keep the parent
+        # for now; it is replaced after HEARTBEAT_TIMEOUT_S otherwise.
+        awaits_heartbeat = (
             subscription.parent is not None
             and subscription.misses_heartbeat(now_s)
             and subscription.epoch == frame.epoch
@@ -144,7 +146,7 @@
         self.registration.assign(frame, now_s)
         self.fence.learn_group(frame.group or frame.chain, frame.epoch)
         self.registration.on_assigned()
-        if waits:
+        if awaits_heartbeat:
             subscription.attempted_parents = -1
             return
         self.locator.search.reset()
@@ -152,19 +154,23 @@
             subscription.attempted_parents = 0
             subscription.subscribe(frame.parents[0])
         elif subscription.epoch < frame.epoch:
-            subscription.send_request()  # the parent may not have heard yet
+            subscription.send_request()  # the parent may not know the new epoch yet
 
     # -- the parent ----------------------------------------------------------------------------------------
 
     def subscribe_request(self) -> frames.Subscribe:
-        """What this node tells its parent that it has."""
-        listing = self.endpoints.endpoints
+        """The subscription message, with the versions that this node has."""
+        endpoints = self.endpoints.endpoints
         return frames.Subscribe(
-            self.context.settings.node, self.configuration.revision, listing.term, listing.sequence, self.fence.epoch
+            self.context.settings.node,
+            self.configuration.revision,
+            endpoints.term,
+            endpoints.sequence,
+            self.fence.epoch,
         )
 
     def leave_parent(self) -> None:
-        """The parent has failed: the next one of the assignment is tried, or the root asked for others."""
+        """The parent has failed: try the next one of the assignment, or ask the root for another assignment."""
         subscription, registration = self.subscription, self.registration
         if subscription.parent is None:
             return
@@ -179,12 +185,12 @@
             and not self.position.is_stale()
         ):
             subscription.subscribe(assignment.parents[subscription.attempted_parents])
-            registration.registered_s = 0.0  # and tell the root who was lost
+            registration.registered_s = 0.0  # renew the registration, to report the lost parent to the root
         else:
             self.locator.forget_if(registration.lost_parent)
 
     def link_lost(self, link: Link) -> None:
-        """A connection is lost: of a child, of the parent, or of one that was asked for the root."""
+        """A connection was lost: to a child, to the parent, or to a node that was asked for the root."""
         self.children.remove(link)
         if link is self.subscription.parent:
             log.info("lost connection to parent %s", link.ip)
@@ -192,23 +198,24 @@
         self.locator.on_unhelpful(link.ip)
 
     def on_unsubscribed(self, link: Link, frame: frames.Unsubscribed) -> None:
-        """The parent feeds this node no more."""
+        """The parent has unsubscribed this node."""
         subscription = self.subscription
         if link is not subscription.parent:
             return
         subscription.parent = None
         if subscription.source is not link:
-            self.registration.lost_parent = link.ip  # it had no beat to give: the root thinks better of it than it is
+            # It has sent no heartbeat: report it, because the root assigned it as a working parent.
+            self.registration.lost_parent = link.ip
         self.locator.forget_if(link.ip)
         self.registration.due_s = 0.0
 
     def on_keep_alive(self, link: Link, frame: frames.KeepAlive) -> None:
-        """The parent lives, though it has no heartbeat to pass on."""
+        """The parent is alive but has no heartbeat to forward."""
         if link is self.subscription.parent:
             self.subscription.heard_s = self.context.now_s()
 
     def on_endpoint_update(self, link: Link, frame: frames.EndpointUpdate) -> None:
-        """The parent sends the list of servers, or changes of it."""
+        """The parent sends the list of servers, or changes to it."""
         if link is not self.subscription.parent or self.fence.rejects(link, frame.epoch):
             return
         changed = self.endpoints.apply(frame)
@@ -219,7 +226,7 @@
             self.endpoints.on_change()
 
     def on_heartbeat(self, link: Link, frame: frames.RootHeartbeat) -> None:
-        """The parent passes on a heartbeat of the root."""
+        """The parent forwards a heartbeat of the root."""
         subscription = self.subscription
         if (
             link is not subscription.parent
@@ -236,20 +243,21 @@
             self.registration.edge_count = frame.edge_count
             self.registration.on_assigned()
         self.configuration.report_lag(frame.revision)
-        lacks = self.configuration.is_missing(frame.revision) or self.endpoints.is_missing(frame)
-        if lacks and subscription.may_repeat_request(now_s):
+        is_behind = self.configuration.is_missing(frame.revision) or self.endpoints.is_missing(frame)
+        if is_behind and subscription.may_repeat_request(now_s):
             subscription.send_request()
 
     def drain(self) -> None:
-        """This node is going to end: others feed its children from now on; updates still come until then."""
+        """This node is going to shut down: its children must find another parent. It still receives updates until
+        then."""
         self.registration.is_draining = True
         if self.locator.root:
             self.context.peers.send(self.locator.root, frames.LeaveNotice(self.context.settings.node))
         self.children.release()
 
     def blob_sources(self) -> list[str]:
-        """Who has the newest version for sure, or soon, whatever the tree is like: the parent, and the core in any
-        order, so that those who turn there together don't all ask one machine."""
+        """Sources that have the newest version, or will soon, independent of the tree: the parent, and the machines of
+        the core in random order, so that nodes that need them at the same time don't all ask the same one."""
         members = [*(self.registration.chain() or self.fence.group)]
         self.context.rng.shuffle(members)
         known = [self.subscription.parent_ip(), *members, self.locator.root]
@@ -257,17 +265,18 @@
 
     # -- at the root ---------------------------------------------------------------------------------------
 
-    def become_root(self, life: int, epoch: int) -> None:
-        """The list of this root's term goes down from here. What an earlier root sent is kept until then."""
+    def become_root(self, term: int, epoch: int) -> None:
+        """Become the root: start a new term of the server list, which replaces the list received from an earlier root,
+        and send heartbeats."""
         self.fence.observe(epoch)
         self.position.is_root = True
-        self.endpoints.begin_term(life)
+        self.endpoints.begin_term(term)
         self.locator.root = self.context.settings.ip
         self.subscription.unsubscribe()
-        self.feed.start_heartbeats(life)
+        self.feed.start_heartbeats(term)
 
     def resign(self) -> None:
-        """Another one is the root by now, or none: children look for it, and so does this node."""
+        """Stop being the root: the children and this node search for the new one."""
         self.position.is_root = False
         self.locator.forget()
         self.registration.due_s = 0.0
--- a/lab/rules_orders.py
+++ b/lab/rules_orders.py
@@ -413,8 +413,8 @@
     orders(
         "an older version is not taken",
         CONFIGURATION_REPLICA,
-        "        if revision <= self.revision:\n            return\n        before",
-        "        before",
+        "        if revision <= self.revision:\n            return\n        base_revision",
+        "        base_revision",
         ROUTES,
     ),
     orders(
--- a/tests/test_fencing_rules.py
+++ b/tests/test_fencing_rules.py
@@ -10,7 +10,7 @@
 
 from cypressbeam.distribution.endpoint_list import EndpointList
 from cypressbeam.distribution.heartbeats import FRESHNESS_S
-from cypressbeam.distribution.node_registry import DEAF_S, NodeRegistry
+from cypressbeam.distribution.node_registry import UNREACHABLE_AFTER_S, NodeRegistry
 from cypressbeam.distribution.outlier_reports import OutlierReports
 from cypressbeam.distribution.registration import RESPONSE_TIMEOUT_S
 from cypressbeam.distribution.subscription import HEARTBEAT_TIMEOUT_S, SEARCH_AFTER_S
@@ -377,7 +377,7 @@
         return registry.order("a")[1].name == first
 
     assert join(1.0, FIRST) and join(1.2, FIRST)
-    assert not join(1.0 + DEAF_S, FIRST) and not join(1.7, FIRST)
+    assert not join(1.0 + UNREACHABLE_AFTER_S, FIRST) and not join(1.7, FIRST)
     assert join(1.8, SECOND)
     assert join(3.0, FIRST) and join(6.0, FIRST)  # no longer again and again: the answers came between
 
@@ -385,6 +385,6 @@
 def test_the_root_itself_is_named_by_its_own_address() -> None:
     async def scenario() -> None:
         part = Part().lead(SECOND)
-        assert part.relay.position.known_leader() == ME and part.relay.position.epoch_of_statements() == SECOND
+        assert part.relay.position.known_leader() == ME and part.relay.position.message_epoch() == SECOND
 
     run(scenario())
--- a/tests/test_fetches.py
+++ b/tests/test_fetches.py
@@ -228,7 +228,7 @@
             assert link is not None
             with caplog.at_level(logging.WARNING):
                 cluster.at(child, child.tree.configuration.on_delta, link, frame)
-            assert link.closed and "an update of" in caplog.text
+            assert link.closed and "invalid configuration delta" in caplog.text
             cluster.run(asyncio.sleep(2.0))
         assert child.tree.configuration.revision == 1
     finally:
@@ -277,9 +277,9 @@
                     cluster.at(node, node.tree.configuration.publish, 2, cluster.configuration(2))
             cluster.run(asyncio.sleep(4.0))
         assert child.tree.configuration.revision == 1
-        told = [record.message for record in caplog.records if "behind for" in record.message]
+        told = [record.message for record in caplog.records if "configuration outdated for" in record.message]
         assert len(told) == len(cluster.edges)
-        assert all("version 1 is here, 2 is known of" in text and "last request" in text for text in told)
+        assert all("revision 1 here, newest known 2" in text and "last request" in text for text in told)
     finally:
         cluster.close()
 
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -31,7 +31,7 @@
     detector.report("n1", "a", ["s1"], LISTED, 10.0)
     assert detector.report("n2", "a", ["s1"], LISTED, 10.1 + WINDOW_S) == []
     detector.report("n2", "a", ["s1"], LISTED, 11.0 + WINDOW_S)
-    detector.forget(100.0)
+    detector.expire(100.0)
     assert not detector.reports and not detector.ejected
 
 
