--- a/lab/rules_fencing.py
+++ b/lab/rules_fencing.py
@@ -25,14 +25,14 @@
 )
 from lab.rules import Rule
 
-FENCING = ("tests/test_fencing_rules.py", "tests/test_word_rules.py")
-SEARCHES = (
+FENCING_TESTS = ("tests/test_fencing_rules.py", "tests/test_word_rules.py")
+SEARCH_TESTS = (
     "tests/test_cuts.py::test_search_round_over_silent_nodes_ends_in_time",
     "tests/test_cuts.py::test_reply_without_a_root_ends_the_interval_only_once",
     "tests/test_cuts.py::test_request_rate_of_a_large_system_searching_for_the_root_is_limited",
 )
-REJOINING = ("tests/test_cuts.py::test_node_reports_a_parent_that_is_partitioned_from_the_root",)
-MEMBERSHIP = (
+PARTITION_TESTS = ("tests/test_cuts.py::test_node_reports_a_parent_that_is_partitioned_from_the_root",)
+MEMBERSHIP_TESTS = (
     "tests/test_members.py::test_a_change_that_cannot_be_is_refused_with_its_reason",
     "tests/test_members.py::test_a_replacement_is_an_add_and_then_a_remove_and_its_order_may_be_sent_at_any_time",
     "tests/test_members.py::test_a_view_is_changed_to_one_other_group_only_and_not_by_a_head_that_has_forgotten",
@@ -40,11 +40,11 @@
 )
 
 
-def fencing(name: str, file: str, text: str, instead: str, tests: tuple[str, ...] = FENCING) -> Rule:
+def fencing(name: str, file: str, text: str, instead: str, tests: tuple[str, ...] = FENCING_TESTS) -> Rule:
     return Rule(name, "fencing", file, text, instead, tests)
 
 
-def members(name: str, file: str, text: str, instead: str, tests: tuple[str, ...] = MEMBERSHIP) -> Rule:
+def members(name: str, file: str, text: str, instead: str, tests: tuple[str, ...] = MEMBERSHIP_TESTS) -> Rule:
     return Rule(name, "members", file, text, instead, tests)
 
 
@@ -485,24 +485,28 @@
         SUBSCRIPTION,
         "        self.source = None  # earlier heartbeats don't count: it may have been partitioned from the root since\n",
         "",
-        REJOINING,
+        PARTITION_TESTS,
     ),
     fencing(
         "the search does not wait for answers",
         SEARCH,
         "interval_s = max(STEP_INTERVAL_S, node_count / MAX_REQUESTS_PER_S)",
         "interval_s = 10 * max(STEP_INTERVAL_S, node_count / MAX_REQUESTS_PER_S)",
-        SEARCHES,
+        SEARCH_TESTS,
     ),
     fencing(
         "the nodes of a large system search at a lower rate",
         SEARCH,
         "max(STEP_INTERVAL_S, node_count / MAX_REQUESTS_PER_S)",
         "STEP_INTERVAL_S",
-        SEARCHES,
+        SEARCH_TESTS,
+    ),
+    fencing(
+        "a reply without a root ends the interval", SEARCH, "        self.due_s = now_s + delay_s\n", "", SEARCH_TESTS
+    ),
+    fencing(
+        "a reply without a root counts only once", SEARCH, "        self.unanswered.discard(ip)\n", "", SEARCH_TESTS
     ),
-    fencing("a reply without a root ends the interval", SEARCH, "        self.due_s = now_s + delay_s\n", "", SEARCHES),
-    fencing("a reply without a root counts only once", SEARCH, "        self.unanswered.discard(ip)\n", "", SEARCHES),
     fencing("an isolated node rejects control calls immediately", CONTROL, "if self.is_isolated():", "if False:"),
     fencing(
         "a node is isolated only after hearing from no core machine or seed for a while",
