--- a/cypressbeam/distribution/node_registry.py
+++ b/cypressbeam/distribution/node_registry.py
@@ -49,7 +49,7 @@
     """Time of the first of several registrations that did not acknowledge the root's answers."""
     is_unreachable: bool = False
 
-    def is_doubtful(self) -> bool:
+    def is_unreliable(self) -> bool:
         """Whether the node should not get children."""
         return self.is_suspected or self.is_unreachable
 
@@ -98,11 +98,11 @@
             frame.flags,
             frame.kbps,
         ):
-            before = record.is_doubtful()
+            before = record.is_unreliable()
             record.note_acknowledgement(frame.acknowledged_epoch, now_s)
             record.seen_s = now_s
             record.is_suspected = False
-            self.stale = self.stale or record.is_doubtful() is not before
+            self.stale = self.stale or record.is_unreliable() is not before
         else:
             self.remove(frame.name)
             self.add(
@@ -163,7 +163,7 @@
                 in_zone,
                 key=lambda record: (
                     record.name != self.own_name,
-                    record.is_doubtful() or bool(record.flags & frames.IS_OVERLOADED),
+                    record.is_unreliable() or bool(record.flags & frames.IS_OVERLOADED),
                     -record.kbps,
                     weight("tree", record.name),
                 ),
@@ -176,7 +176,7 @@
         precedes its children in the zone's order, and the first node's parent is the root."""
         index = self.order(record.zone).index(record)
         parent = self.parents_by_zone[record.zone][index]
-        if parent is None or parent.is_doubtful() or parent.ip == root:
+        if parent is None or parent.is_unreliable() or parent.ip == root:
             return (root,)
         return (parent.ip, root)
 
--- a/cypressbeam/distribution/outlier_reports.py
+++ b/cypressbeam/distribution/outlier_reports.py
@@ -34,7 +34,10 @@
 
     def handlers(self) -> Handlers:
         """The messages of the outlier detection."""
-        return {frames.OutlierReport: lambda link, frame: self.pass_up(frame), frames.OutlierEjection: self.on_ejection}
+        return {
+            frames.OutlierReport: lambda link, frame: self.forward_to_root(frame),
+            frames.OutlierEjection: self.on_ejection,
+        }
 
     def record_failure(self, server: str) -> None:
         """Record a server that has failed a request of this node."""
@@ -46,9 +49,9 @@
         """Report the servers that failed since the last report."""
         servers, self.failed_servers = tuple(self.failed_servers)[:MAX_REPORTED], {}
         settings = self.context.settings
-        self.pass_up(frames.OutlierReport(0, settings.node, settings.zone, servers))
+        self.forward_to_root(frames.OutlierReport(0, settings.node, settings.zone, servers))
 
-    def pass_up(self, frame: frames.OutlierReport) -> None:
+    def forward_to_root(self, frame: frames.OutlierReport) -> None:
         """Forward a report towards the root. `MAX_HOPS` stops it if parents temporarily form a cycle."""
         if self.tree.position.is_root:
             self.evaluate(frame)
--- a/cypressbeam/transport/blobs/fetcher.py
+++ b/cypressbeam/transport/blobs/fetcher.py
@@ -159,7 +159,7 @@
             bases = b"".join(self.store.blobs)
         link.send(frames.ChunkRequest(blob_digest, bases, offset, fetch.window))
 
-    def request_elsewhere(self, blob_digest: bytes, fetch: Fetch) -> None:
+    def request_from_next_source(self, blob_digest: bytes, fetch: Fetch) -> None:
         """Switch to the next source, with a larger window because each one takes long now. Chunks that the previous
         source still sends are accepted."""
         fetch.retries += 1
@@ -182,7 +182,7 @@
                 log.warning("blob %s: giving up the fetch, no source sends it", blob_digest.hex()[:8])
                 del self.fetches[blob_digest]
             elif now_s >= fetch.due_s:
-                self.request_elsewhere(blob_digest, fetch)
+                self.request_from_next_source(blob_digest, fetch)
 
     def on_chunk(self, link: Connection, frame: frames.Chunk) -> None:
         """A chunk was received."""
@@ -257,12 +257,12 @@
             log.error("blob %s from %s is corrupt: %s", blob_digest.hex()[:8], fetch.sources[0], err)
             fetch.restart()
             fetch.without_base = True
-            self.request_elsewhere(blob_digest, fetch)
+            self.request_from_next_source(blob_digest, fetch)
             return
         self.store.put_packed((blob_digest, fetch.base), bytes(fetch.data))
-        self.arrived(blob_digest, body)
+        self.store_and_deliver(blob_digest, body)
 
-    def arrived(self, blob_digest: bytes, body: bytes) -> None:
+    def store_and_deliver(self, blob_digest: bytes, body: bytes) -> None:
         """Store a body and pass it to all callbacks that wait for it."""
         fetch = self.fetches.pop(blob_digest, None)
         self.store.put(body)
@@ -283,7 +283,7 @@
             log.error("blob %s: inline delta is corrupt: %s", blob_digest.hex()[:8], err)
             return None
         self.store.put_packed((blob_digest, base), data)
-        self.arrived(blob_digest, body)
+        self.store_and_deliver(blob_digest, body)
         return body
 
     def link_lost(self, link: Connection) -> None:
--- a/lab/fetches.py
+++ b/lab/fetches.py
@@ -249,13 +249,13 @@
 @contextlib.contextmanager
 def fault(name: str) -> Iterator[None]:
     """With what bounds a fetch left out: it is asked of its first source alone. None for any other name."""
-    saved = Fetcher.request_elsewhere
+    saved = Fetcher.request_from_next_source
     try:
         if name == FAULT:
-            Fetcher.request_elsewhere = Fetcher.request  # type: ignore[method-assign]
+            Fetcher.request_from_next_source = Fetcher.request  # type: ignore[method-assign]
         yield
     finally:
-        Fetcher.request_elsewhere = saved  # type: ignore[method-assign]
+        Fetcher.request_from_next_source = saved  # type: ignore[method-assign]
 
 
 def table(seeds: int) -> tuple[str, bool]:
--- a/lab/packed_blobs.py
+++ b/lab/packed_blobs.py
@@ -116,12 +116,12 @@
         self.ranks: dict[str, tuple[tuple[bool, bool, int, int], str]] = {}
 
     def rank(self, known: NodeRecord) -> tuple[tuple[bool, bool, int, int], str]:
-        slow = known.is_doubtful() or bool(known.flags & frames.IS_OVERLOADED)
+        slow = known.is_unreliable() or bool(known.flags & frames.IS_OVERLOADED)
         return (known.name != self.own_name, slow, -known.kbps, weight("tree", known.name)), known.name
 
     def register(self, frame: frames.JoinRequest, now_s: float, epoch: int = 0) -> None:
         known = self.nodes.get(frame.name)
-        doubted = bool(frame.lost_parent) or (known is not None and known.is_doubtful())
+        doubted = bool(frame.lost_parent) or (known is not None and known.is_unreliable())
         if (
             known is None
             or doubted
@@ -134,7 +134,7 @@
             known.note_acknowledgement(frame.acknowledged_epoch, now_s)
             known.seen_s = now_s
             self.enlist(known)
-            if known.is_doubtful():
+            if known.is_unreliable():
                 self.enlist(known)
 
     def enlist(self, known: NodeRecord) -> None:
@@ -181,7 +181,7 @@
             self.parents_by_zone[known.zone] = assign_parents(self.order(known.zone))
         at = bisect_left(self.sorted[known.zone], self.ranks[known.name])
         feeder = self.parents_by_zone[known.zone][at]
-        return (root,) if feeder is None or feeder.is_doubtful() or feeder.ip == root else (feeder.ip, root)
+        return (root,) if feeder is None or feeder.is_unreliable() or feeder.ip == root else (feeder.ip, root)
 
     def probed_peers(self, known: NodeRecord) -> list[NodeRecord]:
         at = bisect_right(self.ring, (weight("ring", known.name), known.name))
--- a/tests/test_added_routes.py
+++ b/tests/test_added_routes.py
@@ -172,7 +172,7 @@
         relay.configuration.on_announcement(link, frames.ConfigurationAnnouncement(4, digest(bodies[0]), 512))
         assert relay.configuration.transfer.digest == digest(bodies[0]) and not taken
         relay.configuration.publish(6, bodies[2])
-        relay.configuration.fetcher.arrived(digest(bodies[0]), bodies[0])
+        relay.configuration.fetcher.store_and_deliver(digest(bodies[0]), bodies[0])
         relay.configuration.complete_fetch(5, bodies[1], link.ip)
         assert taken == [6] and relay.configuration.body == bodies[2]
 
--- a/tests/test_word_rules.py
+++ b/tests/test_word_rules.py
@@ -21,30 +21,30 @@
 from cypressbeam.storage.store import LoadedState
 from cypressbeam.transport.peers import Link
 from tests.loopback import run
-from tests.parts import FIRST, ME, OTHER, ROOT, SECOND, SETTINGS, THIRD, Part, Wire
+from tests.parts import EPOCH_1, EPOCH_2, EPOCH_3, OTHER_IP, OWN_IP, ROOT_IP, SETTINGS, RecordingLink, TreeNodeHarness
 
-VIEW = View(SECOND, (f"{OTHER}/b", f"{ME}/a"), (f"{ME}/a", f"{OTHER}/b", f"{ROOT}/c"))
+VIEW = View(EPOCH_2, (f"{OTHER_IP}/b", f"{OWN_IP}/a"), (f"{OWN_IP}/a", f"{OTHER_IP}/b", f"{ROOT_IP}/c"))
 
 
-class Machine(Part):
+class Machine(TreeNodeHarness):
     """A machine with a disk, the tail of its chain, whose replica says what a test wants it to say."""
 
     def __init__(self) -> None:
         super().__init__()
         self.contact_s, self.leads, self.proposed = self.now_s, True, 0
         self.told: list[tuple[str, frames.Frame]] = []
-        self.core = CoreMachine(SETTINGS, self.relay, lambda ip, frame: self.told.append((ip, frame)), Mock())
-        self.core.loop = self.core.leader_role.loop = self.relay.context.loop
-        self.heard = {OTHER: SimpleNamespace(epoch=SECOND), ROOT: SimpleNamespace(epoch=SECOND)}
-        self.state = ReplicaState(f"{ME}/a", 1, len, bytes)
-        self.state.view, self.state.highest_epoch = VIEW, SECOND
+        self.core = CoreMachine(SETTINGS, self.tree, lambda ip, frame: self.told.append((ip, frame)), Mock())
+        self.core.loop = self.core.leader_role.loop = self.tree.context.loop
+        self.heard = {OTHER_IP: SimpleNamespace(epoch=EPOCH_2), ROOT_IP: SimpleNamespace(epoch=EPOCH_2)}
+        self.state = ReplicaState(f"{OWN_IP}/a", 1, len, bytes)
+        self.state.view, self.state.highest_epoch = VIEW, EPOCH_2
         detector = SimpleNamespace(
             peers=self.heard, has_quorum_contact=lambda now_s: now_s - self.contact_s <= FAILURE_TIMEOUT_S
         )
         self.replica: Any = SimpleNamespace(
-            name=f"{ME}/a",
+            name=f"{OWN_IP}/a",
             state=self.state,
-            voter=SimpleNamespace(promised=SECOND),
+            voter=SimpleNamespace(promised=EPOCH_2),
             leadership=SimpleNamespace(is_leader=True, leads=lambda now_s: self.leads),
             failure_detector=detector,
             proposer=SimpleNamespace(proposal=None, propose=self.propose),
@@ -57,14 +57,14 @@
 
     def as_root(self) -> Machine:
         self.core.set_leadership(True)
-        assert self.relay.position.is_root
+        assert self.tree.position.is_root
         self.told.clear()
         return self
 
 
 @pytest.mark.parametrize(
     ("why", "named"),
-    [("", ME), ("no majority", ""), ("a later view", ""), ("a later promise", ""), ("a higher epoch", "")],
+    [("", OWN_IP), ("no majority", ""), ("a later view", ""), ("a later promise", ""), ("a higher epoch", "")],
 )
 def test_a_machine_names_the_root_only_with_a_majority_and_without_a_later_epoch(why: str, named: str) -> None:
     async def scenario() -> None:
@@ -73,11 +73,11 @@
         if why == "no majority":
             machine.now_s += FAILURE_TIMEOUT_S + 0.01
         elif why == "a later view":
-            machine.heard[ROOT].epoch = THIRD
+            machine.heard[ROOT_IP].epoch = EPOCH_3
         elif why == "a later promise":
-            machine.replica.voter.promised = THIRD
+            machine.replica.voter.promised = EPOCH_3
         elif why == "a higher epoch":
-            machine.relay.fence.observe(THIRD)
+            machine.tree.fence.observe(EPOCH_3)
         assert machine.core.vouched_leader() == named
 
     run(scenario())
@@ -88,8 +88,8 @@
         machine = Machine()
         machine.state.view = replace(VIEW, group=VIEW.group[1:])
         assert machine.core.vouched_leader() == ""
-        machine.under(SECOND)
-        assert machine.core.vouched_leader() == ROOT
+        machine.join_root(EPOCH_2)
+        assert machine.core.vouched_leader() == ROOT_IP
 
     run(scenario())
 
@@ -99,10 +99,10 @@
         machine = Machine()
         machine.leads = False
         machine.core.observe_epoch()
-        assert machine.relay.fence.epoch == 0 and machine.relay.fence.group == (ME, OTHER, ROOT)
+        assert machine.tree.fence.epoch == 0 and machine.tree.fence.group == (OWN_IP, OTHER_IP, ROOT_IP)
         machine.leads = True
         machine.core.observe_epoch()
-        assert machine.relay.fence.epoch == SECOND
+        assert machine.tree.fence.epoch == EPOCH_2
 
     run(scenario())
 
@@ -110,11 +110,11 @@
 def test_a_root_that_is_over_resigns_as_it_sees_a_higher_epoch() -> None:
     async def scenario() -> None:
         machine = Machine().as_root()
-        link = machine.child(SECOND)
-        machine.relay.fence.observe(THIRD)
-        assert not machine.relay.position.is_root and link.kinds()[-1] == "Unsubscribed"
+        link = machine.child(EPOCH_2)
+        machine.tree.fence.observe(EPOCH_3)
+        assert not machine.tree.position.is_root and link.kinds()[-1] == "Unsubscribed"
         machine.core.set_leadership(True)
-        assert not machine.relay.position.is_root
+        assert not machine.tree.position.is_root
 
     run(scenario())
 
@@ -122,11 +122,11 @@
 def test_a_root_whose_own_view_is_the_higher_one_stays_it_and_tells_so_at_once() -> None:
     async def scenario() -> None:
         machine = Machine().as_root()
-        link = machine.child(SECOND)
-        machine.state.view = replace(VIEW, epoch=THIRD)
-        machine.relay.fence.observe(THIRD)
-        assert machine.relay.position.is_root and link in machine.relay.children.links
-        assert isinstance(link.sent[-1], frames.RootHeartbeat) and link.sent[-1].epoch == THIRD
+        link = machine.child(EPOCH_2)
+        machine.state.view = replace(VIEW, epoch=EPOCH_3)
+        machine.tree.fence.observe(EPOCH_3)
+        assert machine.tree.position.is_root and link in machine.tree.children.links
+        assert isinstance(link.sent[-1], frames.RootHeartbeat) and link.sent[-1].epoch == EPOCH_3
 
     run(scenario())
 
@@ -134,15 +134,15 @@
 def test_a_tail_below_what_nodes_have_seen_is_no_root_and_proposes_a_view_above_that() -> None:
     async def scenario() -> None:
         machine = Machine()
-        machine.relay.fence.observe(THIRD)
+        machine.tree.fence.observe(EPOCH_3)
         machine.core.follow_leadership(machine.replica, machine.now_s)
-        assert not machine.relay.position.is_root
+        assert not machine.tree.position.is_root
         machine.now_s += HIGHER_EPOCH_S - 0.1
         machine.core.follow_leadership(machine.replica, machine.now_s)
         assert not machine.proposed
         machine.now_s += 0.1
         machine.core.follow_leadership(machine.replica, machine.now_s)
-        assert machine.proposed >= THIRD and not machine.relay.position.is_root
+        assert machine.proposed >= EPOCH_3 and not machine.tree.position.is_root
 
     run(scenario())
 
@@ -152,7 +152,7 @@
         machine = Machine().as_root()
         machine.replica.leadership.is_leader = False
         machine.core.follow_leadership(machine.replica, machine.now_s)
-        assert not machine.relay.position.is_root
+        assert not machine.tree.position.is_root
 
     run(scenario())
 
@@ -161,18 +161,18 @@
 def test_a_root_places_nodes_takes_up_the_list_and_introduces_itself_only_with_a_majority(contact: bool) -> None:
     async def scenario() -> None:
         machine = Machine().as_root()
-        child, link = machine.child(SECOND), machine.wire("10.0.0.30")
+        child, link = machine.child(EPOCH_2), machine.link("10.0.0.30")
         child.sent.clear()
         if not contact:
             machine.now_s += FAILURE_TIMEOUT_S + 0.01
         machine.core.last_turn_s = machine.now_s
-        machine.core.on_join(link, frames.JoinRequest("x", link.ip, "a", frames.SERVES_CLIENTS, 0, "", epoch=SECOND))
+        machine.core.on_join(link, frames.JoinRequest("x", link.ip, "a", frames.SERVES_CLIENTS, 0, "", epoch=EPOCH_2))
         machine.core.take_list([])
         machine.core.leader_role.introduce(machine.now_s + INTRODUCTION_INTERVAL_S)
         assert link.kinds() == (["ParentAssignment"] if contact else ["LeaderRedirect"])
         assert child.kinds() == (["EndpointUpdate"] if contact else [])
         assert [type(frame) for _, frame in machine.told] == ([frames.LeaderRedirect] if contact else [])
-        assert all(cast(Any, frame).epoch == SECOND for frame in [*link.sent, *child.sent])
+        assert all(cast(Any, frame).epoch == EPOCH_2 for frame in [*link.sent, *child.sent])
 
     run(scenario())
 
@@ -180,20 +180,20 @@
 def test_servers_that_fail_for_many_are_told_under_the_root_s_epoch() -> None:
     async def scenario() -> None:
         machine = Machine().as_root()
-        link = machine.child(SECOND)
-        reports = OutlierReports(machine.relay.context, machine.relay, lambda servers: None)
+        link = machine.child(EPOCH_2)
+        reports = OutlierReports(machine.tree.context, machine.tree, lambda servers: None)
         reports.detector = cast(Any, SimpleNamespace(report=lambda *_: ["s"]))
-        reports.pass_up(frames.OutlierReport(0, "x", "a", ("s",)))
-        assert link.sent[-1] == frames.OutlierEjection("a", ("s",), SECOND)
+        reports.forward_to_root(frames.OutlierReport(0, "x", "a", ("s",)))
+        assert link.sent[-1] == frames.OutlierEjection("a", ("s",), EPOCH_2)
 
     run(scenario())
 
 
 def test_a_frame_with_an_epoch_that_cannot_be_closes_its_link() -> None:
     async def scenario() -> None:
-        part = Part()
-        for epoch, closed in ((0, False), (FIRST, False), (1, True), (255, True), (2**48 + 1, True)):
-            link = Link(part.peers, OTHER)
+        part = TreeNodeHarness()
+        for epoch, closed in ((0, False), (EPOCH_1, False), (1, True), (255, True), (2**48 + 1, True)):
+            link = Link(part.peers, OTHER_IP)
             data = frames.LeaderRedirect("", epoch).pack()
             link.data_received(data)
             assert link.closed is closed, epoch
@@ -207,20 +207,20 @@
 )
 def test_a_node_that_reaches_nobody_refuses_control_calls_at_once(why: str, alone: bool) -> None:
     async def scenario() -> None:
-        part = Part().under(SECOND)
+        part = TreeNodeHarness().join_root(EPOCH_2)
         if why != "a parent":
-            part.relay.subscription.parent = None
+            part.tree.subscription.parent = None
         part.now_s += ISOLATED_AFTER_S + (-0.1 if why == "a moment only" else 0.1)
-        part.peers.last_heard_s = {OTHER: part.now_s - 1.0} if why == "heard lately" else {}
+        part.peers.last_heard_s = {OTHER_IP: part.now_s - 1.0} if why == "heard lately" else {}
         node = SimpleNamespace(
-            tree=part.relay,
+            tree=part.tree,
             core=Mock() if why == "of the core" else None,
             peers=part.peers,
-            loop=part.relay.context.loop,
+            loop=part.tree.context.loop,
         )
         assert GatewayNode.is_isolated(cast(Any, node)) is alone
-        control = ControlApi(ME, lambda: (ROOT,), lambda ip, frame: None, Mock(), is_isolated=lambda: alone)
-        answer = control.submit(frames.ReadRequest(1, ME), Mock())
+        control = ControlApi(OWN_IP, lambda: (ROOT_IP,), lambda ip, frame: None, Mock(), is_isolated=lambda: alone)
+        answer = control.submit(frames.ReadRequest(1, OWN_IP), Mock())
         assert (answer is not None and answer.status == 503) is alone
         control.calls.clear()
 
@@ -240,8 +240,8 @@
 
 def test_a_wire_keeps_what_it_is_given() -> None:
     async def scenario() -> None:
-        wire = Wire(Part().peers, OTHER)
-        wire.send_packed(frames.KeepAlive().pack())
-        assert wire.sent == [frames.KeepAlive()]
+        link = RecordingLink(TreeNodeHarness().peers, OTHER_IP)
+        link.send_packed(frames.KeepAlive().pack())
+        assert link.sent == [frames.KeepAlive()]
 
     run(scenario())
