--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,7 @@
-"""Wrong caller, sent twice: the table of attempts, all states of an attempt with all that may end it, and chance."""
+"""Attempts: the outcome table, every state of an attempt with every event that may end it, and random sequences.
+
+They guard against a response that reaches the wrong client and against a request that is executed twice.
+"""
 
 from __future__ import annotations
 
@@ -29,10 +32,10 @@
 
 pytestmark = pytest.mark.usefixtures("quiet")
 
-# -- the table -------------------------------------------------------------------------------------------------
+# -- outcome table ------------------------------------------------------------------------------------------------
 
 PAGE = Path(__file__).parent.parent / "docs" / "design" / "attempts.md"
-ROWS = [
+TABLE_KEYS = [
     (sent, cause, reply)
     for sent, cause, reply in itertools.product(SendProgress, EndCause, [None, *ReplyKind])
     if (reply is not None) == (cause is EndCause.ANSWERED)
@@ -40,43 +43,43 @@
 ]
 
 
-@pytest.mark.parametrize(("sent", "cause", "reply"), ROWS)
-def test_only_proof_or_nothing_sent_says_that_a_request_did_not_run(
+@pytest.mark.parametrize(("sent", "cause", "reply"), TABLE_KEYS)
+def test_a_request_counts_as_not_executed_only_with_proof_or_if_nothing_was_sent(
     sent: SendProgress, cause: EndCause, reply: ReplyKind | None
 ) -> None:
-    known = result_of(sent, cause, reply)
+    result = result_of(sent, cause, reply)
     proven = reply in (ReplyKind.NOT_EXECUTED, ReplyKind.MISDIRECTED)
-    assert known.may_have_run is not (sent is SendProgress.NOTHING or proven)
-    assert known.ending not in NEVER_RAN or not known.may_have_run  # the decision module reads the ending alone
-    assert (known.ending is AttemptOutcome.OK) == (reply is ReplyKind.SUCCESS and sent is not SendProgress.NOTHING)
-    assert not known.reusable or (
+    assert result.may_have_run is not (sent is SendProgress.NOTHING or proven)
+    assert result.ending not in NEVER_RAN or not result.may_have_run  # the balancer sees only the outcome
+    assert (result.ending is AttemptOutcome.OK) == (reply is ReplyKind.SUCCESS and sent is not SendProgress.NOTHING)
+    assert not result.reusable or (
         sent is SendProgress.WHOLE and cause is EndCause.ANSWERED and reply is not ReplyKind.MISDIRECTED
     )
 
 
-def test_what_cannot_be_is_no_row() -> None:
+def test_an_impossible_combination_raises_key_error() -> None:
     with pytest.raises(KeyError):
         result_of(SendProgress.WHOLE, EndCause.NO_CONNECTION)
     with pytest.raises(KeyError):
         result_of(SendProgress.WHOLE, EndCause.ANSWERED)
 
 
-def test_the_page_says_what_the_code_does() -> None:
+def test_the_design_page_matches_the_table() -> None:
     rows = re.findall(
         r"^\| (nothing|part|whole) \| ([a-z ]+?)(?:: ([a-z ]+))? \| (\w+) \| (yes|no) \| (yes|no) \|",
         PAGE.read_text(encoding="utf-8"),
         re.MULTILINE,
     )
-    told = {
+    documented = {
         (SendProgress(sent), EndCause(cause), ReplyKind(reply) if reply else None): AttemptResult(
-            AttemptOutcome(ending), ran == "yes", again == "yes"
+            AttemptOutcome(ending), executed == "yes", reusable == "yes"
         )
-        for sent, cause, reply, ending, ran, again in rows
+        for sent, cause, reply, ending, executed, reusable in rows
     }
-    assert len(told) == len(rows) and told == {row: result_of(*row) for row in ROWS}
+    assert len(documented) == len(rows) and documented == {row: result_of(*row) for row in TABLE_KEYS}
 
 
-def test_a_promise_is_given_only_where_none_may_have_run_or_a_repeat_does_no_harm() -> None:
+def test_a_not_executed_status_requires_that_no_attempt_ran_or_that_the_request_is_idempotent() -> None:
     for status in (408, 421, 429, 503):
         assert may_answer_status(status, False, []) and may_answer_status(status, False, [False, False])
         assert not may_answer_status(status, False, [False, True]) and may_answer_status(status, True, [True])
@@ -90,15 +93,15 @@
     }
 
 
-# -- states, storms and faults of lab/attempt*.py ----------------------------------------------------------------
+# -- states, random sequences and faults of lab/attempt*.py ----------------------------------------------------
 
 
 @pytest.mark.parametrize("sent", list(SendProgress))
 @pytest.mark.parametrize("kind", ["read", "book"])
-def test_every_state_of_an_attempt_with_every_end_is_as_the_table_says(kind: str, sent: SendProgress) -> None:
-    chosen = [state for state in states() if state.kind == kind and state.sent is sent]
-    assert chosen or (kind, sent) == ("read", SendProgress.PART)
-    for state in chosen:
+def test_every_attempt_state_and_event_matches_the_table(kind: str, sent: SendProgress) -> None:
+    matching = [state for state in states() if state.kind == kind and state.sent is sent]
+    assert matching or (kind, sent) == ("read", SendProgress.PART)
+    for state in matching:
         walk(state)
 
 
@@ -107,33 +110,33 @@
 
 @settings(max_examples=100, suppress_health_check=[HealthCheck.too_slow])
 @given(steps)
-def test_nobody_gets_what_is_anothers_and_nothing_runs_twice_whatever_servers_do(taken: list[Step]) -> None:
-    storm(taken)
+def test_random_server_behaviour_never_mixes_up_responses_or_repeats_unsafe_requests(sequence: list[Step]) -> None:
+    storm(sequence)
 
 
-def test_a_false_promise_does_not_leave_the_gate(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_unproven_not_executed_status_is_not_sent_to_the_client(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Gateway, "failure", lambda self, request: Answer(503))
     for event in ("close", "garbage", "503"):
         walk(State("book", "fresh", SendProgress.WHOLE, "none", event))
 
 
 @pytest.mark.parametrize("name", FAULTS)
-def test_the_walk_finds_each_fault_that_is_put_in(name: str) -> None:
+def test_the_state_search_finds_each_injected_fault(name: str) -> None:
     with fault(name):
         found = search_states()
     assert found is not None and found[0] <= (330 if name in CHECKS_LEFT_OUT else 150)
 
 
-#: Storms that bring these about are rare, or break no rule (bytes left behind, no look at idle connections).
-RARE = {
+#: Few random sequences cause these, or they break no rule (unread trailing bytes, unchecked idle connections).
+RARELY_FOUND = {
     "leave-bytes-behind",
     "take-the-same-connection",
     "look-at-no-idle-connection",
     "take-a-reset-for-the-end",
     "take-any-close-for-the-end",
 }
-#: The first storms to play, of those that take more than 60 to find it.
-FIRST = {
+#: The first seed to run for faults that take more than 60 sequences to find.
+FIRST_SEEDS = {
     "let-heads-grow-together": 200,
     "read-any-status": 90,
     "take-an-empty-server-seal": 300,
@@ -142,8 +145,8 @@
 }
 
 
-@pytest.mark.parametrize("name", sorted(FAULTS.keys() - RARE))
-def test_storms_find_what_breaks_a_rule(name: str) -> None:
-    first = FIRST.get(name, 0)
+@pytest.mark.parametrize("name", sorted(FAULTS.keys() - RARELY_FOUND))
+def test_random_sequences_find_each_fault_that_breaks_a_rule(name: str) -> None:
+    first = FIRST_SEEDS.get(name, 0)
     found = search_with((name, range(first, first + 60)))
     assert found is not None and re.match(r"TWICE|REFUSED|MIXED", found[1])
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -1,4 +1,4 @@
-"""What a success must bear: each check by itself, and streams of answers through the real gate, in any pieces."""
+"""Checks of a success: each one separately, and response streams through the real gateway, split at any byte."""
 
 from __future__ import annotations
 
@@ -24,40 +24,40 @@
 
 pytestmark = pytest.mark.usefixtures("quiet")
 
-SEAL, LENGTH = (b"Server-Seal", b"a.b"), (b"Content-Length", b"1")
-COPY = b"HTTP/1.1 200 OK\r\nServer-Seal: a.b\r\nContent-Length: 2\r\n\r\nok"
-PART, HEAD = RequestContext(has_range=True), RequestContext(no_body=True)
-CODING = (b"Content-Encoding", b"identity")
-RANGE = (b"Content-Range", b"bytes 0-0/2")
+SERVER_SEAL, CONTENT_LENGTH = (b"Server-Seal", b"a.b"), (b"Content-Length", b"1")
+COMPLETE_RESPONSE = b"HTTP/1.1 200 OK\r\nServer-Seal: a.b\r\nContent-Length: 2\r\n\r\nok"
+RANGE_REQUEST, HEAD_REQUEST = RequestContext(has_range=True), RequestContext(no_body=True)
+CONTENT_ENCODING = (b"Content-Encoding", b"identity")
+CONTENT_RANGE = (b"Content-Range", b"bytes 0-0/2")
 
 
 @pytest.mark.parametrize(
     ("given_answer", "asked", "trailing", "failed"),
     [
-        (Answer(200, [SEAL], b"x"), RequestContext(), b"", None),
-        (Answer(201, [SEAL], b"x"), RequestContext(), b"", None),
-        (Answer(204, [SEAL]), RequestContext(), b"", None),
-        (Answer(205, [SEAL]), RequestContext(), b"", None),
-        (Answer(206, [SEAL, RANGE], b"x"), PART, b"", None),
-        (Answer(200, [SEAL, LENGTH]), HEAD, b"junk", None),
-        (Answer(200, [SEAL], b"x"), RequestContext(), b"HTTP/1.1 2", None),
-        (Answer(200, [SEAL], b"x"), RequestContext(), COPY, None),
+        (Answer(200, [SERVER_SEAL], b"x"), RequestContext(), b"", None),
+        (Answer(201, [SERVER_SEAL], b"x"), RequestContext(), b"", None),
+        (Answer(204, [SERVER_SEAL]), RequestContext(), b"", None),
+        (Answer(205, [SERVER_SEAL]), RequestContext(), b"", None),
+        (Answer(206, [SERVER_SEAL, CONTENT_RANGE], b"x"), RANGE_REQUEST, b"", None),
+        (Answer(200, [SERVER_SEAL, CONTENT_LENGTH]), HEAD_REQUEST, b"junk", None),
+        (Answer(200, [SERVER_SEAL], b"x"), RequestContext(), b"HTTP/1.1 2", None),
+        (Answer(200, [SERVER_SEAL], b"x"), RequestContext(), COMPLETE_RESPONSE, None),
         (Answer(200, [], b"x"), RequestContext(), b"", 0),
-        (Answer(200, [SEAL, SEAL], b"x"), RequestContext(), b"", 0),
-        (Answer(200, [], b""), HEAD, b"", 0),
+        (Answer(200, [SERVER_SEAL, SERVER_SEAL], b"x"), RequestContext(), b"", 0),
+        (Answer(200, [], b""), HEAD_REQUEST, b"", 0),
         (Answer(204), RequestContext(), b"", 0),
         (Answer(200, [(b"server-seal", b"")], b"x"), RequestContext(), b"", 1),
-        (Answer(200, [SEAL, CODING], b"x"), RequestContext(), b"", 2),
-        (Answer(200, [SEAL, CODING]), HEAD, b"", 2),
-        (Answer(206, [SEAL], b"x"), RequestContext(), b"", 3),
-        (Answer(200, [SEAL, RANGE], b"x"), RequestContext(), b"", 3),
-        (Answer(204, [SEAL, LENGTH]), RequestContext(), b"", 4),
-        (Answer(205, [SEAL], b"x"), RequestContext(), b"", 4),
-        (Answer(204, [SEAL, (b"Transfer-Encoding", b"chunked")]), RequestContext(), b"", 4),
-        (Answer(200, [SEAL], b"x" + COPY), RequestContext(), b"", 5),
-        (Answer(200, [SEAL], b"x" + COPY[:12]), RequestContext(), b"", 5),
-        (Answer(200, [SEAL], b"x" + COPY[:5]), RequestContext(), COPY[5:], 6),
-        (Answer(200, [SEAL], b"x"), RequestContext(), b"\r\n", 6),
+        (Answer(200, [SERVER_SEAL, CONTENT_ENCODING], b"x"), RequestContext(), b"", 2),
+        (Answer(200, [SERVER_SEAL, CONTENT_ENCODING]), HEAD_REQUEST, b"", 2),
+        (Answer(206, [SERVER_SEAL], b"x"), RequestContext(), b"", 3),
+        (Answer(200, [SERVER_SEAL, CONTENT_RANGE], b"x"), RequestContext(), b"", 3),
+        (Answer(204, [SERVER_SEAL, CONTENT_LENGTH]), RequestContext(), b"", 4),
+        (Answer(205, [SERVER_SEAL], b"x"), RequestContext(), b"", 4),
+        (Answer(204, [SERVER_SEAL, (b"Transfer-Encoding", b"chunked")]), RequestContext(), b"", 4),
+        (Answer(200, [SERVER_SEAL], b"x" + COMPLETE_RESPONSE), RequestContext(), b"", 5),
+        (Answer(200, [SERVER_SEAL], b"x" + COMPLETE_RESPONSE[:12]), RequestContext(), b"", 5),
+        (Answer(200, [SERVER_SEAL], b"x" + COMPLETE_RESPONSE[:5]), RequestContext(), COMPLETE_RESPONSE[5:], 6),
+        (Answer(200, [SERVER_SEAL], b"x"), RequestContext(), b"\r\n", 6),
     ],
 )
 def test_each_check_of_a_success(
@@ -66,15 +66,17 @@
     assert failed_check(given_answer, asked, trailing) == ("" if failed is None else list(CHECKS)[failed])
 
 
-def test_an_answer_is_known_by_its_beginning_wherever_it_is_cut() -> None:
-    for size in range(1, len(COPY)):
-        assert starts_response(COPY[:size]) and not starts_response(COPY[size:] or b"x")
-        assert begun_at_the_end(b"body" + COPY[:size]) or contains_response(b"body" + COPY[:size])
-        assert contains_response(COPY[:size]) == (size >= len(b"HTTP/1.1 200"))
+def test_a_response_start_is_recognized_at_every_split() -> None:
+    for size in range(1, len(COMPLETE_RESPONSE)):
+        assert starts_response(COMPLETE_RESPONSE[:size]) and not starts_response(COMPLETE_RESPONSE[size:] or b"x")
+        assert begun_at_the_end(b"body" + COMPLETE_RESPONSE[:size]) or contains_response(
+            b"body" + COMPLETE_RESPONSE[:size]
+        )
+        assert contains_response(COMPLETE_RESPONSE[:size]) == (size >= len(b"HTTP/1.1 200"))
     assert not begun_at_the_end(b"body") and not begun_at_the_end(b"") and not starts_response(b"")
 
 
-def test_a_quoted_status_line_is_no_answer() -> None:
+def test_a_quoted_status_line_is_no_response() -> None:
     for text in (
         b"GET / HTTP/1.1\r\n",
         b"it said HTTP/1.1 404 Not Found\nand left",
@@ -87,7 +89,7 @@
 
 # -- streams ---------------------------------------------------------------------------------------------------
 
-# A body that holds a whole status line is refused: it has a test of its own.
+# A body that contains a complete status line is rejected; a separate test covers that.
 bodies = st.one_of(
     st.binary(min_size=2, max_size=40).filter(lambda body: not contains_response(body)),
     st.sampled_from([b"it ends with H", b"HTTP/1.1", b"HTTP/1.1 20"]),
@@ -95,30 +97,32 @@
 framings = st.sampled_from(sorted(FRAMINGS.keys() - {"none"}))
 
 
-def played(pieces: Callable[[ReceivedAttempt], list[bytes]], ends: Exception | None, closes: bool) -> tuple[int, bytes]:
-    """What its client gets of a request that may not be repeated, where a server says such pieces."""
-    told: list[tuple[int, bytes]] = []
+def client_result(
+    pieces: Callable[[ReceivedAttempt], list[bytes]], ends: Exception | None, closes: bool
+) -> tuple[int, bytes]:
+    """The status and body that the client of a non-idempotent request gets if the server sends these pieces."""
+    results: list[tuple[int, bytes]] = []
 
     async def scenario(world: World) -> None:
         client = world.client()
         client.ask(SentRequest("r", "book"))
         await world.settle()
-        (sending,) = world.fresh
-        for piece in pieces(sending):
-            sending.wire.feed(piece)
+        (attempt,) = world.fresh
+        for piece in pieces(attempt):
+            attempt.wire.feed(piece)
         if closes:
-            sending.wire.lose(ends)
+            attempt.wire.lose(ends)
         await world.settle(3.0)
         (got,) = client.answers()
-        told.append((got[0], got[2]))
+        results.append((got[0], got[2]))
 
     play(scenario)
-    return told[0]
+    return results[0]
 
 
-def cut_at(data: bytes, cuts: list[int]) -> list[bytes]:
-    places = sorted({0, len(data), *(cut % len(data) for cut in cuts)})
-    return [data[one:other] for one, other in itertools.pairwise(places)]
+def split_at(data: bytes, cuts: list[int]) -> list[bytes]:
+    offsets = sorted({0, len(data), *(cut % len(data) for cut in cuts)})
+    return [data[start:end] for start, end in itertools.pairwise(offsets)]
 
 
 @settings(max_examples=250, suppress_health_check=[HealthCheck.too_slow])
@@ -126,26 +130,26 @@
     bodies,
     framings,
     st.lists(st.integers(0, 300), max_size=6),
-    st.sampled_from([b"", COPY, COPY[:30], COPY[:3]]),
+    st.sampled_from([b"", COMPLETE_RESPONSE, COMPLETE_RESPONSE[:30], COMPLETE_RESPONSE[:3]]),
     st.integers(0, 2),
 )
-def test_a_whole_answer_arrives_whatever_answer_comes_behind(
+def test_a_complete_response_is_delivered_whatever_response_follows(
     body: bytes, framing: str, cuts: list[int], extra: bytes, surplus: int
 ) -> None:
-    def pieces(sending: ReceivedAttempt) -> list[bytes]:
-        others = answer(sending, ident="other", body=b"other") * surplus
+    def pieces(attempt: ReceivedAttempt) -> list[bytes]:
+        others = answer(attempt, ident="other", body=b"other") * surplus
         trailing = extra if framing != "close" else b""
-        return cut_at(others + answer(sending, body=body, framing=framing) + trailing, cuts)
+        return split_at(others + answer(attempt, body=body, framing=framing) + trailing, cuts)
 
-    assert played(pieces, None, framing == "close") == (200, body)
+    assert client_result(pieces, None, framing == "close") == (200, body)
 
 
 @pytest.mark.parametrize("framing", sorted(FRAMINGS.keys() - {"none"}))
-def test_a_body_that_is_a_status_line_is_refused(framing: str) -> None:
-    def pieces(sending: ReceivedAttempt) -> list[bytes]:
-        return [answer(sending, body=b"HTTP/1.0 000", framing=framing)]
+def test_a_body_that_is_a_status_line_is_rejected(framing: str) -> None:
+    def pieces(attempt: ReceivedAttempt) -> list[bytes]:
+        return [answer(attempt, body=b"HTTP/1.0 000", framing=framing)]
 
-    assert played(pieces, None, framing == "close") == (502, b"")
+    assert client_result(pieces, None, framing == "close") == (502, b"")
 
 
 @settings(max_examples=500, suppress_health_check=[HealthCheck.too_slow])
@@ -157,38 +161,38 @@
     st.booleans(),
     st.sampled_from(["own", "extra", "other"]),
 )
-def test_an_answer_that_is_cut_with_another_behind_it_is_none(
+def test_a_truncated_response_followed_by_another_is_rejected(
     body: bytes, framing: str, lacks: int, cuts: list[int], closes: bool, copy: str
 ) -> None:
-    def pieces(sending: ReceivedAttempt) -> list[bytes]:
-        whole = answer(sending, body=body, framing=framing)
-        late = {"own": whole, "extra": COPY, "other": answer(sending, ident="other", body=b"other")}[copy]
-        return cut_at(whole[: -min(lacks, len(whole) - 1)] + late, cuts)
+    def pieces(attempt: ReceivedAttempt) -> list[bytes]:
+        whole = answer(attempt, body=body, framing=framing)
+        late = {"own": whole, "extra": COMPLETE_RESPONSE, "other": answer(attempt, ident="other", body=b"other")}[copy]
+        return split_at(whole[: -min(lacks, len(whole) - 1)] + late, cuts)
 
-    assert played(pieces, None, closes)[0] in (502, 504)
+    assert client_result(pieces, None, closes)[0] in (502, 504)
 
 
 @pytest.mark.parametrize("how", [None, ConnectionResetError()])
 @pytest.mark.parametrize("framing", ["close", "none", "length", "chunks"])
-def test_only_an_end_that_was_announced_and_came_in_order_ends_an_answer(how: Exception | None, framing: str) -> None:
-    def pieces(sending: ReceivedAttempt) -> list[bytes]:
-        data = answer(sending, body=b"body", framing=framing)
+def test_only_an_announced_clean_close_completes_a_response(how: Exception | None, framing: str) -> None:
+    def pieces(attempt: ReceivedAttempt) -> list[bytes]:
+        data = answer(attempt, body=b"body", framing=framing)
         return [data if framing in ("close", "none") else data[:-1]]
 
-    got = played(pieces, how, True)
+    got = client_result(pieces, how, True)
     assert got == ((200, b"body") if framing == "close" and how is None else (502, b""))
 
 
 @pytest.mark.parametrize("asks", [True, False])
-def test_who_asks_for_a_range_gets_a_part(asks: bool) -> None:
+def test_a_partial_response_is_accepted_only_for_a_range_request(asks: bool) -> None:
     async def scenario(world: World) -> None:
         client = world.client()
         client.asked.append(SentRequest("r", "book"))
         lines = b"Range: bytes=0-1\r\nHost" if asks else b"Host"
         client.wire.feed(SentRequest("r", "book").message().replace(b"Host", lines))
         await world.settle()
-        (sending,) = world.fresh
-        sending.wire.feed(answer(sending, 206, "Content-Range: bytes 0-1/9\r\n", body=b"ab"))
+        (attempt,) = world.fresh
+        attempt.wire.feed(answer(attempt, 206, "Content-Range: bytes 0-1/9\r\n", body=b"ab"))
         await world.settle()
         assert [status for status, _, _ in client.answers()] == [206 if asks else 502]
 
@@ -199,21 +203,21 @@
     ("body", "framing", "waits"),
     [(b"body", "length", False), (b"ends with HT", "length", True), (b"ends with HT", "chunks", False)],
 )
-def test_only_an_answer_whose_end_is_in_doubt_waits_and_for_a_moment(body: bytes, framing: str, waits: bool) -> None:
+def test_only_a_response_with_an_ambiguous_end_waits_for_trailing_bytes(body: bytes, framing: str, waits: bool) -> None:
     async def scenario(world: World) -> None:
         client = world.client()
         client.ask(SentRequest("r", "book"))
         await world.settle()
-        (sending,) = world.fresh
-        sending.wire.feed(answer(sending, body=body, framing=framing))
+        (attempt,) = world.fresh
+        attempt.wire.feed(answer(attempt, body=body, framing=framing))
         assert bool(client.answers()) != waits
         await world.settle(TRAILING_BYTES_WAIT_S + 0.005)
-        assert client.answers()[0][2] == body and world.pooled(sending.wire)
+        assert client.answers()[0][2] == body and world.pooled(attempt.wire)
 
     play(scenario)
 
 
 def test_the_log_says_which_check_failed(caplog: pytest.LogCaptureFixture) -> None:
     with caplog.at_level(logging.WARNING):
-        played(lambda sending: [answer(sending, more="Content-Encoding: gzip\r\n")], None, False)
+        client_result(lambda attempt: [answer(attempt, more="Content-Encoding: gzip\r\n")], None, False)
     assert "response 200 to r rejected: a Content-Encoding" in caplog.text
--- a/tests/test_same_names.py
+++ b/tests/test_same_names.py
@@ -1,4 +1,4 @@
-"""Names of requests that come twice, and answers that come late: nobody gets what was another's."""
+"""Repeated request IDs and late responses: no client gets the response to another request."""
 
 from __future__ import annotations
 
@@ -12,138 +12,142 @@
 pytestmark = pytest.mark.usefixtures("quiet")
 
 
-async def sent(world: World) -> ReceivedAttempt:
+async def next_attempt(world: World) -> ReceivedAttempt:
     await world.settle()
-    (sending,) = world.fresh
+    (attempt,) = world.fresh
     world.fresh.clear()
-    return sending
+    return attempt
 
 
-def one_server(world: World) -> None:
-    """All requests go to the same one."""
-    for ident in [*world.states][1:]:
-        del world.states[ident]
+def keep_one_server(world: World) -> None:
+    """Remove all servers but one."""
+    for server_id in [*world.states][1:]:
+        del world.states[server_id]
     world.tell()
 
 
-def test_of_two_clients_with_one_name_the_second_is_refused_while_the_first_is_out() -> None:
+def test_a_second_client_with_the_same_request_id_is_rejected_while_the_first_is_in_flight() -> None:
     async def scenario(world: World) -> None:
         first, second = world.client(), world.client()
         first.ask(SentRequest("same", "read"))
-        sending = await sent(world)
+        attempt = await next_attempt(world)
         second.ask(SentRequest("same", "book"))
         await world.settle()
         assert [status for status, _, _ in second.answers()] == [400] and not world.fresh
-        second.leave()  # which takes nothing from the first
+        second.leave()  # which does not affect the first client
         await world.settle()
-        sending.wire.feed(answer(sending, body=b"of the first"))
+        attempt.wire.feed(answer(attempt, body=b"of the first"))
         assert [(status, body) for status, _, body in first.answers()] == [(200, b"of the first")]
 
     play(scenario)
 
 
 @pytest.mark.parametrize("kind", ["read", "book"])
-def test_a_client_that_comes_back_under_its_old_name_gets_a_connection_of_its_own(kind: str) -> None:
+def test_a_request_id_reused_after_a_disconnect_gets_a_separate_connection(kind: str) -> None:
     async def scenario(world: World) -> None:
-        one_server(world)
+        keep_one_server(world)
         first, second = world.client(), world.client()
         first.ask(SentRequest("same", kind))
-        before = await sent(world)
+        earlier = await next_attempt(world)
         first.leave()
         await world.settle()
         second.ask(SentRequest("same", "read"))
-        sending = await sent(world)
-        before.wire.feed(answer(before, body=b"of the first"))
+        attempt = await next_attempt(world)
+        earlier.wire.feed(answer(earlier, body=b"of the first"))
         await world.settle()
-        assert sending.wire is not before.wire and before.wire.closing and not second.answers()
-        sending.wire.feed(answer(sending, body=b"of the second"))
+        assert attempt.wire is not earlier.wire and earlier.wire.closing and not second.answers()
+        attempt.wire.feed(answer(attempt, body=b"of the second"))
         assert [body for _, _, body in second.answers()] == [b"of the second"]
 
     play(scenario)
 
 
-def test_a_name_is_never_on_a_connection_twice_so_a_late_copy_can_not_pass_for_the_answer() -> None:
+def test_a_request_id_is_never_sent_twice_on_a_connection() -> None:
     async def scenario(world: World) -> None:
-        one_server(world)
+        keep_one_server(world)
         first, second = world.client(), world.client()
         first.ask(SentRequest("same", "read"))
-        before = await sent(world)
-        before.wire.feed(answer(before, body=b"of the first"))
+        earlier = await next_attempt(world)
+        earlier.wire.feed(answer(earlier, body=b"of the first"))
         await world.settle()
-        assert world.pooled(before.wire)
+        assert world.pooled(earlier.wire)
         second.ask(SentRequest("same", "read"))
-        sending = await sent(world)
-        assert sending.wire is not before.wire and world.pooled(before.wire)  # that one waits for others
-        before.wire.feed(answer(before, body=b"of the first"))
-        sending.wire.feed(answer(sending, body=b"of the second"))
+        attempt = await next_attempt(world)
+        assert attempt.wire is not earlier.wire and world.pooled(
+            earlier.wire
+        )  # the earlier connection stays available for other requests
+        earlier.wire.feed(answer(earlier, body=b"of the first"))
+        attempt.wire.feed(answer(attempt, body=b"of the second"))
         assert [body for _, _, body in second.answers()] == [b"of the second"]
         first.ask(SentRequest("next", "read"))
-        assert (await sent(world)).wire is sending.wire
+        assert (await next_attempt(world)).wire is attempt.wire
 
     play(scenario)
 
 
-# -- bytes on a connection that has no request -------------------------------------------------------------------
+# -- bytes on a connection without a request ------------------------------------------------------------------
 
-LATE: dict[str, Callable[[ReceivedAttempt], bytes]] = {
-    "a copy": lambda sending: answer(sending, body=b"copy"),
-    "a byte": lambda sending: b"x",
-    "the beginning of an answer": lambda sending: answer(sending)[:30],
-    "an answer without a name": lambda sending: b"HTTP/1.1 200 OK\r\nServer-Seal: a\r\nContent-Length: 2\r\n\r\nok",
+LATE_BYTES: dict[str, Callable[[ReceivedAttempt], bytes]] = {
+    "a duplicate response": lambda attempt: answer(attempt, body=b"copy"),
+    "a byte": lambda attempt: b"x",
+    "the start of a response": lambda attempt: answer(attempt)[:30],
+    "a response without the name of its request": lambda attempt: (
+        b"HTTP/1.1 200 OK\r\nServer-Seal: a\r\nContent-Length: 2\r\n\r\nok"
+    ),
 }
 
 
-@pytest.mark.parametrize("late", LATE)
-def test_a_connection_on_which_bytes_come_while_it_is_idle_is_closed_and_never_used(late: str) -> None:
+@pytest.mark.parametrize("late", LATE_BYTES)
+def test_an_idle_connection_that_receives_bytes_is_closed_and_not_reused(late: str) -> None:
     async def scenario(world: World) -> None:
-        one_server(world)
+        keep_one_server(world)
         client = world.client()
         client.ask(SentRequest("one", "read"))
-        before = await sent(world)
-        before.wire.feed(answer(before))
+        earlier = await next_attempt(world)
+        earlier.wire.feed(answer(earlier))
         await world.settle(SOON_S)
-        assert world.pooled(before.wire)
-        before.wire.feed(LATE[late](before))
-        assert before.wire.closing and not any(place.idle for place in world.gate.upstream.pools.values())
+        assert world.pooled(earlier.wire)
+        earlier.wire.feed(LATE_BYTES[late](earlier))
+        assert earlier.wire.closing and not any(place.idle for place in world.gate.upstream.pools.values())
         client.ask(SentRequest("two", "read"))
-        assert (await sent(world)).wire is not before.wire
+        assert (await next_attempt(world)).wire is not earlier.wire
 
     play(scenario)
 
 
 @pytest.mark.parametrize("together", [True, False])
-@pytest.mark.parametrize("late", LATE)
-def test_bytes_that_come_between_the_look_at_a_connection_and_the_writing_are_nobodys(
+@pytest.mark.parametrize("late", LATE_BYTES)
+def test_bytes_that_arrive_between_the_idle_check_and_the_write_belong_to_no_request(
     late: str, together: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """They are read as if they were the answer: alone, or in one piece with the beginning of the right one."""
+    """They are read as if they were the response: separately, or in one read with the start of the expected one."""
     quiet = ServerConnection.quiet
 
     async def scenario(world: World) -> None:
-        one_server(world)
+        keep_one_server(world)
         client = world.client()
         client.ask(SentRequest("one", "book"))
-        before = await sent(world)
-        before.wire.feed(answer(before))
+        earlier = await next_attempt(world)
+        earlier.wire.feed(answer(earlier))
         await world.settle()
 
-        def looked_at(self: ServerConnection) -> bool:
+        def quiet_then_bytes_arrive(self: ServerConnection) -> bool:
             found = quiet(self)
-            before.wire.arrive(LATE[late](before))
+            earlier.wire.arrive(LATE_BYTES[late](earlier))
             return found
 
-        monkeypatch.setattr(ServerConnection, "quiet", looked_at)
+        monkeypatch.setattr(ServerConnection, "quiet", quiet_then_bytes_arrive)
         client.ask(SentRequest("two", "book"))
-        sending = await sent(world)
+        attempt = await next_attempt(world)
         monkeypatch.setattr(ServerConnection, "quiet", quiet)
-        assert sending.wire is before.wire
-        right = answer(sending, body=b"right")
+        assert attempt.wire is earlier.wire
+        expected = answer(attempt, body=b"right")
         if together:
-            sending.wire.inbox[-1] += right[:60]  # type: ignore[operator]
-        sending.wire.read()
-        sending.wire.feed(right[60 if together else 0 :])
+            attempt.wire.inbox[-1] += expected[:60]  # type: ignore[operator]
+        attempt.wire.read()
+        attempt.wire.feed(expected[60 if together else 0 :])
         await world.settle(SOON_S)
         status, _, body = client.answers()[-1]
-        assert (status, body) == ((200, b"right") if late == "a copy" else (502, b""))
+        assert (status, body) == ((200, b"right") if late == "a duplicate response" else (502, b""))
 
     play(scenario)
--- a/tests/test_stamps.py
+++ b/tests/test_stamps.py
@@ -1,4 +1,4 @@
-"""A failure bears a server's stamp only with that server's own status: every place that makes or changes a status."""
+"""A failure carries a Server-Seal only with that server's own status: every place that creates or changes a status."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 pytestmark = pytest.mark.usefixtures("quiet")
 
 ROOT = Path(__file__).parent.parent
-#: Each function between clients and servers that makes an answer. A new one needs a case below that reaches it.
-MAKERS = {
+#: All functions between clients and servers that create a response. A new one needs a case below that reaches it.
+RESPONSE_SOURCES = {
     "cypressbeam/proxy/proxy_core.py": {
         "ProxyCore.refusal",
         "ProxyCore.failure",
@@ -38,43 +38,43 @@
 }
 
 
-def makers(path: Path) -> set[str]:
+def functions_creating_responses(path: Path) -> set[str]:
     found = set()
-    for place in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
-        for child in ast.iter_child_nodes(place):
+    for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
+        for child in ast.iter_child_nodes(node):
             if isinstance(child, ast.FunctionDef) and any(
-                isinstance(call, ast.Call) and getattr(call.func, "id", "") in ("Answer", "replace")
+                isinstance(call, ast.Call) and getattr(call.func, "id", "") in (Answer.__name__, "replace")
                 for call in ast.walk(child)
             ):
-                found.add(f"{place.name}.{child.name}" if isinstance(place, ast.ClassDef) else child.name)
+                found.add(f"{node.name}.{child.name}" if isinstance(node, ast.ClassDef) else child.name)
     return found
 
 
-def test_all_places_that_make_an_answer_are_known() -> None:
-    assert {name: makers(ROOT / name) for name in MAKERS} == MAKERS
+def test_every_function_that_creates_a_response_is_listed() -> None:
+    assert {name: functions_creating_responses(ROOT / name) for name in RESPONSE_SOURCES} == RESPONSE_SOURCES
 
 
-async def servers_say(world: World, status: int, more: str = "") -> None:
-    """All that are asked answer so, until nobody is asked any more."""
+async def servers_respond(world: World, status: int, more: str = "") -> None:
+    """All servers respond like this until no attempt is left."""
     for _ in range(6):
         await world.settle(SOON_S)
         while world.fresh:
-            sending = world.fresh.pop()
-            sending.wire.feed(answer(sending, status, more))
+            attempt = world.fresh.pop()
+            attempt.wire.feed(answer(attempt, status, more))
 
 
 Case = Callable[[World, Client, Any], Any]
 
 
-def says(kind: str, status: int, more: str = "") -> Case:
+def server_responds(kind: str, status: int, more: str = "") -> Case:
     async def case(world: World, client: Client, patch: Any) -> None:
         client.ask(SentRequest("r", kind))
-        await servers_say(world, status, more)
+        await servers_respond(world, status, more)
 
     return case
 
 
-def raw(data: bytes) -> Case:
+def client_sends(data: bytes) -> Case:
     async def case(world: World, client: Client, patch: Any) -> None:
         client.asked.append(SentRequest("r", "read"))
         client.wire.feed(data)
@@ -83,116 +83,120 @@
     return case
 
 
-async def one_fails_and_the_next_is_mute(world: World, client: Client, patch: Any) -> None:
+async def one_server_fails_and_the_next_never_responds(world: World, client: Client, patch: Any) -> None:
     client.ask(SentRequest("r", "read"))
     await world.settle()
-    sending = world.fresh.pop()
-    sending.wire.feed(answer(sending, 500))
+    attempt = world.fresh.pop()
+    attempt.wire.feed(answer(attempt, 500))
     await world.settle(TO_THE_END_S)
 
 
-async def the_time_is_up(world: World, client: Client, patch: Any) -> None:
-    """And the balancer has no answer to it."""
+async def the_deadline_passes(world: World, client: Client, patch: Any) -> None:
+    """The balancer does not end the request itself."""
     patch.setattr(Balancer, "end", lambda self, request: None)
-    await one_fails_and_the_next_is_mute(world, client, patch)
+    await one_server_fails_and_the_next_never_responds(world, client, patch)
 
 
-async def the_balancer_breaks(world: World, client: Client, patch: Any) -> None:
+async def the_balancer_raises(world: World, client: Client, patch: Any) -> None:
     handle = Balancer.handle
 
-    def broken(self: Balancer, now_us: int, event: Any) -> Any:
+    def raising(self: Balancer, now_us: int, event: Any) -> Any:
         if isinstance(event, AttemptEnded):
             raise RuntimeError
         return handle(self, now_us, event)
 
-    patch.setattr(Balancer, "handle", broken)
+    patch.setattr(Balancer, "handle", raising)
     client.ask(SentRequest("r", "read"))
-    await servers_say(world, 500)
+    await servers_respond(world, 500)
 
 
-async def a_false_promise(world: World, client: Client, patch: Any) -> None:
+async def an_unproven_not_executed_status(world: World, client: Client, patch: Any) -> None:
     patch.setattr(Gateway, "failure", lambda self, request: Answer(503, request.last_response.headers))
     client.ask(SentRequest("r", "book"))
-    await servers_say(world, 500)
+    await servers_respond(world, 500)
 
 
-async def taking_it_breaks(world: World, client: Client, patch: Any) -> None:
-    patch.setattr(Gateway, "take", lambda self, request: 1 / 0)
+async def accepting_it_raises(world: World, client: Client, patch: Any) -> None:
+    patch.setattr(Gateway, Gateway.take.__name__, lambda self, request: 1 / 0)
     client.ask(SentRequest("r", "read"))
 
 
-async def no_table_yet(world: World, client: Client, patch: Any) -> None:
+async def no_routing_table_yet(world: World, client: Client, patch: Any) -> None:
     world.gate.table = None
     client.ask(SentRequest("r", "read"))
 
 
-async def it_does_not_come_whole(world: World, client: Client, patch: Any) -> None:
+async def the_request_stays_incomplete(world: World, client: Client, patch: Any) -> None:
     world.frontend.sweep()
     client.asked.append(SentRequest("r", "read"))
     client.wire.feed(HEAD[:20])
     await world.settle(20.0)
 
 
-async def the_node_stops(world: World, client: Client, patch: Any) -> None:
+async def the_node_shuts_down(world: World, client: Client, patch: Any) -> None:
     client.asked.append(SentRequest("r", "read"))
     client.wire.feed(HEAD[:20])
     world.frontend.refuse_partial()
 
 
-async def another_has_the_id(world: World, client: Client, patch: Any) -> None:
+async def the_id_is_in_use(world: World, client: Client, patch: Any) -> None:
     world.client().ask(SentRequest("r", "read"))
     client.ask(SentRequest("r", "read"))
 
 
 HEAD = b"GET /read/1 HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: r\r\n\r\n"
 CASES: dict[str, tuple[int, bool, Case]] = {
-    "a server's own": (500, True, says("book", 500)),
-    "a server's own to all tries": (500, True, says("read", 500)),
-    "a server's own 404": (404, True, says("book", 404)),
-    "its 304": (304, True, says("book", 304)),
-    "a promise without proof": (502, False, says("book", 503)),
-    "the same as 429": (502, False, says("book", 429)),
-    "the same as 408": (502, False, says("book", 408)),
-    "the same, of all": (503, False, says("read", 503)),
-    "not run by any": (503, False, says("book", 503, "Not-Executed: 1\r\n")),
-    "nobody is who was meant": (503, False, says("book", 421)),
-    "a spoilt success": (502, False, says("book", 200, "Content-Encoding: x\r\n")),
-    "spoilt successes": (503, False, says("read", 200, "Content-Encoding: x\r\n")),
-    "mute": (503, False, one_fails_and_the_next_is_mute),
-    "time is up": (504, False, the_time_is_up),
-    "the balancer breaks": (500, False, the_balancer_breaks),
-    "a false promise": (502, False, a_false_promise),
-    "taking it breaks": (500, False, taking_it_breaks),
-    "no table yet": (503, False, no_table_yet),
-    "not whole": (408, False, it_does_not_come_whole),
-    "the node stops": (503, False, the_node_stops),
-    "an id that is in hand": (400, False, another_has_the_id),
-    "no id": (400, False, raw(HEAD.replace(b"Attempt-Id: r\r\n", b""))),
-    "no route": (404, False, raw(HEAD.replace(b"/read/", b"/no/"))),
-    "a time that is none": (400, False, raw(HEAD.replace(b"Host", b"Time-Left-Ms: x\r\nHost"))),
-    "a CONNECT": (405, False, raw(HEAD.replace(b"GET /read/1", b"CONNECT h:1"))),
-    "no HTTP": (400, False, raw(b"nonsense\r\n\r\n")),
-    "a large head": (431, False, raw(b"GET /" + b"x" * 20_000)),
-    "another coding": (501, False, raw(HEAD.replace(b"Host", b"Transfer-Encoding: gzip, chunked\r\nHost"))),
-    "a large body": (413, False, raw(HEAD.replace(b"Host", b"Content-Length: 99999999999\r\nHost"))),
+    "own status of a server": (500, True, server_responds("book", 500)),
+    "own status of a server to all tries": (500, True, server_responds("read", 500)),
+    "own 404 of a server": (404, True, server_responds("book", 404)),
+    "own 304 of a server": (304, True, server_responds("book", 304)),
+    "503 without proof": (502, False, server_responds("book", 503)),
+    "429 without proof": (502, False, server_responds("book", 429)),
+    "408 without proof": (502, False, server_responds("book", 408)),
+    "503 without proof from all servers": (503, False, server_responds("read", 503)),
+    "not run by any server": (503, False, server_responds("book", 503, "Not-Executed: 1\r\n")),
+    "none of the servers is who was meant": (503, False, server_responds("book", 421)),
+    "invalid success": (502, False, server_responds("book", 200, "Content-Encoding: x\r\n")),
+    "invalid success of all servers": (503, False, server_responds("read", 200, "Content-Encoding: x\r\n")),
+    "no response": (503, False, one_server_fails_and_the_next_never_responds),
+    "time is up": (504, False, the_deadline_passes),
+    "balancer raises": (500, False, the_balancer_raises),
+    "unproven 503 of the gateway": (502, False, an_unproven_not_executed_status),
+    "accepting the request raises": (500, False, accepting_it_raises),
+    "no routing table yet": (503, False, no_routing_table_yet),
+    "incomplete request": (408, False, the_request_stays_incomplete),
+    "node shuts down": (503, False, the_node_shuts_down),
+    "id in use": (400, False, the_id_is_in_use),
+    "no id": (400, False, client_sends(HEAD.replace(b"Attempt-Id: r\r\n", b""))),
+    "no route": (404, False, client_sends(HEAD.replace(b"/read/", b"/no/"))),
+    "invalid Time-Left-Ms": (400, False, client_sends(HEAD.replace(b"Host", b"Time-Left-Ms: x\r\nHost"))),
+    "CONNECT": (405, False, client_sends(HEAD.replace(b"GET /read/1", b"CONNECT h:1"))),
+    "not HTTP": (400, False, client_sends(b"nonsense\r\n\r\n")),
+    "large head": (431, False, client_sends(b"GET /" + b"x" * 20_000)),
+    "unsupported Transfer-Encoding": (
+        501,
+        False,
+        client_sends(HEAD.replace(b"Host", b"Transfer-Encoding: gzip, chunked\r\nHost")),
+    ),
+    "large body": (413, False, client_sends(HEAD.replace(b"Host", b"Content-Length: 99999999999\r\nHost"))),
 }
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_a_status_of_our_own_bears_no_stamp(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    status, stamped, case = CASES[name]
+def test_a_status_of_the_node_itself_has_no_server_seal(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    status, has_seal, case = CASES[name]
 
     async def scenario(world: World) -> None:
         client = world.client()
         await case(world, client, monkeypatch)
         await world.settle(SOON_S)
         ((got, headers, _),) = client.answers()
-        assert (got, b"server-seal" in headers) == (status, stamped)
+        assert (got, b"server-seal" in headers) == (status, has_seal)
 
     play(scenario)
 
 
-def test_a_refusal_to_a_head_bears_none_either() -> None:
+def test_a_rejected_head_request_has_no_server_seal() -> None:
     async def scenario(world: World) -> None:
         client = world.client()
         client.ask(SentRequest("r", "unknown", "HEAD"))
