--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""A node on real sockets, with servers, an agent and clients on loopback that a test steers by hand."""
+"""A standalone node on real sockets, with servers, a discovery agent and clients on loopback that a test controls."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 T = TypeVar("T")
 
-#: Far over what a busy machine needs for what comes at once.
+#: Timeout for events that are expected immediately, with a wide margin for a busy machine.
 SOON_S = 20.0
 LONG_AGO_MS = 0
 
@@ -67,7 +67,7 @@
 
 
 class Exchange:
-    """A request as a server got it, and the means to answer it."""
+    """A request that a server received, with methods to respond to it."""
 
     def __init__(self, peer: Peer) -> None:
         self.peer = peer
@@ -83,7 +83,7 @@
 
 
 class Peer(asyncio.Protocol):
-    """One connection at a server of the test's."""
+    """A connection on the server side."""
 
     transport: asyncio.Transport
 
@@ -123,7 +123,7 @@
 
 
 class StubServer:
-    """Takes connections at a port of its own; what comes in waits in `received` for the test to answer."""
+    """Listens on its own port. Requests wait in `received` until the test responds."""
 
     def __init__(self) -> None:
         self.received: asyncio.Queue[Exchange] = asyncio.Queue()
@@ -139,7 +139,7 @@
         return await soon(self.received.get())
 
     def refuse(self) -> None:
-        """From now on connections are refused."""
+        """Refuse new connections from now on."""
         self.listener.close()
 
     def stop(self) -> None:
@@ -199,14 +199,14 @@
             return True
 
     async def ended(self) -> bytes:
-        """All that the node still says until it closes the connection."""
-        said = b""
+        """Everything that the node sends until it closes the connection."""
+        received = b""
         try:
             while data := await soon(self.reader.read(65536)):
-                said += data
+                received += data
         except ConnectionError:
             pass
-        return said
+        return received
 
     def close(self) -> None:
         self.writer.close()
@@ -230,7 +230,7 @@
 
 
 class Rig:
-    """A node with its surroundings."""
+    """A running node with its servers, discovery agent and clients."""
 
     def __init__(self, node: StandaloneNode, frontend: Frontend, servers: list[StubServer], agent: StubServer) -> None:
         self.node, self.frontend, self.servers, self.agent = node, frontend, servers, agent
@@ -259,7 +259,7 @@
 async def rig(
     servers: int = 1, overflow: int = 8, changes: dict[str, Any] | None = None, **limits: int
 ) -> AsyncIterator[Rig]:
-    """A running node; `changes` go into the settings, `limits` into the configuration as read."""
+    """Run a node. `changes` apply to the settings, `limits` to the parsed configuration."""
     stubs = [StubServer() for _ in range(servers)]
     agent = StubServer()
     for stub in [*stubs, agent]:
@@ -272,13 +272,13 @@
     frontend = Frontend(node, config.client_connections, overflow)
     await frontend.listen(*config.listen)
     node.discovery.start()
-    made = Rig(node, frontend, stubs, agent)
+    node_fixture = Rig(node, frontend, stubs, agent)
     try:
-        yield made
+        yield node_fixture
     finally:
         node.discovery.close()
         frontend.stop_accepting()
-        for client in made.clients:
+        for client in node_fixture.clients:
             client.close()
         node.upstream.close()
         for stub in [*stubs, agent]:
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -1,4 +1,4 @@
-"""The gateway's pure parts: settings, configuration, routes, frames, roster, list, dialect, budget."""
+"""Pure parts of the gateway: settings, configuration, routes, frames, node registry, endpoint list, headers, budget."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 """
 
 
-def test_settings_are_read_and_unknown_keys_left_alone() -> None:
+def test_settings_are_parsed_and_unknown_keys_ignored() -> None:
     settings = parse(BOOT, "boot.conf")
     assert settings.front_listener == ("10.1.0.13", 8641) and settings.control_listener is None and settings.bootstrap
     assert settings.seeds == (("10.1.0.16", 8649), ("10.2.0.21", 8649)) and settings.peer_port == 7620
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "told"),
+    ("old", "new", "message"),
     [
         ("node=edge-1", "node=", "node is ''; a value is wanted"),
         ("internalPorts=7620,7635", "", "internalPorts is missing"),
@@ -71,19 +71,19 @@
         ("zone=a", "zone", "line 3 is 'zone'; key=value is wanted"),
     ],
 )
-def test_wrong_settings_say_file_key_found_and_wanted(old: str, new: str, told: str) -> None:
+def test_a_settings_error_names_file_key_value_and_expected_form(old: str, new: str, message: str) -> None:
     with pytest.raises(SettingsError, match=r"^boot\.conf: ") as caught:
         parse(BOOT.replace(old, new, 1), "boot.conf")
-    assert told in str(caught.value) and "\n" not in str(caught.value)
+    assert message in str(caught.value) and "\n" not in str(caught.value)
 
 
-def test_settings_that_are_not_named_or_not_there() -> None:
+def test_a_missing_settings_file_or_variable_is_an_error() -> None:
     for environ in ({}, {"CYPRESSBEAM_BOOT": "/nowhere/boot.conf"}):
         with pytest.raises(SettingsError):
             load(environ)
 
 
-def test_the_front_listens_before_the_settings_are_read_in_full(tmp_path: Path) -> None:
+def test_the_front_listener_opens_before_the_settings_are_fully_read(tmp_path: Path) -> None:
     boot = tmp_path / "boot.conf"
     environ = {"CYPRESSBEAM_BOOT": str(boot)}
     assert early_listener.open_front({}) is None and early_listener.open_front(environ) is None
@@ -106,22 +106,22 @@
     return changed(channels=[demo_configuration()["channels"][0] | changes])
 
 
-def split(*gains: float) -> dict[str, Any]:
+def split(*weights: float) -> dict[str, Any]:
     first = copy.deepcopy(demo_configuration()["channels"][0])
     del first["plant"]
     first["allocation"] = [
-        {"plant": name, "gain": gain} for name, gain in zip(("finder", "booker"), gains, strict=True)
+        {"plant": name, "gain": weight} for name, weight in zip(("finder", "booker"), weights, strict=True)
     ]
     return changed(channels=[first])
 
 
-def test_a_valid_configuration_is_taken() -> None:
+def test_a_valid_configuration_is_accepted() -> None:
     for document in (demo_configuration(), split(90, 10), split(0, 1), channel(newField=1)):
         assert configuration.read(cbor2.dumps(document)).revision == 1
 
 
 @pytest.mark.parametrize(
-    ("body", "told"),
+    ("body", "message"),
     [
         (cbor2.dumps(demo_configuration())[:-3], "CBOR"),
         (b"", "CBOR"),
@@ -139,8 +139,8 @@
         (cbor2.dumps(changed(revision="7")), "revision"),
     ],
 )
-def test_an_invalid_configuration_is_refused(body: bytes, told: str) -> None:
-    with pytest.raises(configuration.InvalidConfigurationError, match=told):
+def test_an_invalid_configuration_is_rejected(body: bytes, message: str) -> None:
+    with pytest.raises(configuration.InvalidConfigurationError, match=message):
         configuration.read(body)
 
 
@@ -150,7 +150,7 @@
         configuration.read(body)
 
 
-def test_routes_by_host_and_longest_prefix() -> None:
+def test_routes_are_found_by_host_and_longest_prefix() -> None:
     document = demo_configuration()
     first = document["channels"][0]
     document["channels"] += [
@@ -170,7 +170,7 @@
     assert label("demo.example", "") is None
 
 
-def test_weights_part_the_requests() -> None:
+def test_requests_are_divided_by_weight() -> None:
     route = RoutingTable(configuration.read(cbor2.dumps(split(90, 10)))).find("demo.example", "/find/")
     assert route is not None
     rng = random.Random(5)
@@ -189,7 +189,7 @@
 
 
 @pytest.mark.parametrize("frame", SAMPLES, ids=lambda frame: type(frame).__name__)
-def test_frames_come_back_as_they_went(frame: frames.Frame) -> None:
+def test_frames_round_trip(frame: frames.Frame) -> None:
     data = frame.pack()
     length, kind = frames.HEADER.unpack_from(data)
     assert length == len(data) - frames.HEADER.size
@@ -205,7 +205,7 @@
         frame = frames.unpack(kind, body)
     except frames.FrameError:
         return
-    if mark := frame.body_or_digest():  # on the stream a body is its digest
+    if mark := frame.body_or_digest():  # the stream carries the digest of a body instead of the body
         assert mark in body
     else:
         assert frame.pack()[frames.HEADER.size :] == body
@@ -220,7 +220,7 @@
     assert endpoint_list.unpack_rows(endpoint_list.pack_rows(rows)) == rows
 
 
-def test_rows_are_small_and_never_unpack_to_more_than_a_list_may_be() -> None:
+def test_packed_rows_are_small_and_their_unpacked_size_is_limited() -> None:
     rows = [server(f"i-{number:010x}", service="stallfind", zone="regina-hall") for number in range(112)]
     assert len(endpoint_list.pack_rows(rows)) < 2000
     for wrong in (
@@ -236,16 +236,16 @@
     return replace(endpoint_list.Endpoint(ident, "p", ("10.0.0.1", 80), "z", 4, endpoint_list.IN_SERVICE, 0), **changes)
 
 
-def test_the_list_goes_down_as_changes_and_as_a_whole() -> None:
+def test_the_endpoint_list_is_propagated_as_changes_and_as_a_snapshot() -> None:
     root, child, late = endpoint_list.EndpointList(7), endpoint_list.EndpointList(), endpoint_list.EndpointList()
     first = root.update_from_platform([server("a", warmup_ms=900), server("b")])
     assert first is not None and child.apply(root.snapshot()) and child.servers == root.servers
     assert (
         root.update_from_platform([server("a", warmup_ms=100), server("b")]) is None
-    )  # a warm-up that runs on is no news
+    )  # progress of a warm-up is no change
     second = root.update_from_platform([server("b", state=endpoint_list.DRAINING), server("c")])
     assert second is not None
-    assert late.apply(second) is None  # it does not follow on nothing: the whole is asked for
+    assert late.apply(second) is None  # changes need a base: the whole list is requested
     assert child.apply(second) and child.servers == root.servers
     assert set(child.servers) == {"b", "c"} and child.servers["b"].state == endpoint_list.DRAINING
     assert child.apply(second) is False and late.apply(root.snapshot()) and late.servers == child.servers
@@ -255,7 +255,7 @@
 
 
 @pytest.mark.parametrize("nodes", [1, 10, 300])
-def test_trees_reach_all_without_a_circle(nodes: int) -> None:
+def test_the_tree_reaches_every_node_without_a_cycle(nodes: int) -> None:
     registry = NodeRegistry("root")
     for i in range(nodes):
         registry.register(
@@ -271,10 +271,10 @@
         children[place.parents[0]] = children.get(place.parents[0], 0) + 1
         assert place.parents[-1] == "root" and place.edge_count == nodes and ip not in place.probed_ips
     assert all(count <= FAN_OUT for ip, count in children.items() if ip != "root")
-    assert children["root"] <= 3  # one for each zone
+    assert children["root"] <= 3  # one per zone
 
 
-def test_a_lost_parent_gets_no_children_until_it_joins_again() -> None:
+def test_a_lost_parent_gets_no_children_until_it_registers_again() -> None:
     registry = NodeRegistry("root")
     joins = [frames.JoinRequest(f"n{i}", f"10.0.0.{i}", "z", frames.SERVES_CLIENTS, 1, "") for i in range(4)]
     for join in joins:
@@ -289,7 +289,7 @@
     assert registry.expire(11.5) == [join.name for join in joins if join.name not in (first.name,)]
 
 
-def test_fast_links_feed_more_than_thin_ones_and_slow_nodes_none() -> None:
+def test_fast_links_get_more_children_than_slow_ones_and_overloaded_nodes_none() -> None:
     registry = NodeRegistry("root")
     core = frames.JoinRequest("core", "10.0.1.1", "z", frames.MAY_BE_MEMBER, 1, "", kbps=30_000)
     edges = [
@@ -298,36 +298,38 @@
     for join in [core, *edges]:
         registry.register(join, 0.0)
 
-    def fed() -> Counter[str]:
+    def child_counts() -> Counter[str]:
         return Counter(registry.assignment(join.name, 1, (), "root", 30).parents[0] for join in [core, *edges])
 
-    by_ip = fed()
-    assert by_ip["root"] == 1 and by_ip[core.ip] == MAX_FAN_OUT  # and not 10.9 x 4
+    by_ip = child_counts()
+    assert by_ip["root"] == 1 and by_ip[core.ip] == MAX_FAN_OUT  # and not 10.9 x 4, in proportion to the bandwidth
     assert max(count for ip, count in by_ip.items() if ip not in ("root", core.ip)) <= FAN_OUT
     relay = next(join for join in edges if by_ip[join.ip])
     registry.register(replace(relay, flags=frames.SERVES_CLIENTS | frames.IS_OVERLOADED), 1.0)
-    assert fed()[relay.ip] == 0
+    assert child_counts()[relay.ip] == 0
     registry.register(replace(core, flags=frames.MAY_BE_MEMBER | frames.IS_OVERLOADED), 1.0)
-    assert fed()[core.ip] == 0 and sum(fed().values()) == 31
+    assert child_counts()[core.ip] == 0 and sum(child_counts().values()) == 31
 
 
-def test_a_node_whose_loop_is_late_says_that_it_is_slow_until_that_fades(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_node_with_event_loop_lag_reports_overload_until_the_lag_decays(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         peers = Peers("127.0.0.1", 1, lambda link, frame: None, lambda link: None, 1000.0)
         relay = TreeNode(parse(BOOT, "boot.conf"), peers, frames.SERVES_CLIENTS)
-        now_s, told = 100.0, list[frames.Frame]()
+        now_s, sent_frames = 100.0, list[frames.Frame]()
         monkeypatch.setattr(relay.context, "loop", SimpleNamespace(time=lambda: now_s, call_later=lambda *_: None))
-        monkeypatch.setattr(peers, "send", lambda ip, frame: told.append(frame))
-        for late_s in (0.0, 0.5, *[0.0] * 60):
+        monkeypatch.setattr(peers, "send", lambda ip, frame: sent_frames.append(frame))
+        for lag_s in (0.0, 0.5, *[0.0] * 60):
             relay.tick()
-            now_s += 0.1 + late_s
-        slow = [bool(frame.flags & frames.IS_OVERLOADED) for frame in told if isinstance(frame, frames.JoinRequest)]
+            now_s += 0.1 + lag_s
+        slow = [
+            bool(frame.flags & frames.IS_OVERLOADED) for frame in sent_frames if isinstance(frame, frames.JoinRequest)
+        ]
         assert not slow[0] and any(slow) and not slow[-1]
 
     run(scenario())
 
 
-def test_only_proof_counts_as_not_run() -> None:
+def test_only_proof_counts_as_not_executed() -> None:
     proof = [(b"Not-Executed", b"1")]
     assert classify_gateway(Answer(201)) is ReplyKind.SUCCESS
     assert (
@@ -339,19 +341,19 @@
         assert classify_gateway(Answer(status)) is ReplyKind.FAILURE
 
 
-def test_the_load_header() -> None:
+def test_the_load_header_is_parsed() -> None:
     report = parse_load(b"3, 2,4")
     assert report is not None and (report.in_flight, report.queue, report.utilization) == (3.0, 2.0, 0.75)
     assert parse_load(b"3,2") is None and parse_load(b"a,b,c") is None and parse_load(None) is None
 
 
-def test_retries_of_the_fleet_keep_within_the_budget_at_any_number_of_nodes() -> None:
-    """What all nodes together may send again in a window: never more than the ratio and the slack allow."""
+def test_fleet_wide_retries_stay_within_the_budget_for_any_number_of_nodes() -> None:
+    """All nodes together never retry more within a window than the ratio and the slack allow."""
     channels = list(configuration.read(cbor2.dumps(demo_configuration())).routes[:1])
     for nodes in (1, 3, 10, 100):
         settings = balancer_settings(channels, parse(BOOT, "boot.conf"), nodes, 0)
         budgets = [Balancer(settings, seed).budget for seed in range(nodes)]
-        assert not any(budget.spend(0) for budget in budgets)  # a node that starts has nothing saved up
+        assert not any(budget.spend(0) for budget in budgets)  # a starting node has no tokens
         for budget in budgets:
             for _ in range(10_000):
                 budget.earn(settings.retry_share)
@@ -365,7 +367,7 @@
         assert spent <= 0.2 * first_tries + 60
 
 
-def test_other_settings_keep_what_was_learned_and_requests_in_hand() -> None:
+def test_changed_settings_keep_statistics_and_requests_in_flight() -> None:
     channels = list(configuration.read(cbor2.dumps(demo_configuration())).routes)
     old = balancer_settings(channels[:1], parse(BOOT, "boot.conf"), 10, 0)
     balancer = Balancer(old, 1)
@@ -383,7 +385,7 @@
     )
 
 
-def test_a_route_caps_the_servers_that_one_request_may_go_to() -> None:
+def test_a_route_limits_the_number_of_servers_tried_per_request() -> None:
     (first, _) = (
         configuration.read(cbor2.dumps(channel(tries=1) | {"plants": demo_configuration()["plants"]})).routes * 2
     )
@@ -397,14 +399,14 @@
     assert any(isinstance(a, pr.Refuse) for a in actions)
 
 
-def test_a_heavy_request_leaves_its_zone_only_where_no_server_near_by_has_room() -> None:
+def test_a_large_request_leaves_its_zone_only_if_no_local_server_has_capacity() -> None:
     channels = list(configuration.read(cbor2.dumps(demo_configuration())).routes)
     settings = balancer_settings(channels, parse(BOOT, "boot.conf"), 3, 0)
     balancer = Balancer(settings, 1)
     entries = (pr.ServerEntry("near", "a"), pr.ServerEntry("far", "b"))
     balancer.handle(0, pr.ListChanged(1, pr.ListScope.WHOLE, entries))
     kind = settings.classes[1].name
-    for number in range(4):  # the one near by has more in hand than the rank alone would allow
+    for number in range(4):  # the local server gets more requests than its rank alone would allow
         request = pr.RequestArrived(f"r{number}", kind, 5_000_000, is_heavy=True)
         (send,) = (a for a in balancer.handle(number, request) if isinstance(a, pr.Send))
         assert send.server == "near"
@@ -417,15 +419,15 @@
     assert send.server == "far"
 
 
-def sent_near(crossing: float) -> int:
-    """How many requests in a row a balancer sends to the server near by, with the same work at hand at both."""
+def sent_locally(crossing: float) -> int:
+    """How many consecutive requests go to the local server before one goes to the other zone, from equal load."""
     channels = list(configuration.read(cbor2.dumps(demo_configuration())).routes)
     settings = balancer_settings(channels, parse(BOOT, "boot.conf"), 10, 0)
     balancer = Balancer(settings, 1)
     entries = (pr.ServerEntry("near", "a"), pr.ServerEntry("far", "b"))
     balancer.handle(0, pr.ListChanged(1, pr.ListScope.WHOLE, entries))
     kind = settings.classes[0].name
-    for number in range(40):  # both are known to answer in 50 ms, and how fast they do it one after another
+    for number in range(40):  # establish a latency of 50 ms and the service rate of both servers
         at_us = number * 60_000
         (send,) = (
             a
@@ -443,13 +445,13 @@
     return 60
 
 
-def test_what_is_dear_to_carry_away_stays_near_for_longer() -> None:
-    assert 0 < sent_near(1.0) < sent_near(4.0) < sent_near(10.0) < 60
+def test_requests_that_are_expensive_to_transfer_stay_in_their_zone_longer() -> None:
+    assert 0 < sent_locally(1.0) < sent_locally(4.0) < sent_locally(10.0) < 60
 
 
-def test_the_price_of_a_crossing_follows_the_bytes_that_it_would_carry() -> None:
+def test_the_cross_zone_price_is_proportional_to_the_transferred_bytes() -> None:
     sizes = ResponseSizes()
-    assert sizes.price_factor("a", 0) == 1.0  # nothing is known yet
+    assert sizes.price_factor("a", 0) == 1.0  # no data yet
     for size in [400] * 3 + [600] * 200:
         sizes.record("a", size)
     assert sizes.price_factor("a", 0) == pytest.approx(600 / CROSS_ZONE_PRICE_BYTES, rel=0.01)
@@ -457,7 +459,7 @@
     assert sizes.price_factor("a", 10**9) == MAX_CROSS_ZONE_FACTOR
 
 
-def test_a_node_that_joins_again_keeps_its_place() -> None:
+def test_a_node_that_registers_again_keeps_its_parents() -> None:
     registry = NodeRegistry("root")
     joins = [frames.JoinRequest(f"n{i}", f"10.0.0.{i}", "z", frames.SERVES_CLIENTS, 1, "") for i in range(9)]
     for join in joins:
@@ -468,44 +470,44 @@
     assert [registry.assignment(join.name, 1, (), "root", 9).parents for join in joins] == before
 
 
-def test_a_beat_that_comes_again_neither_goes_on_nor_counts_as_heard(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_repeated_heartbeat_is_neither_forwarded_nor_counted(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        told: list[frames.Frame] = []
+        sent_frames: list[frames.Frame] = []
         peers = Peers("127.0.0.1", 1, lambda link, frame: None, lambda link: None, 1000.0)
         relay = TreeNode(parse(BOOT, "boot.conf"), peers, frames.SERVES_CLIENTS)
-        monkeypatch.setattr(relay.children, "broadcast", told.append)
+        monkeypatch.setattr(relay.children, "broadcast", sent_frames.append)
         parent = relay.subscription.parent = Link(peers, "10.0.0.9")
-        beat = frames.RootHeartbeat(7, 0, 0, 1, 5)
-        relay.on_heartbeat(parent, beat)
+        heartbeat = frames.RootHeartbeat(7, 0, 0, 1, 5)
+        relay.on_heartbeat(parent, heartbeat)
         relay.subscription.heard_s = 0.0
-        for again in (beat, frames.RootHeartbeat(7, 0, 0, 1, 4)):
-            relay.on_heartbeat(parent, again)
-        assert told == [beat] and relay.subscription.heard_s == 0.0
+        for repeated in (heartbeat, frames.RootHeartbeat(7, 0, 0, 1, 4)):
+            relay.on_heartbeat(parent, repeated)
+        assert sent_frames == [heartbeat] and relay.subscription.heard_s == 0.0
         relay.on_heartbeat(parent, frames.RootHeartbeat(7, 0, 0, 1, 6))
-        assert len(told) == 2 and relay.subscription.heard_s > 0.0
+        assert len(sent_frames) == 2 and relay.subscription.heard_s > 0.0
 
     run(scenario())
 
 
-def test_a_parent_without_a_beat_is_stayed_with_for_a_while_and_not_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_parent_without_a_heartbeat_is_kept_for_a_limited_time(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
         peers = Peers("127.0.0.1", 1, lambda link, frame: None, lambda link: None, 1000.0)
         relay = TreeNode(parse(BOOT, "boot.conf"), peers, frames.SERVES_CLIENTS)
         now_s = 100.0
         monkeypatch.setattr(relay.context, "loop", SimpleNamespace(time=lambda: now_s, call_later=lambda *_: None))
         monkeypatch.setattr(relay, "register_or_search", lambda now_s: None)
-        told: list[frames.Frame] = []
-        monkeypatch.setattr(relay.children, "broadcast", told.append)
+        sent_frames: list[frames.Frame] = []
+        monkeypatch.setattr(relay.children, "broadcast", sent_frames.append)
         parent = relay.subscription.parent = Link(peers, "10.0.0.9")
         relay.on_heartbeat(parent, frames.RootHeartbeat(7, 0, 0, 1, 1))
-        told.clear()
+        sent_frames.clear()
         while now_s < 101.4:
             now_s += 0.1
             relay.on_keep_alive(parent, frames.KeepAlive())
             relay.tick()
         assert (
-            relay.subscription.parent is parent and 2 <= told.count(frames.KeepAlive()) <= 4
-        )  # it tells its own children the same
+            relay.subscription.parent is parent and 2 <= sent_frames.count(frames.KeepAlive()) <= 4
+        )  # it forwards them to its own children
         now_s += 0.4
         relay.on_keep_alive(parent, frames.KeepAlive())
         relay.tick()
@@ -514,7 +516,7 @@
     run(scenario())
 
 
-def test_a_parent_that_is_left_for_a_better_one_is_not_told_to_be_lost() -> None:
+def test_a_parent_replaced_by_a_better_one_is_not_reported_as_lost() -> None:
     async def scenario() -> None:
         peers = Peers("127.0.0.1", 1, lambda link, frame: None, lambda link: relay.link_lost(link), 1000.0)
         relay = TreeNode(parse(BOOT, "boot.conf"), peers, frames.SERVES_CLIENTS)
@@ -530,7 +532,7 @@
             and relay.subscription.parent is not None
             and relay.subscription.parent.ip == "127.0.0.7"
         )
-        relay.subscription.parent.close()  # this one is lost: the next is tried, and the root will be told
+        relay.subscription.parent.close()  # a real loss: the next parent is tried, and the root will be informed
         assert (
             relay.registration.lost_parent == "127.0.0.7"
             and relay.subscription.parent is not None
--- a/tests/test_validity.py
+++ b/tests/test_validity.py
@@ -1,4 +1,4 @@
-"""What is no valid configuration is refused, whichever way and whenever it comes; what is valid can be carried out."""
+"""Invalid configurations are rejected whenever and however they arrive; valid ones can be applied."""
 
 from __future__ import annotations
 
@@ -20,27 +20,29 @@
 from lab.local_cluster import HOST, demo_configuration
 from tests.loopback import run
 
-ALONE = View(256, ("a/1",), ("a/1",))
+SINGLE_MEMBER_VIEW = View(256, ("a/1",), ("a/1",))
 IN_FORCE, NEXT = 7, 9
 Document = dict[str, Any]
 
 
 def with_route(revision: int = NEXT, **changes: Any) -> Document:
-    made = demo_configuration(revision)
-    made["channels"][0] |= changes
-    return made
+    document = demo_configuration(revision)
+    document["channels"][0] |= changes
+    return document
 
 
 def split(*gains: float, plants: tuple[str, ...] = ("finder", "booker")) -> Document:
-    made = with_route(allocation=[{"plant": plant, "gain": gain} for plant, gain in zip(plants, gains, strict=True)])
-    del made["channels"][0]["plant"]
-    return made
+    document = with_route(
+        allocation=[{"plant": plant, "gain": gain} for plant, gain in zip(plants, gains, strict=True)]
+    )
+    del document["channels"][0]["plant"]
+    return document
 
 
 def another_route(**changes: Any) -> Document:
-    made = demo_configuration(NEXT)
-    made["channels"].append(made["channels"][0] | {"label": "added"} | changes)
-    return made
+    document = demo_configuration(NEXT)
+    document["channels"].append(document["channels"][0] | {"label": "added"} | changes)
+    return document
 
 
 def revised(revision: Any) -> bytes:
@@ -48,14 +50,14 @@
 
 
 def pairs(*items: tuple[str, Any]) -> bytes:
-    """A map with these keys, also one that is there twice."""
+    """A CBOR map with these keys; a key may be repeated."""
     return bytes([0xA0 + len(items)]) + b"".join(cbor2.dumps(key) + cbor2.dumps(value) for key, value in items)
 
 
 DEMO = cbor2.dumps(demo_configuration(NEXT))
 ITEMS = tuple(demo_configuration(NEXT).items())
-#: The base that an order names, and its body, by the way in which it is bad.
-WAYS: dict[str, tuple[int, bytes]] = {
+#: The base revision and the body of a write, by the kind of error.
+BAD_CONFIGURATIONS: dict[str, tuple[int, bytes]] = {
     "cut_short": (IN_FORCE, DEMO[:-40]),
     "unknown_service": (IN_FORCE, cbor2.dumps(with_route(plant="nobody"))),
     "same_place": (IN_FORCE, cbor2.dumps(another_route())),
@@ -70,25 +72,25 @@
 
 
 def head() -> ChainReplica:
-    """Head and tail in one, with versions 5 and 7 taken."""
-    made = ChainReplica("a", ALONE, revision_of, configuration.digest, active=True)
+    """A single replica that is both head and tail, with revisions 5 and 7 committed."""
+    replica = ChainReplica("a", SINGLE_MEMBER_VIEW, revision_of, configuration.digest, active=True)
     for base, revision in ((0, IN_FORCE - 2), (IN_FORCE - 2, IN_FORCE)):
-        assert send(made, base, cbor2.dumps(demo_configuration(revision))) == {}
-        sync(made)
-    return made
+        assert submit_write(replica, base, cbor2.dumps(demo_configuration(revision))) == {}
+        persist(replica)
+    return replica
 
 
-def send(member: ChainReplica, base: int, body: bytes, ident: int = 1) -> dict[int, int]:
-    """What orders are answered at once."""
-    return told(member.submit(frames.WriteRequest(ident, "client", base, body), 0.0))
+def submit_write(member: ChainReplica, base: int, body: bytes, ident: int = 1) -> dict[int, int]:
+    """Submit a write; returns the results that are sent immediately."""
+    return results_of(member.submit(frames.WriteRequest(ident, "client", base, body), 0.0))
 
 
-def sync(member: ChainReplica) -> dict[int, int]:
+def persist(member: ChainReplica) -> dict[int, int]:
     assert member.persisting is not None
-    return told(member.entry_persisted(member.persisting, 0.0))
+    return results_of(member.entry_persisted(member.persisting, 0.0))
 
 
-def told(actions: list[Any]) -> dict[int, int]:
+def results_of(actions: list[Any]) -> dict[int, int]:
     return {
         one.frame.request_id: one.frame.status
         for one in actions
@@ -96,18 +98,18 @@
     }
 
 
-@pytest.mark.parametrize("way", WAYS)
-def test_each_way_of_a_bad_configuration_is_refused_alone_in_a_race_and_when_it_comes_again(way: str) -> None:
-    base, body = WAYS[way]
+@pytest.mark.parametrize("kind", BAD_CONFIGURATIONS)
+def test_each_kind_of_bad_configuration_is_rejected_alone_in_a_race_and_when_repeated(kind: str) -> None:
+    base, body = BAD_CONFIGURATIONS[kind]
     alone = head()
-    for ident in (1, 2):  # the answer to the first was lost
-        assert send(alone, base, body, ident)[ident] in (400, 412) and alone.persisting is None
+    for ident in (1, 2):  # repeated, as if the first response was lost
+        assert submit_write(alone, base, body, ident)[ident] in (400, 412) and alone.persisting is None
     for bad_first in (True, False):
         member = head()
-        answers = send(member, base, body, 1) if bad_first else {}
-        answers |= send(member, IN_FORCE, VALID, 2) | send(member, base, body, 3)
+        answers = submit_write(member, base, body, 1) if bad_first else {}
+        answers |= submit_write(member, IN_FORCE, VALID, 2) | submit_write(member, base, body, 3)
         assert member.persisting is not None and member.persisting.body == VALID and 2 not in answers
-        answers |= sync(member) | send(member, base, body, 4) | send(member, IN_FORCE, VALID, 5)
+        answers |= persist(member) | submit_write(member, base, body, 4) | submit_write(member, IN_FORCE, VALID, 5)
         assert answers.pop(2) == answers.pop(5) == 200
         assert set(answers) == {1, 3, 4} if bad_first else {3, 4}
         assert set(answers.values()) <= {400, 412} and member.revision == NEXT
@@ -115,7 +117,7 @@
 
 
 @pytest.mark.parametrize(
-    ("body", "told"),
+    ("body", "message"),
     [
         (pairs(*ITEMS, ("revision", NEXT)), "Duplicate"),
         (cbor2.dumps(with_route()).replace(cbor2.dumps("tries") + b"\x02", cbor2.dumps("rank") + b"\x02"), "Duplicate"),
@@ -155,8 +157,8 @@
     ],
     ids=lambda value: str(value)[:30],
 )
-def test_odd_bytes_are_refused(body: bytes, told: str) -> None:
-    with pytest.raises(configuration.InvalidConfigurationError, match=told):
+def test_malformed_bytes_are_rejected(body: bytes, message: str) -> None:
+    with pytest.raises(configuration.InvalidConfigurationError, match=message):
         configuration.read(body)
 
 
@@ -170,13 +172,13 @@
     ],
     ids=["map", "text", "number", "tag"],
 )
-def test_other_forms_of_the_same_are_taken(body: bytes) -> None:
-    """Of a length that is not told before, a small number written as a large one, and a map marked as CBOR."""
+def test_other_encodings_of_the_same_configuration_are_accepted(body: bytes) -> None:
+    """Indefinite lengths, a small number encoded as a bignum, and a map with the CBOR tag."""
     assert configuration.read(body) == configuration.read(DEMO) and body != DEMO
 
 
-def test_what_an_earlier_program_has_committed_is_served_though_this_one_would_refuse_it() -> None:
-    """Else edge nodes of two programs would have different configurations in force."""
+def test_a_configuration_committed_by_an_earlier_version_is_served_even_if_invalid_now() -> None:
+    """Otherwise nodes with two program versions would apply different configurations."""
     for body in (pairs(*ITEMS, ("revision", NEXT + 1)), cbor2.dumps(another_route(host=f"{HOST}:80"))):
         assert RoutingTable(configuration.read_committed(body)).find(HOST, "/find/1") is not None
 
@@ -195,15 +197,15 @@
     ],
     ids=["service", "label", "mode"],
 )
-def test_a_refusal_fits_into_its_frame_whatever_was_sent(body: bytes) -> None:
-    """A text has two bytes of length: the answer could not be sent, nor what the head was to do after it."""
+def test_a_rejection_fits_into_its_frame_whatever_was_sent(body: bytes) -> None:
+    """A text has a length of two bytes: a longer rejection could not be sent, nor were later actions executed."""
     member = head()
-    send(member, IN_FORCE, VALID, 1)
-    send(member, NEXT, body, 2)
-    send(member, NEXT, cbor2.dumps(with_route(NEXT + 1, tries=5)), 3)
+    submit_write(member, IN_FORCE, VALID, 1)
+    submit_write(member, NEXT, body, 2)
+    submit_write(member, NEXT, cbor2.dumps(with_route(NEXT + 1, tries=5)), 3)
     assert member.persisting is not None
     actions = member.entry_persisted(member.persisting, 0.0)
-    assert told(actions) == {1: 200, 2: 400} and isinstance(actions[-1], PersistEntry)
+    assert results_of(actions) == {1: 200, 2: 400} and isinstance(actions[-1], PersistEntry)
     for action in actions:
         if isinstance(action, SendMessage) and isinstance(action.frame, frames.WriteResult):
             assert action.frame.pack() and len(action.frame.text) <= MAX_RESULT_TEXT
@@ -222,7 +224,7 @@
     ],
     ids=lambda value: str(value)[:25],
 )
-def test_any_version_that_may_be_in_force_can_be_built_on(base: str, taken: bool) -> None:
+def test_any_revision_that_may_be_in_force_is_accepted_as_the_base(base: str, taken: bool) -> None:
     passed: list[frames.Frame] = []
     message = RequestMessage(
         b"POST", b"/-/Configuration.Replace", [(b"base-revision", b"Base-Revision", base.encode())], b"x", True, 0
@@ -236,7 +238,7 @@
     if taken:
         run(scenario())
         assert isinstance(passed[0], frames.WriteRequest) and passed[0].base == int(base)
-        assert passed[0].pack()  # it has room for that
+        assert passed[0].pack()  # the base fits into the frame
     else:
         with pytest.raises(BadRequestError):
             run(scenario())
