--- a/cypressbeam/proxy/upstream.py
+++ b/cypressbeam/proxy/upstream.py
@@ -273,15 +273,15 @@
     def pool(self, server: str, address: Address, started_us: int, accepts_new: bool) -> None:
         """Add or update a server from the server list. Attempts at a process that no longer exists are ended later by
         `end_stale`, once the balancer knows of the change."""
-        pool = self.pools.get(server)
-        if pool is None:
+        server_pool = self.pools.get(server)
+        if server_pool is None:
             self.pools[server] = EndpointPool(address, started_us, accepts_new, deque())
             return
-        moved = pool.address != address
-        restarted = started_us > pool.started_us
-        pool.address, pool.started_us, pool.accepts_new = address, started_us, accepts_new
+        moved = server_pool.address != address
+        restarted = started_us > server_pool.started_us
+        server_pool.address, server_pool.started_us, server_pool.accepts_new = address, started_us, accepts_new
         if moved or not accepts_new:
-            self.drop_idle(pool)
+            self.drop_idle(server_pool)
         if restarted:
             self.stale += [c for c in self.connections if c.server == server and c.opened_us < started_us]
 
@@ -295,22 +295,22 @@
     def shut(self, server: str) -> None:
         """Remove a server that has left the server list. Its attempts in flight continue; nothing else is kept, so
         a new server at the same address starts without state."""
-        pool = self.pools.pop(server, None)
-        if pool is not None:
-            self.drop_idle(pool)
+        server_pool = self.pools.pop(server, None)
+        if server_pool is not None:
+            self.drop_idle(server_pool)
 
-    def drop_idle(self, pool: EndpointPool) -> None:
-        while pool.idle:
-            pool.idle.pop().close()
+    def drop_idle(self, server_pool: EndpointPool) -> None:
+        while server_pool.idle:
+            server_pool.idle.pop().close()
 
     # -- attempts ----------------------------------------------------------------------------------------
 
     def start(self, attempt: Attempt) -> None:
-        pool = self.pools.get(attempt.server)
-        if pool is None or not pool.accepts_new:
+        server_pool = self.pools.get(attempt.server)
+        if server_pool is None or not server_pool.accepts_new:
             self.end(attempt, result_of(SendProgress.NOTHING, EndCause.NO_CONNECTION))
             return
-        connection = None if attempt.again else self.take_idle(pool, attempt.request)
+        connection = None if attempt.again else self.take_idle(server_pool, attempt.request)
         if connection is not None:
             connection.send(attempt)
             return
@@ -319,30 +319,30 @@
             self.end(attempt, result_of(SendProgress.NOTHING, EndCause.NO_CONNECTION))
             return
         self.connecting += 1
-        attempt.connecting = self.loop.create_task(self.connect(attempt, pool.address))
+        attempt.connecting = self.loop.create_task(self.connect(attempt, server_pool.address))
         # Counted here and not in the task, because a task that is cancelled early never runs.
         attempt.connecting.add_done_callback(self.connect_done)
 
-    def take_idle(self, pool: EndpointPool, request: str) -> ServerConnection | None:
+    def take_idle(self, server_pool: EndpointPool, request: str) -> ServerConnection | None:
         """Take the most recently used idle connection that is suitable for the request; close unusable ones."""
         now_s = self.loop.time()
         found, already_used = None, []
-        while found is None and pool.idle:
-            connection = pool.idle.pop()
+        while found is None and server_pool.idle:
+            connection = server_pool.idle.pop()
             if now_s - connection.idle_since_s > connection.idle_s or not connection.quiet():
                 connection.close()
             elif self.profile.echoes_request_id and request in connection.recent_requests:
                 already_used.append(connection)
             else:
                 found = connection
-        pool.idle.extend(reversed(already_used))
+        server_pool.idle.extend(reversed(already_used))
         return found
 
     def has_capacity(self) -> bool:
         """Whether another connection may be opened; if need be the longest idle one is closed."""
         if len(self.connections) + self.connecting < self.max_connections:
             return True
-        idle = [pool.idle[0] for pool in self.pools.values() if pool.idle]
+        idle = [server_pool.idle[0] for server_pool in self.pools.values() if server_pool.idle]
         if not idle:
             return False
         min(idle, key=lambda connection: connection.idle_since_s).close()
@@ -361,8 +361,14 @@
         attempt.connecting = None
         # Nothing is written if, in the meantime, the request ended, the server started to drain or changed its address,
         # or the server closed the connection again, for instance because it has too many.
-        pool = self.pools.get(attempt.server)
-        if attempt.ended or pool is None or not pool.accepts_new or pool.address != address or not connection.quiet():
+        server_pool = self.pools.get(attempt.server)
+        if (
+            attempt.ended
+            or server_pool is None
+            or not server_pool.accepts_new
+            or server_pool.address != address
+            or not connection.quiet()
+        ):
             connection.close()
             self.end(attempt, result_of(SendProgress.NOTHING, EndCause.NO_CONNECTION))
         else:
@@ -398,26 +404,26 @@
     # -- pool --------------------------------------------------------------------------------------------
 
     def return_to_pool(self, connection: ServerConnection) -> None:
-        pool = self.pools.get(connection.server)
-        if pool is None or not pool.accepts_new or connection.address != pool.address:
+        server_pool = self.pools.get(connection.server)
+        if server_pool is None or not server_pool.accepts_new or connection.address != server_pool.address:
             connection.close()
             return
         connection.idle_since_s = self.loop.time()
-        pool.idle.append(connection)
+        server_pool.idle.append(connection)
 
     def drop(self, connection: ServerConnection) -> None:
         # Immediately, not when connection_lost is called: until then it would count against the limit.
         self.connections.discard(connection)
-        pool = self.pools.get(connection.server)
-        if pool is not None and connection in pool.idle:
-            pool.idle.remove(connection)
+        server_pool = self.pools.get(connection.server)
+        if server_pool is not None and connection in server_pool.idle:
+            server_pool.idle.remove(connection)
 
     def sweep(self) -> None:
         """Close connections that have exceeded their idle time."""
         now_s = self.loop.time()
-        for pool in self.pools.values():
-            while pool.idle and now_s - pool.idle[0].idle_since_s > pool.idle[0].idle_s:
-                pool.idle[0].close()
+        for server_pool in self.pools.values():
+            while server_pool.idle and now_s - server_pool.idle[0].idle_since_s > server_pool.idle[0].idle_s:
+                server_pool.idle[0].close()
 
     def close(self) -> None:
         for connection in list(self.connections):
