--- a/cypressbeam/proxy/attempts.py
+++ b/cypressbeam/proxy/attempts.py
@@ -114,6 +114,6 @@
 
 
 def may_answer_status(status: int, idempotent: bool, may_have_run: Iterable[bool]) -> bool:
-    """Whether a status may be the final response to a request with these attempts. A status of `PROMISES` is allowed
-    only if no attempt may have been executed, or if the request is idempotent."""
+    """Whether a status may be the final response to a request with these attempts. One of `PROMISES` is
+    allowed only if no attempt may have been executed, or if the request is idempotent."""
     return status not in PROMISES or idempotent or not any(may_have_run)
--- a/cypressbeam/proxy/gateway.py
+++ b/cypressbeam/proxy/gateway.py
@@ -300,7 +300,7 @@
         return self.forwarded_failure(request) or super().failure(request)
 
     def forwarded_failure(self, request: ProxiedRequest) -> Answer | None:
-        """The server's own failure, to be forwarded unless its status is one of `PROMISES`, which would need proof."""
+        """The server's own failure, to be forwarded unless it is one of `PROMISES`, which need proof."""
         response = request.last_response
         if response is None or request.last_ending is not it.AttemptOutcome.ERROR or response.status in PROMISES:
             return None
