--- a/cypressbeam/admin/calls.py
+++ b/cypressbeam/admin/calls.py
@@ -6,12 +6,12 @@
 
 from cypressbeam.protocol.address import Address
 from cypressbeam.proxy.http_client import HttpClient
-from cypressbeam.proxy.http_responses import Answer
+from cypressbeam.proxy.http_responses import Response
 
 CALL_S = 5.0
 
 
-async def call(where: Address, method: str, path: bytes, head: str = "", body: bytes = b"") -> Answer:
+async def call(where: Address, method: str, path: bytes, head: str = "", body: bytes = b"") -> Response:
     """One call to a control listener. Raises OSError, EOFError or TimeoutError where nothing answers."""
     connection = HttpClient(where)
     await connection.open()
@@ -22,7 +22,7 @@
         connection.close()
 
 
-def reason_of(answer: Answer) -> str:
+def reason_of(answer: Response) -> str:
     """The line in an answer, which is JSON where it comes from the head of the chain."""
     try:
         return str(msgspec.json.decode(answer.body)["text"])
--- a/cypressbeam/admin/config_calls.py
+++ b/cypressbeam/admin/config_calls.py
@@ -12,13 +12,13 @@
 from cypressbeam.node.control_api import READ, REPLACE
 from cypressbeam.protocol import configuration
 from cypressbeam.protocol.address import Address, read_address
-from cypressbeam.proxy.http_responses import Answer
+from cypressbeam.proxy.http_responses import Response
 
 #: A call is sent elsewhere so often at most.
 MOST_HOPS = 2
 
 
-def read_location(answer: Answer) -> Address:
+def read_location(answer: Response) -> Address:
     """Where a node with a thin link sends those who read. Raises RequestRefusedError."""
     location = (answer.header(b"location") or b"").decode("latin-1")
     try:
--- a/cypressbeam/node/control_api.py
+++ b/cypressbeam/node/control_api.py
@@ -22,7 +22,7 @@
 from cypressbeam.protocol.configuration import MAX_REVISION
 from cypressbeam.proxy.frontend import ClientConnection
 from cypressbeam.proxy.http_requests import BadRequestError, RequestMessage
-from cypressbeam.proxy.http_responses import Answer, Limits
+from cypressbeam.proxy.http_responses import Limits, Response
 from cypressbeam.proxy.proxy_core import Clock
 
 log = logging.getLogger(__name__)
@@ -31,7 +31,14 @@
 MEMBERS = b"/-/System.Members"
 #: A configuration of many thousand routes fits; more is refused with 413.
 MAX_BODY_BYTES = 8 * 1024 * 1024
-LIMITS = Limits(head_bytes=16 * 1024, body_bytes=MAX_BODY_BYTES, ask_s=5.0, body_s=5.0, idle_s=30.0, body_renews=True)
+LIMITS = Limits(
+    max_head_bytes=16 * 1024,
+    max_body_bytes=MAX_BODY_BYTES,
+    head_timeout_s=5.0,
+    body_timeout_s=5.0,
+    idle_timeout_s=30.0,
+    body_timeout_restarts=True,
+)
 MAX_CONNECTIONS = 64
 #: Callers move on after a second of silence, so by then they hear that they should.
 CALL_TIMEOUT_S = 0.9
@@ -86,7 +93,7 @@
         """Whether the chain is known here."""
         return bool(self.chain())
 
-    def serve(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
+    def serve(self, message: RequestMessage, connection: ClientConnection) -> Response | None:
         """Answer a call, or begin to; raises BadRequestError for one that is wrong."""
         path = message.target.partition(b"?")[0]
         if path == REPLACE:
@@ -101,7 +108,7 @@
             return self.state_query.begin(connection)
         raise BadRequestError(404, "no such call")
 
-    def replace(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
+    def replace(self, message: RequestMessage, connection: ClientConnection) -> Response | None:
         """Configuration.Replace: a write request to the head."""
         if message.method != b"POST":
             raise BadRequestError(405, "Configuration.Replace is a POST", b"POST")
@@ -113,17 +120,17 @@
         request_id = self.rng.getrandbits(63)
         return self.submit(frames.WriteRequest(request_id, self.ip, int(given[0]), message.body), connection)
 
-    def read(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
+    def read(self, message: RequestMessage, connection: ClientConnection) -> Response | None:
         """Configuration.Read: a read request to the tail, or a redirect to a node that answers sooner."""
         if message.method not in (b"GET", b"HEAD"):
             raise BadRequestError(405, "Configuration.Read is a GET", b"GET, HEAD")
         better = self.better_reader()
         if better is not None:
             where = b"http://%s:%d%s" % (better[0].encode(), better[1], READ)
-            return Answer(307, [(b"Location", where)])
+            return Response(307, [(b"Location", where)])
         return self.submit(frames.ReadRequest(self.rng.getrandbits(63), self.ip), connection)
 
-    def change_members(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
+    def change_members(self, message: RequestMessage, connection: ClientConnection) -> Response | None:
         """A change of the core's group: sent again and again, as it was, until the answer is no longer 202."""
         if message.method != b"POST":
             raise BadRequestError(405, "System.Members is a POST", b"POST")
@@ -145,7 +152,7 @@
         self,
         frame: frames.WriteRequest | frames.ReadRequest | frames.MembershipChangeRequest,
         connection: ClientConnection,
-    ) -> Answer | None:
+    ) -> Response | None:
         """Send a request to the chain, and answer the call when its result comes."""
         if not self.chain():
             return unavailable("the chain is not known here yet")
@@ -173,7 +180,7 @@
             min(RESEND_INTERVAL_S, max(call.deadline_s - self.loop.time(), 0.001)), self.send_pending, name
         )
 
-    def complete(self, name: str, answer: Answer) -> None:
+    def complete(self, name: str, answer: Response) -> None:
         """Answer a call that waits."""
         call = self.calls.pop(name, None)
         if call is not None:
@@ -182,23 +189,23 @@
     def on_write_result(self, frame: frames.WriteResult) -> None:
         """The result of a write."""
         headers = [(b"Retry-After", b"0.3")] if frame.status == 503 else []
-        self.complete(str(frame.request_id), Answer(frame.status, headers, f"{frame.text}\n".encode()))
+        self.complete(str(frame.request_id), Response(frame.status, headers, f"{frame.text}\n".encode()))
 
     def on_read_result(self, frame: frames.ReadResult) -> None:
         """The configuration that was read."""
-        self.complete(str(frame.request_id), Answer(frame.status, [CBOR] if frame.body else [], frame.body))
+        self.complete(str(frame.request_id), Response(frame.status, [CBOR] if frame.body else [], frame.body))
 
     def on_change_status(self, frame: frames.MembershipChangeStatus) -> None:
         """How far a change of the members is."""
         body = msgspec.json.encode({"status": frame.status, "text": frame.text, "group": frame.group})
-        self.complete(str(frame.request_id), Answer(frame.status, [JSON], body))
+        self.complete(str(frame.request_id), Response(frame.status, [JSON], body))
 
-    def client_gone(self, name: str) -> None:
+    def client_disconnected(self, name: str) -> None:
         """A client has left: its call is forgotten."""
-        if not self.state_query.client_gone(name):
+        if not self.state_query.client_disconnected(name):
             self.calls.pop(name, None)
 
 
-def unavailable(why: str) -> Answer:
+def unavailable(why: str) -> Response:
     """503, and when to come back."""
-    return Answer(503, [(b"Retry-After", b"0.3")], f"{why}\n".encode())
+    return Response(503, [(b"Retry-After", b"0.3")], f"{why}\n".encode())
--- a/cypressbeam/node/gateway_node.py
+++ b/cypressbeam/node/gateway_node.py
@@ -24,9 +24,9 @@
 from cypressbeam.protocol.address import Address
 from cypressbeam.protocol.settings import VARIABLE, Settings, SettingsError, load
 from cypressbeam.proxy.frontend import ClientConnection, Frontend, readiness
-from cypressbeam.proxy.gateway import OVERFLOW, Gateway
+from cypressbeam.proxy.gateway import OVERFLOW_CONNECTIONS, Gateway
 from cypressbeam.proxy.http_requests import BadRequestError, RequestMessage
-from cypressbeam.proxy.http_responses import Answer
+from cypressbeam.proxy.http_responses import Response
 from cypressbeam.storage.store import SqliteStore, Storage
 from cypressbeam.transport.peers import Link, Peers
 
@@ -64,13 +64,13 @@
         """Whether clients may be sent here."""
         return self.gateway.can_serve()
 
-    def serve(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
+    def serve(self, message: RequestMessage, connection: ClientConnection) -> Response | None:
         """Answer the platform's call; raises BadRequestError for any other."""
         if message.target.partition(b"?")[0] != READY_PATH:
             raise BadRequestError(404, "no such call")
         return readiness(connection, message.method)
 
-    def client_gone(self, name: str) -> None:
+    def client_disconnected(self, name: str) -> None:
         """Every answer is given at once."""
 
 
@@ -99,8 +99,8 @@
             settings.front_listener is not None,
         )
         self.tree = TreeNode(settings, self.peers, flags)
-        self.tree.configuration.on_committed = self.take_configuration
-        self.tree.endpoints.on_change = self.take_servers
+        self.tree.configuration.on_committed = self.apply_configuration
+        self.tree.endpoints.on_change = self.update_servers
         self.tree.registration.on_assigned = self.take_assignment
         self.failure_detector = UdpFailureDetector(settings.peer_port, self.on_silent)
         self.gateway = self.make_gateway()
@@ -139,19 +139,22 @@
             self.begin_bootstrap()
         if settings.control_listener is not None:
             await self.listen(
-                Frontend(self.control, control_api.MAX_CONNECTIONS, OVERFLOW, control_api.LIMITS),
+                Frontend(self.control, control_api.MAX_CONNECTIONS, OVERFLOW_CONNECTIONS, control_api.LIMITS),
                 settings.control_listener,
             )
         if self.gateway is not None and settings.front_listener is not None:
             self.listening = self.listening or early_listener.listen(*settings.front_listener)
-            frontend = Frontend(self.gateway, self.gateway.client_connections, OVERFLOW, self.gateway.limits)
+            frontend = Frontend(
+                self.gateway, self.gateway.client_connections, OVERFLOW_CONNECTIONS, self.gateway.limits
+            )
             self.frontends.append(frontend)
             task = self.loop.create_task(self.accept(frontend, settings.front_listener))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
             if settings.readiness_listener is not None:
                 await self.listen(
-                    Frontend(ReadinessApi(self.gateway), 64, OVERFLOW, control_api.LIMITS), settings.readiness_listener
+                    Frontend(ReadinessApi(self.gateway), 64, OVERFLOW_CONNECTIONS, control_api.LIMITS),
+                    settings.readiness_listener,
                 )
         self.tree.start()
         await self.failure_detector.start(settings.ip)
@@ -185,13 +188,13 @@
                 frontend.stop_accepting()
             # Also requests that are still coming in: on a thin link a body takes a second.
             while (
-                self.gateway.requests or any(frontend.has_pending_answers() for frontend in self.frontends)
+                self.gateway.requests or any(frontend.has_pending_responses() for frontend in self.frontends)
             ) and self.loop.time() < ends_s:
                 await asyncio.sleep(0.02)
             for request in [*self.gateway.requests.values()]:
                 self.gateway.time_is_up(request)
             for frontend in self.frontends:
-                frontend.refuse_partial()
+                frontend.reject_partial_requests()
             await asyncio.sleep(0.05)
             self.gateway.upstream.close()
         await leaving
@@ -301,25 +304,25 @@
             "ready": self.gateway.can_serve() if self.gateway is not None else None,
         }
 
-    def take_configuration(self, revision: int, body: bytes) -> None:
+    def apply_configuration(self, revision: int, body: bytes) -> None:
         """A committed configuration is here: the data plane serves by it."""
         if self.gateway is not None:
             try:
-                self.gateway.take_configuration(configuration.read_committed(body))
+                self.gateway.apply_configuration(configuration.read_committed(body))
             except (
                 configuration.InvalidConfigurationError
             ) as err:  # the head has checked it, so this is a fault of ours
                 log.error("configuration %d not applied: %s", revision, err)
 
-    def take_servers(self) -> None:
+    def update_servers(self) -> None:
         """The endpoint list has changed."""
         if self.gateway is not None:
-            self.gateway.take_servers(self.tree.endpoints.endpoints.servers)
+            self.gateway.update_servers(self.tree.endpoints.endpoints.servers)
 
     def take_outliers(self, servers: tuple[str, ...]) -> None:
         """Servers fail for many nodes of this zone."""
         if self.gateway is not None:
-            self.gateway.take_ejections(servers)
+            self.gateway.eject_servers(servers)
 
     def take_assignment(self) -> None:
         """The leader has assigned parents, and peers to probe."""
@@ -330,7 +333,7 @@
         if self.core is not None:
             self.core.send_spare_heartbeat()
         if self.gateway is not None:
-            self.gateway.take_fleet(self.tree.registration.edge_count or 1, place.index)
+            self.gateway.set_fleet(self.tree.registration.edge_count or 1, place.index)
 
     def on_silent(self, name: str) -> None:
         """A probed peer does not answer: it is reported to the leader."""
--- a/cypressbeam/node/state_query.py
+++ b/cypressbeam/node/state_query.py
@@ -14,7 +14,7 @@
 from cypressbeam.consensus.views import ip_of
 from cypressbeam.protocol import frames
 from cypressbeam.proxy.frontend import ClientConnection
-from cypressbeam.proxy.http_responses import Answer
+from cypressbeam.proxy.http_responses import Response
 
 STATE = b"/-/System.State"
 #: A machine that has not answered by then is shown as silent.
@@ -52,7 +52,7 @@
         self.rng = random.SystemRandom()
         self.pending: dict[str, PendingQuery] = {}
 
-    def begin(self, connection: ClientConnection) -> Answer | None:
+    def begin(self, connection: ClientConnection) -> Response | None:
         """Ask the core; the answer comes once all have answered, or after a time-out. At once where no core is
         known."""
         members = self.members()
@@ -98,11 +98,11 @@
         if query is not None:
             query.connection.respond(self.build_answer(query))
 
-    def client_gone(self, name: str) -> bool:
+    def client_disconnected(self, name: str) -> bool:
         """A client has left; returns whether it had called for the state."""
         return self.pending.pop(name, None) is not None
 
-    def build_answer(self, query: PendingQuery) -> Answer:
+    def build_answer(self, query: PendingQuery) -> Response:
         """The state of the core and of this node, as JSON."""
         newest = max(query.answers.values(), key=lambda state: state.epoch, default=None)
         head = max(
@@ -119,7 +119,7 @@
             "waits": query.replacement_status,
             "members": [describe(ip, query.answers.get(ip), head) for ip in sorted(query.queried)],
         }
-        return Answer(200, [JSON], msgspec.json.encode(state))
+        return Response(200, [JSON], msgspec.json.encode(state))
 
     def quorum_loss(self, query: PendingQuery, newest: frames.ReplicaStatus | None) -> dict[str, Any] | None:
         """Where no majority of the core answers, or none of it leads and one says that it hears no majority: what that
--- a/cypressbeam/proxy/attempts.py
+++ b/cypressbeam/proxy/attempts.py
@@ -12,7 +12,7 @@
 from cypressbeam.balancing.interface import AttemptOutcome, Group, Repeat, RequestClass
 
 #: Statuses that guarantee that the request was not executed and never will be (PROTOCOL.md, Answers).
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
 
 
 class SendProgress(Enum):
@@ -49,7 +49,7 @@
     INVALID = "spoilt"
     """A success without proof that it is the server's own and complete."""
     FAILURE = "failure"
-    """Includes a status of `PROMISES` without proof from the server."""
+    """Includes a status of `NOT_EXECUTED_STATUSES` without proof from the server."""
     NOT_EXECUTED = "not executed"
     """The server proves that it has not executed the request and will not."""
     MISDIRECTED = "misdirected"
@@ -114,6 +114,6 @@
 
 
 def may_answer_status(status: int, idempotent: bool, may_have_run: Iterable[bool]) -> bool:
-    """Whether a status may be the final response to a request with these attempts. One of `PROMISES` is
+    """Whether a status may be the final response to a request with these attempts. One of `NOT_EXECUTED_STATUSES` is
     allowed only if no attempt may have been executed, or if the request is idempotent."""
-    return status not in PROMISES or idempotent or not any(may_have_run)
+    return status not in NOT_EXECUTED_STATUSES or idempotent or not any(may_have_run)
--- a/cypressbeam/proxy/frontend.py
+++ b/cypressbeam/proxy/frontend.py
@@ -10,13 +10,13 @@
 from typing import Protocol, cast
 
 from cypressbeam.proxy.http_requests import BadRequestError, BodyBudget, RequestMessage, RequestReader
-from cypressbeam.proxy.http_responses import BODILESS_STATUSES, Answer, Limits, has_unread_input
+from cypressbeam.proxy.http_responses import BODILESS_STATUSES, Limits, Response, has_unread_input
 
 log = logging.getLogger(__name__)
 
 #: Share of the usable file descriptors that client connections may hold. Active clients may hold a third of all
 #: descriptors, and idle clients must not crowd them out. A request usually needs one server connection at a time.
-CLIENT_SHARE = 0.6
+CLIENT_CONNECTION_SHARE = 0.6
 
 BACKLOG = 1024
 SWEEP_INTERVAL_S = 0.2
@@ -59,12 +59,12 @@
 
     def now_us(self) -> int: ...
 
-    def serve(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
+    def serve(self, message: RequestMessage, connection: ClientConnection) -> Response | None:
         """Handle a complete request. None: the response follows later through the connection's `respond`.
 
         Raises BadRequestError if the request can't be accepted."""
 
-    def client_gone(self, name: str) -> None:
+    def client_disconnected(self, name: str) -> None:
         """The client of the request whose ID `serve` set on the connection has disconnected."""
 
     def can_serve(self) -> bool: ...
@@ -111,14 +111,14 @@
         for connection in [*self.silent, *self.idle]:
             connection.close_unless_readable()
 
-    def has_pending_answers(self) -> bool:
+    def has_pending_responses(self) -> bool:
         """Whether a request is partly received, a response is pending, or part of a response is still unsent."""
         return bool(self.partial) or any(
             connection.current is not None or connection.transport.get_write_buffer_size()
             for connection in self.connections
         )
 
-    def refuse_partial(self) -> None:
+    def reject_partial_requests(self) -> None:
         """Reject partly received requests at the end of a shutdown. None was forwarded, so its client may retry."""
         for connection in [*self.partial]:
             connection.reject(BadRequestError(503, "the node stops", retry_after=STOPPING_RETRY_AFTER_S))
@@ -159,14 +159,14 @@
         self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
         now_s = self.loop.time()
         limits = self.limits
-        for group, timeout_s in ((self.silent, limits.ask_s), (self.idle, limits.idle_s)):
+        for group, timeout_s in ((self.silent, limits.head_timeout_s), (self.idle, limits.idle_timeout_s)):
             for connection, since_s in list(group.items()):
                 if now_s - since_s < timeout_s:
                     break
                 connection.close_unless_readable()
         for connection, since_s in list(self.partial.items()):
             in_body = connection.reader.headers_done
-            if now_s - since_s >= (limits.body_s if in_body else limits.ask_s):
+            if now_s - since_s >= (limits.body_timeout_s if in_body else limits.head_timeout_s):
                 connection.reject(BadRequestError(408, "the request did not come whole in time"))
         for connection, since_s in list(self.idle.items()):
             if connection.write_paused and now_s - since_s >= WRITE_TIMEOUT_S:
@@ -214,7 +214,7 @@
         self.reader.release_body(self.reader.buffered_bytes)
         if self.request is not None:
             request, self.request = self.request, None
-            self.app.client_gone(request)
+            self.app.client_disconnected(request)
 
     def move_to(self, group: ConnectionTimes | None, since_s: float = 0.0) -> None:
         if self.group is not None:
@@ -251,7 +251,7 @@
             self.reject(reader.error)
         elif reader.partial and not was_partial:
             self.move_to(self.frontend.partial, self.frontend.loop.time() if self.has_sent_request else self.opened_s)
-        elif reader.headers_done and self.frontend.limits.body_renews:
+        elif reader.headers_done and self.frontend.limits.body_timeout_restarts:
             self.move_to(self.frontend.partial, self.frontend.loop.time())
 
     def send_continue(self) -> None:
@@ -276,12 +276,12 @@
         except Exception:
             log.exception("handling a request failed")
             self.closing = True
-            self.respond(Answer(500))
+            self.respond(Response(500))
             return
         if response is not None:
             self.respond(response)
 
-    def respond(self, response: Answer) -> None:
+    def respond(self, response: Response) -> None:
         """Write the pending response, then continue with pipelined input."""
         message, self.current, self.request = self.current, None, None
         if message is None or self.transport.is_closing():
@@ -289,7 +289,7 @@
         if message.body:
             self.reader.release_body(len(message.body))
         if message.method == b"HEAD" and response.body:  # the body would be read as the next response
-            response = Answer(response.status, response.headers, length=len(response.body))
+            response = Response(response.status, response.headers, length=len(response.body))
         close = self.closing or self.frontend.stopping or not message.keep_alive
         self.write(response, close)
         if close:
@@ -328,7 +328,7 @@
             if self.current is None and not self.closing:
                 self.continue_after_response()
 
-    def write(self, response: Answer, close: bool) -> None:
+    def write(self, response: Response, close: bool) -> None:
         lines = [b"HTTP/1.1 %d %s\r\n" % (response.status, REASON_PHRASES.get(response.status, b"-"))]
         if response.status not in BODILESS_STATUSES:
             length = len(response.body) if response.length is None else response.length
@@ -362,11 +362,11 @@
             self.transport.close()
 
 
-def readiness(connection: ClientConnection, method: bytes) -> Answer:
+def readiness(connection: ClientConnection, method: bytes) -> Response:
     """The response to a readiness check: 200 while the node accepts requests, otherwise 503."""
     if method not in (b"GET", b"HEAD"):
         raise BadRequestError(405, f"{method!r} for readiness", b"GET, HEAD")
-    return Answer(200 if connection.frontend.ready() else 503)
+    return Response(200 if connection.frontend.ready() else 503)
 
 
 def log_rejection(error: BadRequestError) -> None:
@@ -375,10 +375,10 @@
     log.log(level, "request rejected: %d: %s", error.status, error)
 
 
-def error_response(error: BadRequestError) -> Answer:
+def error_response(error: BadRequestError) -> Response:
     headers = [(b"Content-Type", b"text/plain; charset=utf-8")]
     if error.retry_after:
         headers.append((b"Retry-After", error.retry_after))
     if error.allow:
         headers.append((b"Allow", error.allow))
-    return Answer(error.status, headers, f"{error}\n".encode())
+    return Response(error.status, headers, f"{error}\n".encode())
--- a/cypressbeam/proxy/gateway.py
+++ b/cypressbeam/proxy/gateway.py
@@ -11,14 +11,14 @@
 from cypressbeam.distribution import endpoint_list
 from cypressbeam.protocol.configuration import Configuration, Constraints, RouteConfiguration
 from cypressbeam.protocol.settings import Envelope, Settings
-from cypressbeam.proxy.attempts import PROMISES
-from cypressbeam.proxy.frontend import CLIENT_SHARE, ClientConnection
+from cypressbeam.proxy.attempts import NOT_EXECUTED_STATUSES
+from cypressbeam.proxy.frontend import CLIENT_CONNECTION_SHARE, ClientConnection
 from cypressbeam.proxy.http_requests import BadRequestError, RequestMessage, collect_headers, request_head
-from cypressbeam.proxy.http_responses import Answer, Limits
+from cypressbeam.proxy.http_responses import Limits, Response
 from cypressbeam.proxy.protocol_profile import GATEWAY_PROFILE
-from cypressbeam.proxy.proxy_core import ANSWER_MARGIN_US, BalancerHost, ProxiedRequest, ProxyCore
+from cypressbeam.proxy.proxy_core import RESPONSE_MARGIN_US, BalancerHost, ProxiedRequest, ProxyCore
 from cypressbeam.proxy.response_validation import RequestContext
-from cypressbeam.proxy.routing import Route, RoutingTable, kind_of
+from cypressbeam.proxy.routing import Route, RoutingTable, class_name_of
 from cypressbeam.proxy.upstream import Attempt
 
 log = logging.getLogger(__name__)
@@ -29,7 +29,7 @@
 MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 #: File descriptors reserved for everything except client and server connections.
 SPARE_DESCRIPTORS = 400
-OVERFLOW = 12
+OVERFLOW_CONNECTIONS = 12
 #: Share of the memory that request bodies may occupy. A body exists twice while it is being read.
 BODY_MEMORY_SHARE = 0.3
 #: Shares of the fleet's retry ratio and retry slack that the nodes use. The rest is headroom, because requests are
@@ -61,7 +61,7 @@
 def request_class(route: RouteConfiguration) -> it.RequestClass:
     """The balancer's request class for a route. Rank 0 is the highest; each further rank halves the value."""
     return it.RequestClass(
-        kind_of(route),
+        class_name_of(route),
         REPEAT_BY_MODE[route.mode],
         latency_target_us=max(int(route.latency_target_ms * 1000), 1),
         deadline_us=max(int(route.timeout_ms * 1000), 1),
@@ -76,7 +76,7 @@
 ) -> it.Settings:
     """The settings of the balancer of one service. The retry budget of the fleet is divided among its nodes."""
     envelope: Envelope = settings.envelope
-    classes = {kind_of(route): request_class(route) for route in routes}
+    classes = {class_name_of(route): request_class(route) for route in routes}
     return it.Settings(
         classes=tuple(classes.values()),
         proxies=max(node_count, 1),
@@ -118,7 +118,7 @@
 
     def __init__(self, settings: Settings, now_us: Callable[[], int] | None = None) -> None:
         usable = settings.file_handles - SPARE_DESCRIPTORS
-        self.client_connections = max(1, int(usable * CLIENT_SHARE))
+        self.client_connections = max(1, int(usable * CLIENT_CONNECTION_SHARE))
         super().__init__(
             GATEWAY_PROFILE,
             CONNECT_TIMEOUT_US,
@@ -134,8 +134,8 @@
             Constraints()
         )  # until the first configuration arrives, so that no body is rejected that it would allow
         self.limits = Limits(
-            body_bytes=defaults.body_max_bytes,
-            body_renews=True,
+            max_body_bytes=defaults.body_max_bytes,
+            body_timeout_restarts=True,
             max_buffered_bytes=int(settings.memory_mb * BODY_MEMORY_SHARE * 1e6),
         )
         self.hosts: dict[str, BalancerHost] = {}
@@ -147,24 +147,24 @@
         self.node_count, self.node_index = 1, 0
         self.on_failure: Callable[[str], None] = lambda server: None
         """Called with the ID of each server that received a request and failed it."""
-        self.start_upkeep()
+        self.start_periodic_tasks()
 
     def can_serve(self) -> bool:
         return self.table is not None and self.listed
 
     # -- updates -------------------------------------------------------------------------------------------
 
-    def take_configuration(self, configuration: Configuration) -> None:
+    def apply_configuration(self, configuration: Configuration) -> None:
         """Replace the routing table in one step. Balancers keep what they have learned."""
         self.table = RoutingTable(configuration)
         limits = configuration.constraints
-        self.limits.head_bytes, self.limits.body_bytes = limits.header_max_bytes, limits.body_max_bytes
-        self.limits.ask_s = limits.header_wait_ms / 1000
-        self.limits.body_s = self.limits.idle_s = limits.quiet_ms / 1000
+        self.limits.max_head_bytes, self.limits.max_body_bytes = limits.header_max_bytes, limits.body_max_bytes
+        self.limits.head_timeout_s = limits.header_wait_ms / 1000
+        self.limits.body_timeout_s = self.limits.idle_timeout_s = limits.quiet_ms / 1000
         log.info("configuration %d applied: %d routes", configuration.revision, len(configuration.routes))
         self.update_balancers()
 
-    def take_fleet(self, node_count: int, node_index: int) -> None:
+    def set_fleet(self, node_count: int, node_index: int) -> None:
         """Set how many nodes serve clients, and the index of this node among them."""
         if (node_count, node_index) != (self.node_count, self.node_index):
             self.node_count, self.node_index = node_count, node_index
@@ -175,7 +175,7 @@
         """Update the request classes of each service's balancer. A balancer without classes is kept unchanged for its
         requests in flight."""
         assert self.table is not None
-        for service, classes in self.table.kinds.items():
+        for service, classes in self.table.classes.items():
             settings = balancer_settings([*classes.values()], self.settings, self.node_count, self.node_index)
             host = self.hosts.get(service)
             if host is None:
@@ -184,7 +184,7 @@
             elif host.balancer.settings != settings:
                 host.handle(it.SettingsChanged(settings))
 
-    def take_servers(self, servers: dict[str, endpoint_list.Endpoint]) -> None:
+    def update_servers(self, servers: dict[str, endpoint_list.Endpoint]) -> None:
         """Replace the server list and notify the balancers of the services that changed."""
         self.listed = True
         self.version += 1
@@ -193,14 +193,14 @@
         }
         changed_services |= {server.service for server_id, server in self.servers.items() if server_id not in servers}
         for server_id in self.servers.keys() - servers.keys():
-            self.upstream.shut(server_id)
+            self.upstream.remove_server(server_id)
             self.started_us.pop(server_id, None)
         now_us = self.now_us()
         for server in servers.values():
             if server.instance_id not in self.started_us:
                 warmup_us = server.warmup_ms * 1000
                 self.started_us[server.instance_id] = now_us + warmup_us - WARMUP_US if warmup_us else 0
-            self.upstream.pool(
+            self.upstream.update_server(
                 server.instance_id,
                 server.address,
                 self.started_us[server.instance_id],
@@ -227,7 +227,7 @@
         )
         host.handle(it.ListChanged(self.version, it.ListScope.WHOLE, entries))
 
-    def take_ejections(self, servers: Iterable[str]) -> None:
+    def eject_servers(self, servers: Iterable[str]) -> None:
         """Mark servers as unhealthy that fail for many nodes."""
         for server_id in servers:
             server = self.servers.get(server_id)
@@ -238,33 +238,33 @@
     # -- requests ------------------------------------------------------------------------------------------
 
     def attempt_ended(
-        self, attempt: Attempt, ending: it.AttemptOutcome, response: Answer | None, report: it.Report | None
+        self, attempt: Attempt, ending: it.AttemptOutcome, response: Response | None, report: it.Report | None
     ) -> None:
         if ending in SERVER_FAULTS:
             self.on_failure(attempt.server)
         super().attempt_ended(attempt, ending, response, report)
 
-    def serve(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
+    def serve(self, message: RequestMessage, connection: ClientConnection) -> Response | None:
         if self.table is None or not self.listed or not connection.admitted:
             connection.closing = True
-            return Answer(503, [(b"Retry-After", NOT_READY_RETRY_AFTER_S)])
+            return Response(503, [(b"Retry-After", NOT_READY_RETRY_AFTER_S)])
         headers, connection_headers = collect_headers(message, GATEWAY_PROFILE)
         route = find_route(self.table, message, headers)
         request_id = headers.get(b"attempt-id", b"").decode("latin-1")
         if not request_id or len(request_id) > 128 or not request_id.isprintable() or " " in request_id:
             raise BadRequestError(400, "Attempt-Id: a word is needed")
-        if self.knows(request_id):
+        if self.has_request(request_id):
             raise BadRequestError(400, f"Attempt-Id: {request_id} is still in hand")
         service = route.choose(self.rng)
         arrived = it.RequestArrived(
             request_id,
-            route.kind,
+            route.class_name,
             self.give_up_at(message, headers, route),
             is_large=len(message.body) >= LARGE_BODY_BYTES,
-            cross_zone_cost=self.sizes.price_factor(route.kind, len(message.body)),
+            cross_zone_cost=self.sizes.price_factor(route.class_name, len(message.body)),
         )
         connection.request = request_id
-        self.take(
+        self.start_request(
             ProxiedRequest(
                 self.hosts[service],
                 arrived,
@@ -285,24 +285,28 @@
             if not text.isdigit() or len(text) > 12:
                 raise BadRequestError(400, f"Time-Left-Ms: milliseconds are needed, not {text!r}")
             remaining_ms = min(remaining_ms, int(text))
-        return message.came_us + int(remaining_ms * 1000) - ANSWER_MARGIN_US
+        return message.arrived_us + int(remaining_ms * 1000) - RESPONSE_MARGIN_US
 
-    def finish(self, request: ProxiedRequest, response: Answer) -> None:
+    def finish(self, request: ProxiedRequest, response: Response) -> None:
         if not request.finished and response.status < 300:
             self.sizes.record(request.arrived.class_name, len(response.body))
         super().finish(request, response)
 
-    def refusal(self, request: ProxiedRequest, retry_after_us: int) -> Answer:
+    def refusal(self, request: ProxiedRequest, retry_after_us: int) -> Response:
         server_failure = self.forwarded_failure(request)
         return server_failure or super().refusal(request, retry_after_us)
 
-    def failure(self, request: ProxiedRequest) -> Answer:
+    def failure(self, request: ProxiedRequest) -> Response:
         return self.forwarded_failure(request) or super().failure(request)
 
-    def forwarded_failure(self, request: ProxiedRequest) -> Answer | None:
-        """The server's own failure, to be forwarded unless it is one of `PROMISES`, which need proof."""
+    def forwarded_failure(self, request: ProxiedRequest) -> Response | None:
+        """The server's own failure, to be forwarded unless it is one of `NOT_EXECUTED_STATUSES`, which need proof."""
         response = request.last_response
-        if response is None or request.last_ending is not it.AttemptOutcome.ERROR or response.status in PROMISES:
+        if (
+            response is None
+            or request.last_ending is not it.AttemptOutcome.ERROR
+            or response.status in NOT_EXECUTED_STATUSES
+        ):
             return None
         return self.forwarded_answer(response)
 
--- a/cypressbeam/proxy/http_client.py
+++ b/cypressbeam/proxy/http_client.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from cypressbeam.protocol.address import Address
-from cypressbeam.proxy.http_responses import Answer, ResponseReader
+from cypressbeam.proxy.http_responses import Response, ResponseReader
 
 CONNECT_TIMEOUT_S = 1.0
 MAX_RESPONSE_BYTES = 8 * 1024 * 1024
@@ -24,11 +24,11 @@
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             self.reader, self.writer = await asyncio.open_connection(*self.address)
 
-    async def get(self, path: str, timeout_s: float) -> Answer:
+    async def get(self, path: str, timeout_s: float) -> Response:
         """Send a GET and return its response."""
         return await self.call(f"GET {path} HTTP/1.1\r\nHost: {self.host}\r\n\r\n".encode(), timeout_s)
 
-    async def call(self, message: bytes, timeout_s: float) -> Answer:
+    async def call(self, message: bytes, timeout_s: float) -> Response:
         """Send a complete request and return its response."""
         assert self.writer is not None
         async with asyncio.timeout(timeout_s):
--- a/cypressbeam/proxy/http_requests.py
+++ b/cypressbeam/proxy/http_requests.py
@@ -19,7 +19,7 @@
 MAX_PIPELINED_REQUESTS = 4
 #: How long a body that was sent all at once may take to arrive over a slow link. A body that takes longer is being sent
 #: slowly, and its client's deadline must not expire before the body has arrived.
-ON_ITS_WAY_US = 1_000_000
+MAX_BODY_TRANSIT_US = 1_000_000
 #: Retry-After, in seconds, when the memory for request bodies is exhausted.
 BODY_BUDGET_RETRY_AFTER_S = b"1"
 TIMEOUT_PATTERN = re.compile(rb"([0-9]{1,10}(?:\.[0-9]{1,6})?)([mu])")
@@ -60,9 +60,9 @@
     """The lower-case name, the name as received, and the value of each header."""
     body: bytes
     keep_alive: bool
-    came_us: int
+    arrived_us: int
     """When its client started to wait, as far as this node can tell: the arrival of its first byte, or
-    `ON_ITS_WAY_US` before the arrival of its last byte if that is later."""
+    `MAX_BODY_TRANSIT_US` before the arrival of its last byte if that is later."""
 
 
 class RequestReader:
@@ -109,11 +109,11 @@
             self.close()
 
     def max_raw_bytes(self) -> int:
-        return self.limits.head_bytes + MAX_FRAMING_FACTOR * len(self.body)
+        return self.limits.max_head_bytes + MAX_FRAMING_FACTOR * len(self.body)
 
     def max_body_size(self) -> int:
         """The body limit; a body larger than the whole budget would never fit."""
-        return min(self.limits.body_bytes, self.limits.max_buffered_bytes)
+        return min(self.limits.max_body_bytes, self.limits.max_buffered_bytes)
 
     def close(self) -> None:
         """Break the reference cycle between parser and reader, so that both are freed without the garbage collector."""
@@ -167,7 +167,7 @@
             if lower == b"expect" and value.lower() == b"100-continue" and version == "1.1":
                 self.awaits_continue = True
                 self.on_expect()
-        if size > self.limits.head_bytes:
+        if size > self.limits.max_head_bytes:
             self.fail(BadRequestError(431, "the headers are too large"))
 
     def on_body(self, data: bytes) -> None:
@@ -181,7 +181,7 @@
 
     def on_message_complete(self) -> None:
         assert self.parser is not None
-        came_us = max(self.started_us, self.now_us() - ON_ITS_WAY_US)
+        arrived_us = max(self.started_us, self.now_us() - MAX_BODY_TRANSIT_US)
         self.messages.append(
             RequestMessage(
                 self.parser.get_method(),
@@ -189,7 +189,7 @@
                 self.headers,
                 bytes(self.body),
                 self.parser.should_keep_alive(),
-                came_us,
+                arrived_us,
             )
         )
         self.partial = self.awaits_continue = False
@@ -274,7 +274,7 @@
     return RequestArrived(
         request=request_id,
         class_name=request_class.name,
-        give_up_at_us=message.came_us + timeout_us - margin_us,
+        give_up_at_us=message.arrived_us + timeout_us - margin_us,
         tenant=None if tenant is None else tenant.decode("latin-1"),
         key=key,
         hint_us=int(hint) if hint.isdigit() and len(hint) < 12 else None,
--- a/cypressbeam/proxy/http_responses.py
+++ b/cypressbeam/proxy/http_responses.py
@@ -65,21 +65,21 @@
 class Limits:
     """Size limits and timeouts for client connections."""
 
-    head_bytes: int = MAX_HEAD_BYTES
-    body_bytes: int = MAX_BODY_BYTES
-    ask_s: float = 2.0
+    max_head_bytes: int = MAX_HEAD_BYTES
+    max_body_bytes: int = MAX_BODY_BYTES
+    head_timeout_s: float = 2.0
     """For receiving the head of a request, from the connect or from its first byte."""
-    body_s: float = 2.0
-    """For receiving the body; with `body_renews`, the longest pause within it."""
-    idle_s: float = 10.0
+    body_timeout_s: float = 2.0
+    """For receiving the body; with `body_timeout_restarts`, the longest pause within it."""
+    idle_timeout_s: float = 10.0
     """Between two requests."""
-    body_renews: bool = False
+    body_timeout_restarts: bool = False
     max_buffered_bytes: int = 1 << 40
     """For the bodies of all requests together; each counts from its first byte until the response."""
 
 
 @dataclass(slots=True)
-class Answer:
+class Response:
     status: int
     headers: Headers = field(default_factory=list)
     body: bytes = b""
@@ -95,7 +95,7 @@
         return [value for key, value in self.headers if key.lower() == name]
 
 
-def parse_keep_alive_timeout(response: Answer) -> int | None:
+def parse_keep_alive_timeout(response: Response) -> int | None:
     """How long the server keeps an idle connection open, if the response says so: `Keep-Alive: timeout=N`."""
     value = response.header(b"keep-alive")
     for part in (value or b"").split(b","):
@@ -138,14 +138,14 @@
         self.headers_done = False
         self.headers: Headers = []
         self.body = bytearray()
-        self.answer = Answer(0)
+        self.answer = Response(0)
         self.remaining_body_bytes: int | None = None
         """Of the current body, if its head gives a length."""
         self.ends_at_close = False
         """The current body ends only when the connection closes."""
         self.head_tail = b""
         """The last bytes of the incomplete head, to find a blank line that is split between reads."""
-        self.behind = b""
+        self.trailing_bytes = b""
         """Bytes that arrived together with the end of a response, after it."""
 
     def feed(self, data: bytes) -> None:
@@ -163,7 +163,7 @@
             piece, data = self.split_at_boundary(data)
             self.parse(piece)
         if data:
-            self.behind, self.keep_alive = data, False
+            self.trailing_bytes, self.keep_alive = data, False
 
     def split_at_boundary(self, data: bytes) -> tuple[bytes, bytes]:
         """Split after the end of the head, or of a body with a length, to know which bytes follow a response."""
@@ -237,7 +237,7 @@
                 self.check_name(self.id_header)
         if self.no_body and self.parser.get_status_code() >= 200:
             self.complete = True  # the parser still expects a body: the connection can't be reused
-            self.answer = Answer(self.parser.get_status_code(), self.headers)
+            self.answer = Response(self.parser.get_status_code(), self.headers)
             length = self.answer.header(b"content-length")
             self.answer.length = int(length) if length is not None else 0
 
@@ -248,13 +248,13 @@
             raise ValueError(f"invalid status {status}")
 
     def check_codings(self, version: str) -> None:
-        transfer_encodings = len(Answer(0, self.headers).header_values(b"transfer-encoding"))
+        transfer_encodings = len(Response(0, self.headers).header_values(b"transfer-encoding"))
         if transfer_encodings > 1 or (transfer_encodings and version == "1.0"):
             raise ValueError("a Transfer-Encoding that does not say where the body ends")
 
     def determine_framing(self, status: int) -> None:
         """Determine how the end of the body is recognized."""
-        head = Answer(status, self.headers)
+        head = Response(status, self.headers)
         length = head.header(b"content-length")
         has_body = status >= 200 and status not in BODILESS_STATUSES and not self.no_body
         self.remaining_body_bytes = int(length) if has_body and length is not None else None
@@ -265,7 +265,7 @@
         assert self.parser is not None
         connection_options = [
             part.strip().lower()
-            for value in Answer(0, self.headers).header_values(b"connection")
+            for value in Response(0, self.headers).header_values(b"connection")
             for part in value.split(b",")
         ]
         return b"close" in connection_options or (
@@ -283,7 +283,7 @@
         ):
             return False
         self.complete = True
-        self.answer = Answer(self.parser.get_status_code(), self.headers, bytes(self.body))
+        self.answer = Response(self.parser.get_status_code(), self.headers, bytes(self.body))
         return True
 
     def check_name(self, id_header: bytes) -> None:
@@ -320,4 +320,4 @@
             return
         self.complete = True
         self.keep_alive = self.parser.should_keep_alive()
-        self.answer = Answer(status, self.headers, bytes(self.body))
+        self.answer = Response(status, self.headers, bytes(self.body))
--- a/cypressbeam/proxy/protocol_profile.py
+++ b/cypressbeam/proxy/protocol_profile.py
@@ -12,7 +12,7 @@
 from cypressbeam.balancing.interface import Report
 from cypressbeam.proxy import response_validation
 from cypressbeam.proxy.attempts import ReplyKind
-from cypressbeam.proxy.http_responses import HOP_BY_HOP, Answer
+from cypressbeam.proxy.http_responses import HOP_BY_HOP, Response
 from cypressbeam.proxy.response_validation import RequestContext
 
 #: The names of load figures on the wire, mapped to the names that the settings use.
@@ -56,7 +56,7 @@
     return Report(queue=float(waiting), in_flight=float(running), utilization=running / max(slots, 1))
 
 
-def classify_standalone(response: Answer) -> ReplyKind:
+def classify_standalone(response: Response) -> ReplyKind:
     if response.status == 200:
         return ReplyKind.SUCCESS
     if response.status in (503, 504) and response.header(b"not-started") == b"1":
@@ -64,7 +64,7 @@
     return ReplyKind.FAILURE
 
 
-def classify_gateway(response: Answer) -> ReplyKind:
+def classify_gateway(response: Response) -> ReplyKind:
     """A 421 comes from another server at this address: the intended one is not there."""
     if 200 <= response.status < 300:
         return ReplyKind.SUCCESS
@@ -75,7 +75,7 @@
     return ReplyKind.FAILURE
 
 
-def no_checks(response: Answer, context: RequestContext, trailing: bytes) -> str:
+def no_checks(response: Response, context: RequestContext, trailing: bytes) -> str:
     """Servers of the standalone program send no proof in their responses."""
     return ""
 
@@ -95,12 +95,12 @@
     """Response headers that concern the server or its connection and are not for the client."""
     load_header: bytes
     parse_load: Callable[[bytes | None], Report | None]
-    judge: Callable[[Answer], ReplyKind]
+    classify: Callable[[Response], ReplyKind]
     address: Callable[[int, str], bytes]
     """Builds the header lines for a single server from the remaining milliseconds and the name of the server."""
     echoes_request_id: bool = False
     """Whether each server response carries the ID of its request in `request_id_header`."""
-    failed_check: Callable[[Answer, RequestContext, bytes], str] = no_checks
+    failed_check: Callable[[Response, RequestContext, bytes], str] = no_checks
     """Returns why a success is rejected, given the bytes that followed it; empty if it is accepted."""
 
 
@@ -111,7 +111,7 @@
     dropped_response_headers=HOP_BY_HOP | {b"server-load", b"not-started"},
     load_header=b"server-load",
     parse_load=parse_named_load,
-    judge=classify_standalone,
+    classify=classify_standalone,
     address=lambda remaining_ms, server: b"Request-Timeout: %dm\r\n" % remaining_ms,
 )
 
@@ -122,7 +122,7 @@
     dropped_response_headers=HOP_BY_HOP | {b"server-load", b"not-executed"},
     load_header=b"server-load",
     parse_load=parse_load,
-    judge=classify_gateway,
+    classify=classify_gateway,
     address=lambda remaining_ms, server: b"Time-Left-Ms: %d\r\nTarget-Server: %s\r\n" % (remaining_ms, server.encode()),
     echoes_request_id=True,
     failed_check=response_validation.failed_check,
--- a/cypressbeam/proxy/proxy_core.py
+++ b/cypressbeam/proxy/proxy_core.py
@@ -16,7 +16,7 @@
 from cypressbeam.balancing import interface as it
 from cypressbeam.balancing.balancer import Balancer
 from cypressbeam.proxy.attempts import EndCause, may_answer_status
-from cypressbeam.proxy.http_responses import MAX_RESPONSE_BYTES, Answer
+from cypressbeam.proxy.http_responses import MAX_RESPONSE_BYTES, Response
 from cypressbeam.proxy.protocol_profile import ProtocolProfile
 from cypressbeam.proxy.response_validation import RequestContext
 from cypressbeam.proxy.upstream import WHOLE_BODY, Attempt, Upstream
@@ -24,7 +24,7 @@
 log = logging.getLogger(__name__)
 
 #: How long before the client's timeout a response is due: for the network, event loop lag, parsing and writing.
-ANSWER_MARGIN_US = 10_000
+RESPONSE_MARGIN_US = 10_000
 SWEEP_INTERVAL_S = 1.0
 #: Event loop lag looks like slow servers to the balancer, so lag over `LAG_WARNING_S` is logged.
 LAG_CHECK_INTERVAL_S = 0.1
@@ -88,7 +88,7 @@
     head: bytes
     """Request line and headers that every server gets, without the blank line."""
     body: bytes
-    respond: Callable[[Answer], None]
+    respond: Callable[[Response], None]
     idempotent: bool = False
     """The request may be repeated even though it may have been executed."""
     context: RequestContext = WHOLE_BODY
@@ -98,7 +98,7 @@
     finished: bool = False
     timer: asyncio.TimerHandle | None = None
     last_ending: it.AttemptOutcome | None = None
-    last_response: Answer | None = None
+    last_response: Response | None = None
 
 
 class ProxyCore:
@@ -131,37 +131,37 @@
         self.lag_last_logged_s = 0.0
         self.max_lag_s = 0.0
 
-    def start_upkeep(self) -> None:
+    def start_periodic_tasks(self) -> None:
         self.sweep()
         self.watch_lag(first=True)
 
     # Subclasses may override these.
 
-    def advice(self, retry_after_us: int) -> list[tuple[bytes, bytes]]:
+    def retry_after_headers(self, retry_after_us: int) -> list[tuple[bytes, bytes]]:
         """Headers of a refusal that tell the client when to retry."""
         return [(b"Retry-After", b"%.3f" % (retry_after_us / 1e6))] if retry_after_us > 0 else []
 
-    def refusal(self, request: ProxiedRequest, retry_after_us: int) -> Answer:
+    def refusal(self, request: ProxiedRequest, retry_after_us: int) -> Response:
         """The response to a request that the client may retry."""
-        return Answer(503, self.advice(retry_after_us))
+        return Response(503, self.retry_after_headers(retry_after_us))
 
-    def failure(self, request: ProxiedRequest) -> Answer:
+    def failure(self, request: ProxiedRequest) -> Response:
         """The response to a request that failed and may have been executed."""
-        return Answer(504 if request.last_ending is it.AttemptOutcome.TIMEOUT else 502)
+        return Response(504 if request.last_ending is it.AttemptOutcome.TIMEOUT else 502)
 
-    def list_wanted(self, whole: bool) -> None:
+    def on_list_requested(self, whole: bool) -> None:
         """Called when a balancer asks for the server list (`whole`) or for its changes."""
 
     def abandon(self, subject: it.Event | it.Action) -> None:
         """After an unexpected error, respond to the request that the event or action concerns and stop its attempts."""
         request = self.requests.get(getattr(subject, "request", ""))
         if request is not None:
-            self.finish(request, Answer(500))
+            self.finish(request, Response(500))
             self.stop_attempts(request, EndCause.CANCELLED)
 
     # -- requests ----------------------------------------------------------------------------------------
 
-    def take(self, request: ProxiedRequest) -> None:
+    def start_request(self, request: ProxiedRequest) -> None:
         """Accept a client request. From here on it gets exactly one final response."""
         arrived = request.arrived
         self.requests[arrived.request] = request
@@ -170,10 +170,10 @@
         request.timer = self.loop.call_later(remaining_s, self.time_is_up, request)
         request.host.handle(arrived)
 
-    def knows(self, name: str) -> bool:
+    def has_request(self, name: str) -> bool:
         return name in self.requests
 
-    def client_gone(self, name: str) -> None:
+    def client_disconnected(self, name: str) -> None:
         request = self.requests.get(name)
         if request is not None and not request.finished:
             self.close(request)
@@ -184,10 +184,10 @@
         self.stop_attempts(request, EndCause.TIMED_OUT)
         if not request.finished:
             log.warning("request %s was left without a response until its deadline", request.arrived.request)
-            self.finish(request, Answer(504))
+            self.finish(request, Response(504))
             request.host.handle(it.ClientGone(request.arrived.request))
 
-    def finish(self, request: ProxiedRequest, response: Answer) -> None:
+    def finish(self, request: ProxiedRequest, response: Response) -> None:
         """Send the final response to the client. Any later one is ignored."""
         if request.finished:
             return
@@ -199,7 +199,7 @@
                 request.arrived.request,
                 response.status,
             )
-            response = Answer(502)
+            response = Response(502)
         self.close(request)
         request.respond(response)
 
@@ -218,7 +218,7 @@
             self.upstream.stop(attempt, cause)
 
     def attempt_ended(
-        self, attempt: Attempt, ending: it.AttemptOutcome, response: Answer | None, report: it.Report | None
+        self, attempt: Attempt, ending: it.AttemptOutcome, response: Response | None, report: it.Report | None
     ) -> None:
         request = self.requests[attempt.request]
         request.in_flight -= 1
@@ -234,14 +234,14 @@
             )
         )
 
-    def forwarded_answer(self, response: Answer) -> Answer:
+    def forwarded_answer(self, response: Response) -> Response:
         """The response to the client for a server's response."""
         headers = [
             (name, value)
             for name, value in response.headers
             if name.lower() not in self.profile.dropped_response_headers
         ]
-        return Answer(response.status, headers, response.body, response.length)
+        return Response(response.status, headers, response.body, response.length)
 
     # -- actions -----------------------------------------------------------------------------------------
 
@@ -263,7 +263,7 @@
             if request is not None and action.attempt < len(request.attempts):
                 self.upstream.stop(request.attempts[action.attempt], EndCause.CANCELLED)
         elif isinstance(action, (it.Subscribe, it.FetchList)):
-            self.list_wanted(whole=isinstance(action, it.FetchList))
+            self.on_list_requested(whole=isinstance(action, it.FetchList))
         elif isinstance(action, it.Log):
             log.info("%s", action.text)
         else:  # probes and messages between nodes are unsupported, and the settings never allow them
--- a/cypressbeam/proxy/response_validation.py
+++ b/cypressbeam/proxy/response_validation.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from cypressbeam.proxy.http_responses import Answer
+from cypressbeam.proxy.http_responses import Response
 
 #: Headers in every response of a server of this system. Any of them tells a real response head from quoted text.
 SERVER_HEADER = re.compile(rb"\r\n(?:attempt-id|server-seal)[ \t]*:", re.IGNORECASE)
@@ -58,41 +58,41 @@
     )
 
 
-def lacks_single_seal(response: Answer, context: RequestContext, trailing: bytes) -> bool:
+def lacks_single_seal(response: Response, context: RequestContext, trailing: bytes) -> bool:
     return len(response.header_values(b"server-seal")) != 1
 
 
-def has_empty_seal(response: Answer, context: RequestContext, trailing: bytes) -> bool:
+def has_empty_seal(response: Response, context: RequestContext, trailing: bytes) -> bool:
     return not all(seal.strip() for seal in response.header_values(b"server-seal"))
 
 
-def is_encoded(response: Answer, context: RequestContext, trailing: bytes) -> bool:
+def is_encoded(response: Response, context: RequestContext, trailing: bytes) -> bool:
     """Requests never ask for a content encoding, so an encoded body is not the server's own."""
     return bool(response.header_values(b"content-encoding"))
 
 
-def is_unrequested_partial(response: Answer, context: RequestContext, trailing: bytes) -> bool:
+def is_unrequested_partial(response: Response, context: RequestContext, trailing: bytes) -> bool:
     return not context.has_range and (response.status == 206 or bool(response.header_values(b"content-range")))
 
 
-def has_forbidden_body(response: Answer, context: RequestContext, trailing: bytes) -> bool:
+def has_forbidden_body(response: Response, context: RequestContext, trailing: bytes) -> bool:
     """A 204 or 205 has no body; one with a body originally had another status."""
     framing = response.header_values(b"transfer-encoding") or response.header(b"content-length") not in (None, b"0")
     return (response.status == 204 and bool(framing)) or (response.status == 205 and bool(response.body))
 
 
-def has_embedded_response(response: Answer, context: RequestContext, trailing: bytes) -> bool:
+def has_embedded_response(response: Response, context: RequestContext, trailing: bytes) -> bool:
     return contains_response(response.body)
 
 
-def has_invalid_trailing_bytes(response: Answer, context: RequestContext, trailing: bytes) -> bool:
+def has_invalid_trailing_bytes(response: Response, context: RequestContext, trailing: bytes) -> bool:
     """Whether the trailing bytes don't start another response. Then either the length is too small and they belong to
     the body, or the body is truncated and ends with the start of the response that they continue."""
     return not context.no_body and bool(trailing) and not starts_response(trailing)
 
 
 #: All checks of a success, by the description that is logged for a response that fails.
-CHECKS: dict[str, Callable[[Answer, RequestContext, bytes], bool]] = {
+CHECKS: dict[str, Callable[[Response, RequestContext, bytes], bool]] = {
     "no Server-Seal, or more than one": lacks_single_seal,
     "an empty Server-Seal": has_empty_seal,
     "a Content-Encoding": is_encoded,
@@ -103,6 +103,6 @@
 }
 
 
-def failed_check(response: Answer, context: RequestContext, trailing: bytes = b"") -> str:
+def failed_check(response: Response, context: RequestContext, trailing: bytes = b"") -> str:
     """The first check that a success fails, or an empty string. `trailing` arrived together with its end."""
     return next((name for name, fails in CHECKS.items() if fails(response, context, trailing)), "")
--- a/cypressbeam/proxy/routing.py
+++ b/cypressbeam/proxy/routing.py
@@ -14,7 +14,7 @@
     """A route in the form used for lookups."""
 
     configuration: RouteConfiguration
-    kind: str
+    class_name: str
     """The request class at the balancer. Routes with equal parameters share a class and its statistics."""
     services: tuple[str, ...]
     weights: tuple[float, ...]
@@ -27,7 +27,7 @@
         return rng.choices(self.services, cum_weights=self.weights)[0]
 
 
-def kind_of(configured: RouteConfiguration) -> str:
+def class_name_of(configured: RouteConfiguration) -> str:
     return format_class_name(
         configured.mode, configured.latency_target_ms, configured.timeout_ms, configured.rank, configured.tries
     )
@@ -45,7 +45,7 @@
     for share in shares:
         total += share.weight
         weights.append(total)
-    return Route(configured, kind_of(configured), tuple(share.service for share in shares), tuple(weights))
+    return Route(configured, class_name_of(configured), tuple(share.service for share in shares), tuple(weights))
 
 
 class RoutingTable:
@@ -54,13 +54,13 @@
     def __init__(self, configuration: Configuration) -> None:
         self.configuration = configuration
         self.routes: dict[str, dict[str, Route]] = {}
-        self.kinds: dict[str, dict[str, RouteConfiguration]] = {}
+        self.classes: dict[str, dict[str, RouteConfiguration]] = {}
         """For each service: its request classes, with one route of each."""
         for configured in configuration.routes:
             route = make_route(configured)
             self.routes.setdefault(host_name(configured.host), {})[configured.prefix] = route
             for service in route.services:
-                self.kinds.setdefault(service, {}).setdefault(route.kind, configured)
+                self.classes.setdefault(service, {}).setdefault(route.class_name, configured)
 
     def find(self, host: str, path: str) -> Route | None:
         """The route for a Host header, whose port is ignored, and a path without a query."""
--- a/cypressbeam/proxy/upstream.py
+++ b/cypressbeam/proxy/upstream.py
@@ -20,7 +20,7 @@
 from cypressbeam.proxy.attempts import AttemptResult, EndCause, ReplyKind, SendProgress, result_of
 from cypressbeam.proxy.http_responses import (
     MAX_RESPONSE_BYTES,
-    Answer,
+    Response,
     ResponseReader,
     has_unread_input,
     parse_keep_alive_timeout,
@@ -113,7 +113,7 @@
         self.recent_requests: deque[str] = deque(maxlen=REMEMBERED)
         self.trailing_timer: asyncio.TimerHandle | None = None
         """Runs while a complete response waits for possible trailing bytes."""
-        self.idle_s = upstream.idle_s
+        self.idle_timeout_s = upstream.idle_timeout_s
         profile = upstream.profile
         self.reader = ResponseReader(
             upstream.max_response_bytes, profile.request_id_header if profile.echoes_request_id else None
@@ -154,7 +154,7 @@
             self.close()
             return
         if self.trailing_timer is not None:
-            self.reader.behind, self.reader.keep_alive = data, False
+            self.reader.trailing_bytes, self.reader.keep_alive = data, False
             self.complete_response()
             return
         dropped_before = self.reader.dropped_responses
@@ -170,7 +170,7 @@
             return
         if (
             self.reader.remaining_body_bytes is not None
-            and not self.reader.behind
+            and not self.reader.trailing_bytes
             and begun_at_the_end(self.reader.answer.body)
         ):
             self.trailing_timer = self.upstream.loop.call_later(TRAILING_BYTES_WAIT_S, self.complete_response)
@@ -182,10 +182,10 @@
         response = self.reader.answer
         advertised_s = parse_keep_alive_timeout(response)
         if advertised_s is not None:
-            self.idle_s = advertised_s * ADVERTISED_IDLE_SHARE
+            self.idle_timeout_s = advertised_s * ADVERTISED_IDLE_SHARE
         self.end(EndCause.ANSWERED, response)
 
-    def end(self, cause: EndCause, response: Answer | None = None) -> None:
+    def end(self, cause: EndCause, response: Response | None = None) -> None:
         """End the current attempt. Only a complete response to a fully sent request keeps the connection usable."""
         if self.trailing_timer is not None:
             self.trailing_timer.cancel()
@@ -194,7 +194,7 @@
         if attempt is None:
             self.close()
             return
-        reply = None if response is None else self.judge(attempt, response)
+        reply = None if response is None else self.classify(attempt, response)
         result = result_of(self.send_progress(), cause, reply)
         if result.reusable and self.reader.keep_alive and not self.closed:
             self.upstream.return_to_pool(self)
@@ -202,11 +202,11 @@
             self.close()
         self.upstream.end(attempt, result, None if reply is ReplyKind.INVALID else response)
 
-    def judge(self, attempt: Attempt, response: Answer) -> ReplyKind:
+    def classify(self, attempt: Attempt, response: Response) -> ReplyKind:
         """Classify a response. A success must prove that it is the server's own and complete."""
-        reply = self.upstream.profile.judge(response)
+        reply = self.upstream.profile.classify(response)
         if reply is ReplyKind.SUCCESS:
-            failed_check = self.upstream.profile.failed_check(response, attempt.context, self.reader.behind)
+            failed_check = self.upstream.profile.failed_check(response, attempt.context, self.reader.trailing_bytes)
             if failed_check:
                 log.warning(
                     "server %s: response %d to %s rejected: %s",
@@ -251,7 +251,7 @@
         idle_us: int,
         max_connections: int,
         now_us: Callable[[], int],
-        on_end: Callable[[Attempt, AttemptOutcome, Answer | None, Report | None], None],
+        on_end: Callable[[Attempt, AttemptOutcome, Response | None, Report | None], None],
         profile: ProtocolProfile = STANDALONE_PROFILE,
         max_response_bytes: int = MAX_RESPONSE_BYTES,
     ) -> None:
@@ -259,7 +259,7 @@
         self.max_response_bytes = max_response_bytes
         self.loop = asyncio.get_running_loop()
         self.connect_timeout_s = connect_timeout_us / 1e6
-        self.idle_s = idle_us / 1e6 * IDLE_SHARE
+        self.idle_timeout_s = idle_us / 1e6 * IDLE_SHARE
         self.max_connections = max_connections
         self.now_us = now_us
         self.on_end = on_end
@@ -270,7 +270,7 @@
 
     # -- servers -----------------------------------------------------------------------------------------
 
-    def pool(self, server: str, address: Address, started_us: int, accepts_new: bool) -> None:
+    def update_server(self, server: str, address: Address, started_us: int, accepts_new: bool) -> None:
         """Add or update a server from the server list. Attempts at a process that no longer exists are ended later by
         `end_stale`, once the balancer knows of the change."""
         server_pool = self.pools.get(server)
@@ -292,7 +292,7 @@
         for connection in stale:
             connection.end(EndCause.SERVER_GONE)
 
-    def shut(self, server: str) -> None:
+    def remove_server(self, server: str) -> None:
         """Remove a server that has left the server list. Its attempts in flight continue; nothing else is kept, so
         a new server at the same address starts without state."""
         server_pool = self.pools.pop(server, None)
@@ -329,7 +329,7 @@
         found, already_used = None, []
         while found is None and server_pool.idle:
             connection = server_pool.idle.pop()
-            if now_s - connection.idle_since_s > connection.idle_s or not connection.quiet():
+            if now_s - connection.idle_since_s > connection.idle_timeout_s or not connection.quiet():
                 connection.close()
             elif self.profile.echoes_request_id and request in connection.recent_requests:
                 already_used.append(connection)
@@ -390,7 +390,7 @@
             attempt.connecting.cancel()
         self.end(attempt, result_of(SendProgress.NOTHING, cause))
 
-    def end(self, attempt: Attempt, result: AttemptResult, response: Answer | None = None) -> None:
+    def end(self, attempt: Attempt, result: AttemptResult, response: Response | None = None) -> None:
         if attempt.ended:
             return
         attempt.ended = True
@@ -422,7 +422,7 @@
         """Close connections that have exceeded their idle time."""
         now_s = self.loop.time()
         for server_pool in self.pools.values():
-            while server_pool.idle and now_s - server_pool.idle[0].idle_since_s > server_pool.idle[0].idle_s:
+            while server_pool.idle and now_s - server_pool.idle[0].idle_since_s > server_pool.idle[0].idle_timeout_s:
                 server_pool.idle[0].close()
 
     def close(self) -> None:
--- a/cypressbeam/standalone/config.py
+++ b/cypressbeam/standalone/config.py
@@ -12,7 +12,7 @@
 from cypressbeam.balancing.interface import Settings
 from cypressbeam.errors import CypressbeamError
 from cypressbeam.protocol.address import Address, read_address
-from cypressbeam.proxy.frontend import CLIENT_SHARE
+from cypressbeam.proxy.frontend import CLIENT_CONNECTION_SHARE
 from cypressbeam.standalone.discovery import ServerList, read_list
 from cypressbeam.standalone.profile import Profile
 
@@ -131,7 +131,7 @@
             raise ValueError("an object is needed")
         profile = Profile(dict(flatten(document["settings"])))
         settings = profile.settings()
-        clients = max(1, int(usable * CLIENT_SHARE))
+        clients = max(1, int(usable * CLIENT_CONNECTION_SHARE))
         return Config(
             name=str(environ.get("EDGE_NAME") or document.get("name") or "node"),
             listen=listen,
--- a/cypressbeam/standalone/node.py
+++ b/cypressbeam/standalone/node.py
@@ -9,9 +9,9 @@
 from cypressbeam.proxy.attempts import is_idempotent
 from cypressbeam.proxy.frontend import ClientConnection, readiness
 from cypressbeam.proxy.http_requests import BadRequestError, RequestMessage, read_request
-from cypressbeam.proxy.http_responses import Answer
+from cypressbeam.proxy.http_responses import Response
 from cypressbeam.proxy.protocol_profile import STANDALONE_PROFILE
-from cypressbeam.proxy.proxy_core import ANSWER_MARGIN_US, BalancerHost, ProxiedRequest, ProxyCore
+from cypressbeam.proxy.proxy_core import RESPONSE_MARGIN_US, BalancerHost, ProxiedRequest, ProxyCore
 from cypressbeam.standalone.config import Config
 from cypressbeam.standalone.discovery import Discovery, ServerList
 
@@ -31,22 +31,22 @@
             config.discovery, config.known.version, config.pushed, self.take_list, self.list_failed
         )
         self.take_list(config.known, saved=True)
-        self.start_upkeep()
+        self.start_periodic_tasks()
 
     def can_serve(self) -> bool:
         return bool(self.live)
 
-    def serve(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
+    def serve(self, message: RequestMessage, connection: ClientConnection) -> Response | None:
         if message.target.partition(b"?")[0] == b"/ready":
             return readiness(connection, message.method)
         if not connection.admitted:
             connection.closing = True
-            return Answer(503)
-        arrived, head = read_request(message, self.kinds, ANSWER_MARGIN_US)
-        if self.knows(arrived.request):
+            return Response(503)
+        arrived, head = read_request(message, self.kinds, RESPONSE_MARGIN_US)
+        if self.has_request(arrived.request):
             raise BadRequestError(400, f"Request-Id: {arrived.request} is still in hand")
         connection.request = arrived.request
-        self.take(
+        self.start_request(
             ProxiedRequest(
                 self.host,
                 arrived,
@@ -62,15 +62,15 @@
         if news.whole:
             named = {listed.entry.server for listed in news.servers}
             for server in self.upstream.pools.keys() - named:
-                self.upstream.shut(server)
+                self.upstream.remove_server(server)
             self.live &= named
         for listed in news.servers:
             entry = listed.entry
             active = entry.state is it.ServerState.ACTIVE
             if listed.address is None or entry.state is it.ServerState.GONE:
-                self.upstream.shut(entry.server)
+                self.upstream.remove_server(entry.server)
             else:
-                self.upstream.pool(entry.server, listed.address, entry.started_us, active)
+                self.upstream.update_server(entry.server, listed.address, entry.started_us, active)
             (self.live.add if active else self.live.discard)(entry.server)
         scope = it.ListScope.SAVED if saved else it.ListScope.WHOLE if news.whole else it.ListScope.CHANGES
         self.host.handle(it.ListChanged(news.version, scope, tuple(listed.entry for listed in news.servers)))
@@ -80,11 +80,11 @@
         if self.settings.must_subscribe:  # elsewhere the balancer has asked for nothing that could fail
             self.host.handle(it.ListChanged(self.discovery.version, it.ListScope.FAILED))
 
-    def list_wanted(self, whole: bool) -> None:
+    def on_list_requested(self, whole: bool) -> None:
         if whole:
             self.discovery.fetch()
         else:
             self.discovery.watch()
 
-    def advice(self, retry_after_us: int) -> list[tuple[bytes, bytes]]:
-        return super().advice(retry_after_us) if self.settings.retry_advice else []
+    def retry_after_headers(self, retry_after_us: int) -> list[tuple[bytes, bytes]]:
+        return super().retry_after_headers(retry_after_us) if self.settings.retry_advice else []
--- a/lab/adversarial_servers.py
+++ b/lab/adversarial_servers.py
@@ -14,7 +14,7 @@
 from cypressbeam.distribution import endpoint_list
 from cypressbeam.protocol.configuration import Configuration, RouteConfiguration, ServiceConfiguration
 from cypressbeam.protocol.settings import parse
-from cypressbeam.proxy.attempts import PROMISES
+from cypressbeam.proxy.attempts import NOT_EXECUTED_STATUSES
 from cypressbeam.proxy.frontend import ClientConnection, Frontend
 from cypressbeam.proxy.gateway import Gateway
 from cypressbeam.proxy.upstream import Attempt, ServerConnection
@@ -240,7 +240,7 @@
         self.gate = Gateway(parse(SETTINGS, "boot.conf"), lambda: int(loop.time() * 1e6))
         self.gate.rng.seed(1)
         self.frontend = Frontend(self.gate, 100, 0, self.gate.limits)
-        self.gate.take_configuration(
+        self.gate.apply_configuration(
             Configuration(
                 1,
                 tuple(
@@ -255,7 +255,7 @@
 
     def tell(self) -> None:
         """The list as it is now."""
-        self.gate.take_servers(
+        self.gate.update_servers(
             {
                 ident: endpoint_list.Endpoint(ident, "p", ("10.9.0.1", 8000 + int(ident[1:])), "a", 4, state, 0)
                 for ident, state in self.states.items()
@@ -301,7 +301,7 @@
                     hold(named == asked.ident.encode(), f"MIXED: {asked.ident} got the answer to {named!r}")
                     hold(asked.method == "HEAD" or whole, f"MIXED: {asked.ident} got {body!r}")
                     hold(b"server-seal" in headers, f"MIXED: {asked.ident} got no seal")
-                if status in PROMISES and asked.kind == "book":
+                if status in NOT_EXECUTED_STATUSES and asked.kind == "book":
                     hold(not runs[asked.ident], f"REFUSED: {asked.ident} got {status} and may have run")
             for asked in client.asked:
                 hold(asked.kind == "read" or runs[asked.ident] <= 1, f"TWICE: {asked.ident}")
--- a/lab/attempt_faults.py
+++ b/lab/attempt_faults.py
@@ -18,7 +18,7 @@
     upstream,
 )
 from cypressbeam.proxy.attempts import AttemptResult, EndCause, ReplyKind, SendProgress
-from cypressbeam.proxy.http_responses import Answer, ResponseReader
+from cypressbeam.proxy.http_responses import Response, ResponseReader
 from cypressbeam.proxy.proxy_core import ProxiedRequest, ProxyCore
 from lab.adversarial_servers import SOON_S
 
@@ -39,15 +39,15 @@
     """A connection with bytes behind its last answer goes back to the pool, and they are read with the next answer."""
     end, send = upstream.ServerConnection.end, upstream.ServerConnection.send
 
-    def keep(self: upstream.ServerConnection, cause: EndCause, answer: Answer | None = None) -> None:
+    def keep(self: upstream.ServerConnection, cause: EndCause, answer: Response | None = None) -> None:
         self.reader.keep_alive = True
         end(self, cause, answer)
 
     def read_on(self: upstream.ServerConnection, attempt: upstream.Attempt) -> None:
-        behind = self.reader.behind
+        trailing_bytes = self.reader.trailing_bytes
         send(self, attempt)
-        if behind:
-            self.data_received(behind)
+        if trailing_bytes:
+            self.data_received(trailing_bytes)
 
     patch(upstream.ServerConnection, "end", keep)
     patch(upstream.ServerConnection, "send", read_on)
@@ -84,10 +84,10 @@
 
 
 def believe_any_503(patch: Patch) -> None:
-    def judge(answer: Answer) -> ReplyKind:
+    def classify(answer: Response) -> ReplyKind:
         return ReplyKind.NOT_EXECUTED if answer.status == 503 else protocol_profile.classify_gateway(answer)
 
-    patch(gateway, "GATEWAY_PROFILE", replace(protocol_profile.GATEWAY_PROFILE, judge=judge))
+    patch(gateway, "GATEWAY_PROFILE", replace(protocol_profile.GATEWAY_PROFILE, classify=classify))
 
 
 def take_what_has_come(patch: Patch) -> None:
@@ -99,7 +99,7 @@
         if self.attempt is not None:
             parser, found = self.reader.parser, self.reader
             if found.headers_done and parser is not None:
-                self.end(EndCause.ANSWERED, Answer(parser.get_status_code(), found.headers, bytes(found.body)))
+                self.end(EndCause.ANSWERED, Response(parser.get_status_code(), found.headers, bytes(found.body)))
             else:
                 self.end(EndCause.CLOSED)
 
@@ -112,7 +112,7 @@
 
     def told(self: ProxyCore, request: ProxiedRequest) -> None:
         if request.timer is not None and not request.finished:
-            request.respond(Answer(504))
+            request.respond(Response(504))
             request.timer = self.loop.call_later(SOON_S * 4, time_is_up, self, request)
 
     patch(ProxyCore, "time_is_up", told)
@@ -120,8 +120,8 @@
 
 def promise_at_the_end(patch: Patch) -> None:
     """Whoever fails is told to come again."""
-    patch(ProxyCore, "failure", lambda self, request: Answer(503))
-    patch(gateway.Gateway, "failure", lambda self, request: Answer(503))
+    patch(ProxyCore, "failure", lambda self, request: Response(503))
+    patch(gateway.Gateway, "failure", lambda self, request: Response(503))
     patch(proxy_core, "may_answer_status", lambda *_: True)
 
 
--- a/lab/attempts.py
+++ b/lab/attempts.py
@@ -247,7 +247,7 @@
         elif event in ("drain", "restart"):
             world.states[self.attempt.server] = endpoint_list.DRAINING
             if event == "restart":
-                world.gate.upstream.pool(
+                world.gate.upstream.update_server(
                     self.attempt.server,
                     ("10.9.0.1", 8000 + int(self.attempt.server[1:])),
                     world.gate.now_us() + 1,
--- a/lab/clients.py
+++ b/lab/clients.py
@@ -17,7 +17,7 @@
 import httptools
 
 from cypressbeam.protocol.address import Address
-from cypressbeam.proxy.http_responses import Answer, ResponseReader
+from cypressbeam.proxy.http_responses import Response, ResponseReader
 from lab.day import Kind
 from lab.invariant_checker import Ledger, Try, Wish
 
@@ -37,7 +37,7 @@
 
     def __init__(self, on_stray: Callable[[], None]) -> None:
         self.reader = ResponseReader(MOST_ANSWER)
-        self.done: asyncio.Future[Answer] | None = None
+        self.done: asyncio.Future[Response] | None = None
         self.on_stray = on_stray
         self.closed = False
 
@@ -66,7 +66,7 @@
         """Whether the node has read all that was sent to it."""
         return bool(self.transport.delivered())
 
-    async def call(self, message: bytes, most_s: float) -> Answer:
+    async def call(self, message: bytes, most_s: float) -> Response:
         """Raises EOFError where the connection ends first, TimeoutError where it takes longer."""
         self.reader.reset()
         self.done = asyncio.get_running_loop().create_future()
@@ -138,7 +138,7 @@
         earned = (kind.worth if took_s <= kind.aim_ms / 1000 else kind.late_worth) if served else 0.0
         self.ledger.wishes.append(Wish(kind.name, began_s, took_s, kind.worth, earned, served))
 
-    def again(self, kind: Kind, answer: Answer | None) -> bool:
+    def again(self, kind: Kind, answer: Response | None) -> bool:
         """Whether a client may try again after this."""
         if kind.mode == "idempotent":
             return answer is None or answer.status in REPEATED
@@ -146,7 +146,7 @@
 
     async def one_try(
         self, kind: Kind, ident: str, ends_s: float, met: set[str], fresh: bool, of_repeat: bool = False
-    ) -> tuple[Answer | None, float]:
+    ) -> tuple[Response | None, float]:
         """The answer, if one came, and how long to wait before another try."""
         loop = asyncio.get_running_loop()
         nodes = self.nodes()
@@ -176,7 +176,7 @@
             of_repeat=of_repeat,
         )
         self.ledger.sends(one, self.services(kind))
-        answer: Answer | None = None
+        answer: Response | None = None
         with contextlib.suppress(OSError, EOFError, TimeoutError):
             answer = await self.exchange(one, nodes[node], message, fresh)
         one.ended_s = loop.time()
@@ -187,7 +187,7 @@
         told = answer.header(b"retry-after")
         return answer, float(told) if told is not None else self.rng.uniform(0.0, PAUSE_S)
 
-    async def exchange(self, one: Try, address: Address, message: bytes, fresh: bool) -> Answer:
+    async def exchange(self, one: Try, address: Address, message: bytes, fresh: bool) -> Response:
         loop = asyncio.get_running_loop()
         idle = self.idle[one.node]
         wire = None
@@ -213,7 +213,7 @@
     def stray(self) -> None:
         self.ledger.breach("MIXED", asyncio.get_running_loop().time(), "bytes on a connection where no request waits")
 
-    def check(self, one: Try, answer: Answer) -> None:
+    def check(self, one: Try, answer: Response) -> None:
         """MIXED: a success has its server's seal and the whole body of the server's answer to this very request; a
         failure that has a seal has the status that its server gave."""
         if answer.status >= 300:
@@ -225,7 +225,7 @@
         if ident != one.ident.encode() or answer.body != whole:
             self.ledger.breach("MIXED", one.ended_s or one.sent_s, f"{one.ident} got an answer sealed {seal!r}")
 
-    def check_failure(self, one: Try, answer: Answer) -> None:
+    def check_failure(self, one: Try, answer: Response) -> None:
         for seal in [value for name, value in answer.headers if name.lower() == b"server-seal"]:
             given = self.ledger.given.get(seal)
             if given != answer.status or seal.rpartition(b".")[2] != one.ident.encode():
--- a/lab/footprint.py
+++ b/lab/footprint.py
@@ -254,9 +254,9 @@
 
     def make() -> Gateway:
         gate = Gateway(settings_of("edge-1", "127.0.0.1", "zone-0", Task([], [], [1, 2])))
-        gate.take_fleet(2700, 1)
-        gate.take_configuration(configuration.read_committed(body))
-        gate.take_servers(known)
+        gate.set_fleet(2700, 1)
+        gate.apply_configuration(configuration.read_committed(body))
+        gate.update_servers(known)
         return gate
 
     gate, make_ms = timed(make)
@@ -268,7 +268,7 @@
 
     _, upkeep_ms = timed(upkeep)
     _, collect_ms = timed(gc.collect)
-    _, drain_ms = timed(lambda: gate.take_servers(drained))
+    _, drain_ms = timed(lambda: gate.update_servers(drained))
     _, sweep_ms = timed(gate.upstream.sweep)
     return {
         "plane_make_ms": make_ms,
--- a/lab/hollow_nodes.py
+++ b/lab/hollow_nodes.py
@@ -121,10 +121,10 @@
         self.versions: dict[int, float] = {}
         self.lists: dict[int, float] = {}
 
-    def take_configuration(self, revision: int, body: bytes) -> None:
+    def apply_configuration(self, revision: int, body: bytes) -> None:
         self.versions[revision] = time.monotonic()
 
-    def take_servers(self) -> None:
+    def update_servers(self) -> None:
         self.lists[self.tree.endpoints.endpoints.sequence] = time.monotonic()
 
 
--- a/lab/packed_blobs.py
+++ b/lab/packed_blobs.py
@@ -12,7 +12,7 @@
 from cypressbeam.distribution.node_registry import PROBED_PEERS, NodeRecord, NodeRegistry, assign_parents, weight
 from cypressbeam.protocol import frames
 from cypressbeam.protocol.configuration import Configuration
-from cypressbeam.proxy.routing import kind_of
+from cypressbeam.proxy.routing import class_name_of
 
 #: A slot of the index that holds no route.
 FREE = 0xFFFFFFFF
@@ -37,7 +37,7 @@
             parts.append(key)
             end += len(key)
             self.ends.append(end)
-            same = kind_of(channel), tuple((share.service, share.weight) for share in channel.weighted_services())
+            same = class_name_of(channel), tuple((share.service, share.weight) for share in channel.weighted_services())
             if same not in known:
                 known[same] = len(self.shared)
                 self.shared.append(same)
--- a/lab/standins.py
+++ b/lab/standins.py
@@ -19,11 +19,17 @@
 from cypressbeam.protocol.address import Address
 from cypressbeam.proxy.frontend import ClientConnection, Frontend
 from cypressbeam.proxy.http_requests import BadRequestError, RequestMessage
-from cypressbeam.proxy.http_responses import Answer, Limits
+from cypressbeam.proxy.http_responses import Limits, Response
 from cypressbeam.proxy.proxy_core import Clock
 from lab.invariant_checker import Ledger, Run
 
-LIMITS = Limits(body_bytes=64 * 1024 * 1024, ask_s=5.0, body_s=5.0, idle_s=30.0, body_renews=True)
+LIMITS = Limits(
+    max_body_bytes=64 * 1024 * 1024,
+    head_timeout_s=5.0,
+    body_timeout_s=5.0,
+    idle_timeout_s=30.0,
+    body_timeout_restarts=True,
+)
 #: How unlike the work of two requests is: the deviation of its logarithm.
 WORK_SPREAD = 0.35
 #: A server that has just started works at this share of its speed, for so long.
@@ -54,10 +60,10 @@
     def can_serve(self) -> bool:
         return True
 
-    def client_gone(self, name: str) -> None:
+    def client_disconnected(self, name: str) -> None:
         """What runs goes on; its answer has nowhere to go."""
 
-    def serve(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
+    def serve(self, message: RequestMessage, connection: ClientConnection) -> Response | None:
         raise NotImplementedError
 
 
@@ -125,7 +131,7 @@
         self.illness: Illness | None = None
         self.loses = self.repeats = 0.0
         """Shares of the answers that are lost, and that come with another one's before them."""
-        self.last_answer: Answer | None = None
+        self.last_answer: Response | None = None
         self.forgets_s = math.inf
         """Connections that have rested for so long are forgotten without a word."""
         self.rests: weakref.WeakKeyDictionary[ClientConnection, float] = weakref.WeakKeyDictionary()
@@ -147,9 +153,9 @@
     def load(self) -> tuple[bytes, bytes]:
         return b"Server-Load", b"%d,%d,%d" % (self.running, len(self.waiting), self.slots)
 
-    def serve(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
+    def serve(self, message: RequestMessage, connection: ClientConnection) -> Response | None:
         if message.target == b"/health":
-            return Answer(
+            return Response(
                 200 if self.state == "in_service" else 503, [(b"Server-Id", self.ident.encode()), self.load()]
             )
         ident, target = header(message, b"attempt-id"), header(message, b"target-server")
@@ -157,9 +163,9 @@
             self.break_off(message, connection)
             return None
         if target is not None and target != self.ident.encode():
-            return Answer(421, [*named(message), (b"Server-Id", self.ident.encode())])
+            return Response(421, [*named(message), (b"Server-Id", self.ident.encode())])
         if ident is None:
-            return Answer(400, [(b"Not-Executed", b"1")])
+            return Response(400, [(b"Not-Executed", b"1")])
         if self.ledger is not None:
             self.ledger.arrived(self.loop.time(), ident.decode("latin-1"), self.ident, self.plant)
         ill = self.ill()
@@ -178,8 +184,8 @@
         illness = self.illness
         return illness.how if illness is not None and self.rng.random() < illness.share else ""
 
-    def turned_away(self, message: RequestMessage, status: int) -> Answer:
-        return Answer(status, [*named(message), (b"Not-Executed", b"1"), self.load()])
+    def turned_away(self, message: RequestMessage, status: int) -> Response:
+        return Response(status, [*named(message), (b"Not-Executed", b"1"), self.load()])
 
     def takes_s(self, message: RequestMessage, ill: str) -> float:
         if self.work_of is None:
@@ -246,7 +252,7 @@
     def answer(self, message: RequestMessage, connection: ClientConnection, ill: str) -> None:
         status, self.failing = (500, self.failing - 1) if self.failing else (500 if ill == "errors" else 200, 0)
         seal = b"%s.%s" % (self.ident.encode(), header(message, b"attempt-id"))
-        answer = Answer(
+        answer = Response(
             status,
             [*named(message), (b"Server-Seal", seal), self.load()],
             b"from %s: %s %s\n" % (self.ident.encode(), message.method, message.target),
@@ -278,14 +284,14 @@
     def __post_init__(self) -> None:
         StandIn.__init__(self)
 
-    def serve(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
+    def serve(self, message: RequestMessage, connection: ClientConnection) -> Response | None:
         path, _, query = message.target.partition(b"?")
         if path != b"/servers":
             raise BadRequestError(404, "no such call")
         self.calls += 1
         if self.refuse:
             self.refuse -= 1
-            return Answer(429)
+            return Response(429)
         at, then_s = int(query.partition(b"pageToken=p-")[2] or b"0"), self.loop.time() - self.delay_s
         listed = [
             (server, state)
@@ -307,4 +313,4 @@
         ]
         more = at + self.page < len(listed)
         body = cbor2.dumps({"servers": rows, "nextToken": f"p-{at + self.page}" if more else None})
-        return Answer(200, [(b"Content-Type", b"application/cbor")], body)
+        return Response(200, [(b"Content-Type", b"application/cbor")], body)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -13,14 +13,14 @@
 import uvloop
 
 from cypressbeam.proxy.frontend import Frontend
-from cypressbeam.proxy.http_responses import Answer, Headers, ResponseReader
+from cypressbeam.proxy.http_responses import Headers, Response, ResponseReader
 from cypressbeam.standalone.config import Config, read_config
 from cypressbeam.standalone.node import StandaloneNode
 
 T = TypeVar("T")
 
 #: Timeout for events that are expected immediately, with a wide margin for a busy machine.
-SOON_S = 20.0
+TIMEOUT_S = 20.0
 LONG_AGO_MS = 0
 
 SETTINGS: dict[str, Any] = {
@@ -62,11 +62,11 @@
     return uvloop.run(scenario)
 
 
-async def soon(what: Awaitable[T]) -> T:
-    return await asyncio.wait_for(what, SOON_S)
+async def within_timeout(what: Awaitable[T]) -> T:
+    return await asyncio.wait_for(what, TIMEOUT_S)
 
 
-class Exchange:
+class ReceivedRequest:
     """A request that a server received, with methods to respond to it."""
 
     def __init__(self, peer: Peer) -> None:
@@ -119,14 +119,14 @@
         self.body += data
 
     def on_message_complete(self) -> None:
-        self.server.received.put_nowait(Exchange(self))
+        self.server.received.put_nowait(ReceivedRequest(self))
 
 
 class StubServer:
     """Listens on its own port. Requests wait in `received` until the test responds."""
 
     def __init__(self) -> None:
-        self.received: asyncio.Queue[Exchange] = asyncio.Queue()
+        self.received: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
         self.opened: asyncio.Queue[Peer] = asyncio.Queue()
         self.peers: list[Peer] = []
 
@@ -135,8 +135,8 @@
         self.listener = await loop.create_server(lambda: Peer(self), "127.0.0.1", 0)
         self.port = self.listener.sockets[0].getsockname()[1]
 
-    async def next(self) -> Exchange:
-        return await soon(self.received.get())
+    async def next(self) -> ReceivedRequest:
+        return await within_timeout(self.received.get())
 
     def refuse(self) -> None:
         """Refuse new connections from now on."""
@@ -182,10 +182,10 @@
     def raw(self, data: bytes) -> None:
         self.writer.write(data)
 
-    async def answer(self) -> Answer:
+    async def answer(self) -> Response:
         reader = ResponseReader()
         while not reader.complete:
-            data = await soon(self.reader.read(65536))
+            data = await within_timeout(self.reader.read(65536))
             if not data:
                 raise EOFError("the node closed the connection")
             reader.feed(data)
@@ -194,7 +194,7 @@
     async def closed(self) -> bool:
         """True once the node has closed the connection."""
         try:
-            return await soon(self.reader.read(1)) == b""
+            return await within_timeout(self.reader.read(1)) == b""
         except ConnectionError:
             return True
 
@@ -202,7 +202,7 @@
         """Everything that the node sends until it closes the connection."""
         received = b""
         try:
-            while data := await soon(self.reader.read(65536)):
+            while data := await within_timeout(self.reader.read(65536)):
                 received += data
         except ConnectionError:
             pass
@@ -212,7 +212,7 @@
         self.writer.close()
 
 
-def row(number: int, port: int, **changes: Any) -> dict[str, Any]:
+def server_row(number: int, port: int, **changes: Any) -> dict[str, Any]:
     return {
         "instanceId": f"s{number}",
         "hostPort": f"127.0.0.1:{port}",
@@ -225,11 +225,11 @@
     } | changes
 
 
-def listing(version: int, *rows: dict[str, Any], whole: bool = True) -> dict[str, Any]:
+def server_list(version: int, *rows: dict[str, Any], whole: bool = True) -> dict[str, Any]:
     return {"generation": version, "reset": whole, "instances": list(rows)}
 
 
-class Rig:
+class NodeFixture:
     """A running node with its servers, discovery agent and clients."""
 
     def __init__(self, node: StandaloneNode, frontend: Frontend, servers: list[StubServer], agent: StubServer) -> None:
@@ -256,23 +256,23 @@
 
 
 @asynccontextmanager
-async def rig(
+async def running_node(
     servers: int = 1, overflow: int = 8, changes: dict[str, Any] | None = None, **limits: int
-) -> AsyncIterator[Rig]:
+) -> AsyncIterator[NodeFixture]:
     """Run a node. `changes` apply to the settings, `limits` to the parsed configuration."""
     stubs = [StubServer() for _ in range(servers)]
     agent = StubServer()
     for stub in [*stubs, agent]:
         await stub.start()
     settings = copy.deepcopy(SETTINGS) | (changes or {})
-    known = listing(1, *(row(number, stub.port) for number, stub in enumerate(stubs)))
+    known = server_list(1, *(server_row(number, stub.port) for number, stub in enumerate(stubs)))
     config = configuration({"settings": settings, "known": known, "discovery": f"127.0.0.1:{agent.port}"})
     config = dataclasses.replace(config, listen=("127.0.0.1", 0), **limits)  # type: ignore[arg-type]
     node = StandaloneNode(config)
     frontend = Frontend(node, config.client_connections, overflow)
     await frontend.listen(*config.listen)
     node.discovery.start()
-    node_fixture = Rig(node, frontend, stubs, agent)
+    node_fixture = NodeFixture(node, frontend, stubs, agent)
     try:
         yield node_fixture
     finally:
--- a/tests/test_added_routes.py
+++ b/tests/test_added_routes.py
@@ -63,10 +63,10 @@
     return next((server.rpartition("-")[0] for server in sent if server), "")
 
 
-CONFIGURED: Callable[[Gateway], None] = lambda gate: gate.take_configuration(  # noqa: E731
+CONFIGURED: Callable[[Gateway], None] = lambda gate: gate.apply_configuration(  # noqa: E731
     configuration.read(document(2, "added", "other"))
 )
-LISTED: Callable[[Gateway], None] = lambda gate: gate.take_servers(  # noqa: E731
+LISTED: Callable[[Gateway], None] = lambda gate: gate.update_servers(  # noqa: E731
     servers("finder", "booker", "added", "other")
 )
 
@@ -79,9 +79,9 @@
 def test_the_balancer_of_a_new_service_knows_its_servers_at_once(steps: tuple[Callable[[Gateway], None], ...]) -> None:
     async def scenario() -> None:
         gate = Gateway(BOOT)
-        gate.take_configuration(configuration.read(document(1)))
+        gate.apply_configuration(configuration.read(document(1)))
         if steps[0] is CONFIGURED:
-            gate.take_servers(servers("finder", "booker"))
+            gate.update_servers(servers("finder", "booker"))
         for step in steps:
             step(gate)
         for number in range(20):
@@ -95,12 +95,12 @@
         gate = Gateway(BOOT)
         CONFIGURED(gate)
         LISTED(gate)
-        gate.take_configuration(configuration.read(document(3)))
+        gate.apply_configuration(configuration.read(document(3)))
         with pytest.raises(BadRequestError) as caught:
             asked(gate, "/added/1", "x")
         assert caught.value.status == 404
-        gate.take_servers(servers("finder", "booker"))  # its servers go meanwhile, and others come
-        gate.take_servers(
+        gate.update_servers(servers("finder", "booker"))  # its servers go meanwhile, and others come
+        gate.update_servers(
             servers("finder", "booker")
             | {
                 "added-9": endpoint_list.Endpoint(
@@ -108,7 +108,7 @@
                 )
             }
         )
-        gate.take_configuration(configuration.read(document(4, "added")))
+        gate.apply_configuration(configuration.read(document(4, "added")))
         assert asked(gate, "/added/1", "y") == "added"
 
     run(scenario())
@@ -119,11 +119,11 @@
 
     async def scenario() -> None:
         gate = Gateway(BOOT)
-        gate.take_configuration(configuration.read(document(1)))
-        gate.take_servers(servers("finder", "booker"))
+        gate.apply_configuration(configuration.read(document(1)))
+        gate.update_servers(servers("finder", "booker"))
         made = demo_configuration(2)
         made["channels"].append(made["channels"][0] | {"label": "new", "prefix": "/new/", "cutoffMs": 1234, "rank": 9})
-        gate.take_configuration(configuration.read(cbor2.dumps(made)))
+        gate.apply_configuration(configuration.read(cbor2.dumps(made)))
         for number in range(20):
             assert asked(gate, "/new/1", f"n{number}") == "finder"
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -13,11 +13,11 @@
 from hypothesis import strategies as st
 
 from cypressbeam.balancing.interface import AttemptOutcome, Report
-from cypressbeam.proxy.http_responses import Answer, ResponseReader
+from cypressbeam.proxy.http_responses import Response, ResponseReader
 from cypressbeam.proxy.protocol_profile import GATEWAY_PROFILE
 from cypressbeam.proxy.response_validation import RequestContext
 from cypressbeam.proxy.upstream import Attempt, Upstream
-from tests.loopback import Exchange, StubServer, run, soon
+from tests.loopback import ReceivedRequest, StubServer, run, within_timeout
 
 ID_HEADER = b"attempt-id"
 
@@ -112,22 +112,22 @@
 
     def __init__(self, server: StubServer) -> None:
         self.server = server
-        self.ended: asyncio.Queue[tuple[str, AttemptOutcome, Answer | None]] = asyncio.Queue()
+        self.ended: asyncio.Queue[tuple[str, AttemptOutcome, Response | None]] = asyncio.Queue()
         self.upstream = Upstream(
             5_000_000, 60_000_000, 10, lambda: time.monotonic_ns() // 1000, self.on_end, GATEWAY_PROFILE
         )
-        self.upstream.pool("s", ("127.0.0.1", server.port), 0, True)
+        self.upstream.update_server("s", ("127.0.0.1", server.port), 0, True)
 
-    def on_end(self, attempt: Attempt, ending: AttemptOutcome, answer: Answer | None, report: Report | None) -> None:
+    def on_end(self, attempt: Attempt, ending: AttemptOutcome, answer: Response | None, report: Report | None) -> None:
         self.ended.put_nowait((attempt.request, ending, answer))
 
-    async def send(self, request_id: str, no_body: bool = False) -> Exchange:
+    async def send(self, request_id: str, no_body: bool = False) -> ReceivedRequest:
         head = f"GET / HTTP/1.1\r\nAttempt-Id: {request_id}\r\n\r\n".encode()
         self.upstream.start(Attempt(request_id, 0, "s", head, 0, RequestContext(no_body)))
         return await self.server.next()
 
     async def end(self) -> tuple[str, AttemptOutcome, bytes | None]:
-        request_id, ending, got = await soon(self.ended.get())
+        request_id, ending, got = await within_timeout(self.ended.get())
         return request_id, ending, got.body if got is not None else None
 
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -24,7 +24,7 @@
     result_of,
 )
 from cypressbeam.proxy.gateway import Gateway
-from cypressbeam.proxy.http_responses import Answer
+from cypressbeam.proxy.http_responses import Response
 from lab.attempt_faults import CHECKS_LEFT_OUT, FAULTS, fault
 from lab.attempt_search import search_states, search_with
 from lab.attempt_storms import STEPS, Step, storm
@@ -115,7 +115,7 @@
 
 
 def test_an_unproven_not_executed_status_is_not_sent_to_the_client(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Gateway, "failure", lambda self, request: Answer(503))
+    monkeypatch.setattr(Gateway, "failure", lambda self, request: Response(503))
     for event in ("close", "garbage", "503"):
         walk(State("book", "fresh", SendProgress.WHOLE, "none", event))
 
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -10,7 +10,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from cypressbeam.proxy.http_responses import Answer
+from cypressbeam.proxy.http_responses import Response
 from cypressbeam.proxy.response_validation import (
     CHECKS,
     RequestContext,
@@ -34,34 +34,34 @@
 @pytest.mark.parametrize(
     ("given_answer", "asked", "trailing", "failed"),
     [
-        (Answer(200, [SERVER_SEAL], b"x"), RequestContext(), b"", None),
-        (Answer(201, [SERVER_SEAL], b"x"), RequestContext(), b"", None),
-        (Answer(204, [SERVER_SEAL]), RequestContext(), b"", None),
-        (Answer(205, [SERVER_SEAL]), RequestContext(), b"", None),
-        (Answer(206, [SERVER_SEAL, CONTENT_RANGE], b"x"), RANGE_REQUEST, b"", None),
-        (Answer(200, [SERVER_SEAL, CONTENT_LENGTH]), HEAD_REQUEST, b"junk", None),
-        (Answer(200, [SERVER_SEAL], b"x"), RequestContext(), b"HTTP/1.1 2", None),
-        (Answer(200, [SERVER_SEAL], b"x"), RequestContext(), COMPLETE_RESPONSE, None),
-        (Answer(200, [], b"x"), RequestContext(), b"", 0),
-        (Answer(200, [SERVER_SEAL, SERVER_SEAL], b"x"), RequestContext(), b"", 0),
-        (Answer(200, [], b""), HEAD_REQUEST, b"", 0),
-        (Answer(204), RequestContext(), b"", 0),
-        (Answer(200, [(b"server-seal", b"")], b"x"), RequestContext(), b"", 1),
-        (Answer(200, [SERVER_SEAL, CONTENT_ENCODING], b"x"), RequestContext(), b"", 2),
-        (Answer(200, [SERVER_SEAL, CONTENT_ENCODING]), HEAD_REQUEST, b"", 2),
-        (Answer(206, [SERVER_SEAL], b"x"), RequestContext(), b"", 3),
-        (Answer(200, [SERVER_SEAL, CONTENT_RANGE], b"x"), RequestContext(), b"", 3),
-        (Answer(204, [SERVER_SEAL, CONTENT_LENGTH]), RequestContext(), b"", 4),
-        (Answer(205, [SERVER_SEAL], b"x"), RequestContext(), b"", 4),
-        (Answer(204, [SERVER_SEAL, (b"Transfer-Encoding", b"chunked")]), RequestContext(), b"", 4),
-        (Answer(200, [SERVER_SEAL], b"x" + COMPLETE_RESPONSE), RequestContext(), b"", 5),
-        (Answer(200, [SERVER_SEAL], b"x" + COMPLETE_RESPONSE[:12]), RequestContext(), b"", 5),
-        (Answer(200, [SERVER_SEAL], b"x" + COMPLETE_RESPONSE[:5]), RequestContext(), COMPLETE_RESPONSE[5:], 6),
-        (Answer(200, [SERVER_SEAL], b"x"), RequestContext(), b"\r\n", 6),
+        (Response(200, [SERVER_SEAL], b"x"), RequestContext(), b"", None),
+        (Response(201, [SERVER_SEAL], b"x"), RequestContext(), b"", None),
+        (Response(204, [SERVER_SEAL]), RequestContext(), b"", None),
+        (Response(205, [SERVER_SEAL]), RequestContext(), b"", None),
+        (Response(206, [SERVER_SEAL, CONTENT_RANGE], b"x"), RANGE_REQUEST, b"", None),
+        (Response(200, [SERVER_SEAL, CONTENT_LENGTH]), HEAD_REQUEST, b"junk", None),
+        (Response(200, [SERVER_SEAL], b"x"), RequestContext(), b"HTTP/1.1 2", None),
+        (Response(200, [SERVER_SEAL], b"x"), RequestContext(), COMPLETE_RESPONSE, None),
+        (Response(200, [], b"x"), RequestContext(), b"", 0),
+        (Response(200, [SERVER_SEAL, SERVER_SEAL], b"x"), RequestContext(), b"", 0),
+        (Response(200, [], b""), HEAD_REQUEST, b"", 0),
+        (Response(204), RequestContext(), b"", 0),
+        (Response(200, [(b"server-seal", b"")], b"x"), RequestContext(), b"", 1),
+        (Response(200, [SERVER_SEAL, CONTENT_ENCODING], b"x"), RequestContext(), b"", 2),
+        (Response(200, [SERVER_SEAL, CONTENT_ENCODING]), HEAD_REQUEST, b"", 2),
+        (Response(206, [SERVER_SEAL], b"x"), RequestContext(), b"", 3),
+        (Response(200, [SERVER_SEAL, CONTENT_RANGE], b"x"), RequestContext(), b"", 3),
+        (Response(204, [SERVER_SEAL, CONTENT_LENGTH]), RequestContext(), b"", 4),
+        (Response(205, [SERVER_SEAL], b"x"), RequestContext(), b"", 4),
+        (Response(204, [SERVER_SEAL, (b"Transfer-Encoding", b"chunked")]), RequestContext(), b"", 4),
+        (Response(200, [SERVER_SEAL], b"x" + COMPLETE_RESPONSE), RequestContext(), b"", 5),
+        (Response(200, [SERVER_SEAL], b"x" + COMPLETE_RESPONSE[:12]), RequestContext(), b"", 5),
+        (Response(200, [SERVER_SEAL], b"x" + COMPLETE_RESPONSE[:5]), RequestContext(), COMPLETE_RESPONSE[5:], 6),
+        (Response(200, [SERVER_SEAL], b"x"), RequestContext(), b"\r\n", 6),
     ],
 )
 def test_each_check_of_a_success(
-    given_answer: Answer, asked: RequestContext, trailing: bytes, failed: int | None
+    given_answer: Response, asked: RequestContext, trailing: bytes, failed: int | None
 ) -> None:
     assert failed_check(given_answer, asked, trailing) == ("" if failed is None else list(CHECKS)[failed])
 
--- a/tests/test_footprint.py
+++ b/tests/test_footprint.py
@@ -61,7 +61,7 @@
             route, shared = table.find(name, path), trial.find(name, path)
             assert (route is None) == (shared is None), (name, path)
             assert route is None or shared == (
-                route.kind,
+                route.class_name,
                 tuple((share.service, share.weight) for share in route.configuration.weighted_services()),
             )
     _, table_kb = footprint.held(lambda: RoutingTable(read))
@@ -78,7 +78,7 @@
     table, trial = RoutingTable(read), packed_blobs.Routes(read)
     for host in [*hosts, "dcab.example", "le"]:
         route, shared = table.find(host, "/find/x"), trial.find(host, "/find/x")
-        assert (shared[0] if shared else None) == (route.kind if route else None), host
+        assert (shared[0] if shared else None) == (route.class_name if route else None), host
 
 
 def test_a_subset_keeps_some_of_each_service_and_moves_little() -> None:
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -12,12 +12,12 @@
 from cypressbeam.balancing.interface import Action, Event, Refuse, RequestArrived
 from cypressbeam.proxy.http_requests import parse_key
 from cypressbeam.proxy.http_responses import ResponseReader
-from tests.loopback import SETTINGS, Client, rig, run, soon
+from tests.loopback import SETTINGS, Client, run, running_node, within_timeout
 
 
 def test_request_and_response_are_forwarded_unchanged() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.send(
                 "refresh",
@@ -42,7 +42,7 @@
 
 def test_a_chunked_body_at_the_size_limit_is_accepted() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.raw(
                 b"POST /order HTTP/1.1\r\nRequest-Id: r1\r\nRequest-Timeout: 9000000u\r\n"
@@ -105,7 +105,7 @@
 )
 def test_bad_requests_are_rejected_without_affecting_other_clients(text: str, status: int) -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.raw(text.encode())
             assert (await client.answer()).status == status
@@ -121,7 +121,7 @@
 
 def test_a_connection_stays_open_after_a_bad_request_with_known_length() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.raw(f"GET /nothing HTTP/1.1\r\n{VALID_HEADERS}\r\n".encode())
             assert (await client.answer()).status == 404
@@ -134,7 +134,7 @@
 
 def test_a_rejected_head_request_gets_no_body() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.raw(
                 f"HEAD /read HTTP/1.1\r\n{VALID_HEADERS}\r\n"
@@ -151,7 +151,7 @@
     """Input after such a request is not parsed, so a request in it would never be answered."""
 
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.send(head="Connection: Upgrade\r\nUpgrade: h2c\r\n")
             (await node_fixture.servers[0].next()).reply()
@@ -164,7 +164,7 @@
 
 def test_pipelined_requests_are_answered_in_order() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             for ident in ("r1", "r2", "r3"):
                 client.send(ident=ident)
@@ -179,14 +179,14 @@
 
 def test_a_bad_request_pipelined_after_a_good_one_gets_its_own_response() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.send("read")
             client.raw(b"nonsense\r\n\r\n")
             (await node_fixture.servers[0].next()).reply()
             reader = ResponseReader()
             data = b""
-            while chunk := await soon(client.reader.read(65536)):
+            while chunk := await within_timeout(client.reader.read(65536)):
                 data += chunk
             first, second = data.split(b"HTTP/1.1 ")[1:]
             reader.feed(b"HTTP/1.1 " + second)
@@ -197,7 +197,7 @@
 
 def test_a_connection_with_a_partly_received_request_is_not_idle() -> None:
     async def scenario() -> None:
-        async with rig(client_connections=1) as node_fixture:
+        async with running_node(client_connections=1) as node_fixture:
             client = await node_fixture.client()
             client.raw(b"GET /ready HTTP/1.1\r\n\r\nGET /ready HTT")
             assert (await client.answer()).status == 200
@@ -215,7 +215,7 @@
 
 def test_a_wrong_method_gets_an_allow_header() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             allowed_methods = {"GET /order": b"POST", "POST /read": b"GET", "PUT /ready": b"GET, HEAD"}
             for line, allow in allowed_methods.items():
@@ -228,7 +228,7 @@
 
 def test_a_request_id_in_use_is_rejected() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             first, second = await node_fixture.client(), await node_fixture.client()
             first.send("order", ident="same")
             got = await node_fixture.servers[0].next()
@@ -246,11 +246,11 @@
         return (await client.answer()).status
 
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             assert await ready(await node_fixture.client()) == 200
             node_fixture.frontend.stopping = True
             assert await ready(await node_fixture.client()) == 503
-        async with rig(servers=0) as node_fixture:
+        async with running_node(servers=0) as node_fixture:
             assert await ready(await node_fixture.client()) == 503
 
     run(scenario())
@@ -258,7 +258,7 @@
 
 def test_a_stopping_node_answers_requests_and_closes_connections() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             busy, idle = await node_fixture.client(), await node_fixture.client()
             idle.raw(b"GET /ready HTTP/1.1\r\n\r\n")
             await idle.answer()
@@ -280,12 +280,12 @@
 
 def test_a_client_disconnect_ends_its_attempt() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.send("order")
             got = await node_fixture.servers[0].next()
             client.close()
-            await soon(got.peer.lost.wait())
+            await within_timeout(got.peer.lost.wait())
             assert not node_fixture.node.requests
 
     run(scenario())
@@ -293,7 +293,7 @@
 
 def test_at_the_connection_limit_the_longest_idle_connection_is_evicted() -> None:
     async def scenario() -> None:
-        async with rig(client_connections=2) as node_fixture:
+        async with running_node(client_connections=2) as node_fixture:
             clients = [await node_fixture.client() for _ in range(2)]
             for client in clients:
                 client.raw(b"GET /ready HTTP/1.1\r\n\r\n")
@@ -309,7 +309,7 @@
 
 def test_over_the_connection_limit_requests_are_refused() -> None:
     async def scenario() -> None:
-        async with rig(client_connections=1) as node_fixture:
+        async with running_node(client_connections=1) as node_fixture:
             busy = await node_fixture.client()
             busy.send("order")
             got = await node_fixture.servers[0].next()
@@ -325,11 +325,11 @@
 
 def test_100_continue_is_sent_on_request() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.raw(f"POST /order HTTP/1.1\r\n{VALID_HEADERS}".encode())
             client.raw(b"Content-Length: 2\r\nExpect: 100-continue\r\n\r\n")
-            assert (await soon(client.reader.readuntil(b"\r\n\r\n"))).startswith(b"HTTP/1.1 100 ")
+            assert (await within_timeout(client.reader.readuntil(b"\r\n\r\n"))).startswith(b"HTTP/1.1 100 ")
             client.raw(b"hi")
             got = await node_fixture.servers[0].next()
             assert got.body == b"hi" and "expect" not in got.headers
@@ -341,7 +341,7 @@
 
 def test_100_continue_follows_earlier_responses_and_is_not_sent_to_http_1_0_clients() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.send(ident="r1")
             client.raw(
@@ -351,7 +351,7 @@
             first.reply(body=b"first")
             data = b""
             while not data.endswith(b"\r\n\r\n") or b" 100 " not in data:
-                data += await soon(client.reader.read(65536))
+                data += await within_timeout(client.reader.read(65536))
             assert data.index(b"first") < data.index(b"HTTP/1.1 100 Continue")
             client.raw(b"body")
             got = await node_fixture.servers[0].next()
@@ -370,7 +370,7 @@
 
 def test_an_internal_error_still_gives_one_response(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             handle = node_fixture.node.balancer.handle
 
             def raising(now_us: int, event: Event) -> Any:
@@ -395,7 +395,7 @@
 ) -> None:
     async def scenario() -> None:
         bounds = SETTINGS["bounds"] | {"retryAfter": allowed}
-        async with rig(changes={"bounds": bounds}) as node_fixture:
+        async with running_node(changes={"bounds": bounds}) as node_fixture:
 
             def refuse(now_us: int, event: Event) -> list[Action]:
                 return [Refuse(event.request, 250_000)] if isinstance(event, RequestArrived) else []
@@ -413,7 +413,7 @@
     """Event loop timers have millisecond resolution; if one fired 1 ms early, the balancer could still plan a retry."""
 
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             node = node_fixture.node
             margins_us: list[float] = []
 
@@ -440,7 +440,7 @@
 
 def test_a_silent_client_is_disconnected() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             assert await (await node_fixture.client()).closed()
 
     run(scenario())
@@ -458,7 +458,7 @@
     """Each received byte used to extend the timeout by 10 s."""
 
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.raw(start)
             loop = asyncio.get_running_loop()
@@ -480,7 +480,7 @@
     """Incomplete requests used to occupy connections for 10 s, silent clients for 75 s."""
 
     async def scenario() -> None:
-        async with rig(client_connections=8) as node_fixture:
+        async with running_node(client_connections=8) as node_fixture:
             active = await node_fixture.client()
             active.send()
             (await node_fixture.servers[0].next()).reply()
@@ -508,7 +508,7 @@
     """A connection was closed as idle while a request was unread in its socket, and the client had to repeat it."""
 
     async def scenario() -> None:
-        async with rig(client_connections=1) as node_fixture:
+        async with running_node(client_connections=1) as node_fixture:
             client = await node_fixture.client()
             client.raw(b"GET /ready HTTP/1.1\r\n\r\n")
             await client.answer()
@@ -529,7 +529,7 @@
     """Unread responses used to accumulate in the node, one for each pipelined request."""
 
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             body = b"a" * 65_536
@@ -594,7 +594,7 @@
     """Request smuggling: node and servers must never disagree on the end of a request. httptools must stay strict."""
 
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.send("order", ident="before")  # an earlier valid request still gets its response first
             client.raw((text + SMUGGLED_REQUEST).encode("latin-1"))
@@ -622,7 +622,7 @@
 )
 def test_requests_that_a_server_might_interpret_differently_are_not_forwarded(text: str) -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.raw(text.encode())
             assert (await client.answer()).status == 400
@@ -633,7 +633,7 @@
 
 def test_trailers_and_connection_headers_do_not_change_protected_headers() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.raw(
                 f"POST /refresh HTTP/1.1\r\n{VALID_HEADERS}Idempotency-Key: k\r\nX: 1\r\n"
@@ -651,7 +651,7 @@
 
 def test_a_rejected_body_is_not_kept() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.raw(ORDER_HEAD.encode() + b"Content-Length: 60000000\r\n\r\n")
             assert (await client.answer()).status == 413
@@ -667,7 +667,7 @@
 
 def test_a_request_id_is_free_again_after_its_client_disconnects() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             first, second = await node_fixture.client(), await node_fixture.client()
             first.send("order", ident="same")
             got = await node_fixture.servers[0].next()
@@ -675,7 +675,7 @@
             assert (await second.answer()).status == 400
             second.close()
             first.close()
-            await soon(got.peer.lost.wait())
+            await within_timeout(got.peer.lost.wait())
             third = await node_fixture.client()
             third.send("order", ident="same")  # no longer in use
             (await node_fixture.servers[0].next()).reply(body=b"third")
@@ -687,7 +687,7 @@
 def test_no_request_outlasts_the_deadline_of_its_class() -> None:
     async def scenario() -> None:
         kinds = [kind | {"deadlineUs": 500_000} for kind in SETTINGS["classes"]]
-        async with rig(changes={"classes": kinds}) as node_fixture:
+        async with running_node(changes={"classes": kinds}) as node_fixture:
             client = await node_fixture.client()
             client.send("order", timeout="3600000m")
             await node_fixture.servers[0].next()
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -120,7 +120,7 @@
         10.0,
         Envelope(),
     )
-    for channels in RoutingTable(taken).kinds.values():
+    for channels in RoutingTable(taken).classes.values():
         for kind in balancer_settings([*channels.values()], node, 3, 0).classes:
             assert kind.latency_target_us >= 1 and kind.deadline_us >= 1 and 0 < kind.value <= 1 and kind.tries >= 1
 
@@ -225,7 +225,7 @@
 
 def read_all(pieces: list[bytes]) -> tuple[list[tuple[bytes, ...]], bool]:
     """The requests that came out, and whether the reading ended in a refusal."""
-    reader = RequestReader(lambda: 0, lambda: None, BodyBudget(Limits(body_bytes=1000, body_renews=True)))
+    reader = RequestReader(lambda: 0, lambda: None, BodyBudget(Limits(max_body_bytes=1000, body_timeout_restarts=True)))
     found: list[RequestMessage] = []
     for piece in pieces:
         reader.feed(piece)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -17,11 +17,11 @@
 from cypressbeam.admin import config_calls
 from cypressbeam.protocol.address import Address
 from cypressbeam.proxy.http_client import HttpClient
-from cypressbeam.proxy.http_responses import Answer
+from cypressbeam.proxy.http_responses import Response
 from lab.local_cluster import HOST, demo_configuration, push, push_until_taken
 from lab.standins import Platform, Server
 from lab.system import Machine, System, status_of
-from tests.loopback import run, soon
+from tests.loopback import run, within_timeout
 
 DEMO = cbor2.dumps(demo_configuration())
 
@@ -62,7 +62,7 @@
     platform.close()
 
 
-async def send(to: Address, message: bytes) -> Answer:
+async def send(to: Address, message: bytes) -> Response:
     connection = HttpClient(to)
     await connection.open()
     try:
@@ -73,7 +73,7 @@
 
 async def ask(
     machine: Machine, path: str = "/find/1", ident: str = "r1", method: str = "GET", more: str = "", body: bytes = b""
-) -> Answer:
+) -> Response:
     head = (
         f"{method} {path} HTTP/1.1\r\nHost: {HOST}\r\nAttempt-Id: {ident}\r\nTime-Left-Ms: 5000\r\n{more}"
         f"{f'Content-Length: {len(body)}' if body else 'X: 1'}\r\n\r\n"
@@ -87,7 +87,7 @@
             await asyncio.sleep(0.01)
 
 
-async def read_back(machine: Machine) -> Answer:
+async def read_back(machine: Machine) -> Response:
     return await send(machine.control, b"GET /-/Configuration.Read HTTP/1.1\r\nHost: c\r\n\r\n")
 
 
@@ -156,7 +156,7 @@
             assert "refused a request: 413: the body is too large" in log_of(edge)
             assert first.writer is not None
             first.writer.write(body[-1:])
-            assert (await soon(answered)).status == 200
+            assert (await within_timeout(answered)).status == 200
             first.close()
             for number in range(4):  # what was held has been given back
                 assert (await ask(edge, "/book/4", f"after{number}", "PUT", body=body)).status == 200
@@ -346,11 +346,11 @@
             waiting = asyncio.create_task(ask(made.edges[0], "/book/1", method="POST", body=b"x"))
             await until(lambda: bool(made.servers("booker")[0].running))
             ended = asyncio.create_task(made.system.kill(made.edges[0], signal.SIGTERM))
-            assert (await soon(waiting)).status == 200
+            assert (await within_timeout(waiting)).status == 200
             assert await status_of((made.edges[0].ip, 8640), "/-/ready") == 503
             late = await ask(made.edges[0], ident="late")  # clients still come until they have noticed
             assert late.status == 200 and late.header(b"connection") == b"close"
-            assert await soon(ended) == 0
+            assert await within_timeout(ended) == 0
 
     run(scenario())
 
@@ -372,10 +372,10 @@
                         (await asyncio.open_connection(*edge.front))[1].close()
                         await asyncio.sleep(0.01)
             whole[1].write(b"after")
-            assert b" 200 " in await soon(whole[0].readline())
-            assert b" 503 " in await soon(never[0].readline())
-            assert b"Retry-After" in await soon(never[0].read())
-            assert await soon(ended) == 0
+            assert b" 200 " in await within_timeout(whole[0].readline())
+            assert b" 503 " in await within_timeout(never[0].readline())
+            assert b"Retry-After" in await within_timeout(never[0].read())
+            assert await within_timeout(ended) == 0
             assert [ident for ident, *_ in made.servers("booker")[0].ran] == [b"whole"]
 
     run(scenario())
@@ -395,7 +395,7 @@
             ended = asyncio.create_task(made.system.kill(edge, signal.SIGTERM))
             got = await ask(edge)
             assert got.status == 503 and got.header(b"retry-after") == b"0.5"
-            assert await soon(ended) == 0
+            assert await within_timeout(ended) == 0
 
     run(scenario())
 
@@ -424,7 +424,7 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "cypressbeam", "node", env=environ, stderr=asyncio.subprocess.PIPE
         )
-        _, told = await soon(process.communicate())
+        _, told = await within_timeout(process.communicate())
         assert process.returncode == 2 and told.count(b"\n") == 1
         assert b"internalPorts is 'x'; a first and a last port is wanted" in told
 
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -33,7 +33,7 @@
     balancer_settings,
     request_class,
 )
-from cypressbeam.proxy.http_responses import Answer
+from cypressbeam.proxy.http_responses import Response
 from cypressbeam.proxy.protocol_profile import classify_gateway, parse_load
 from cypressbeam.proxy.routing import RoutingTable
 from cypressbeam.transport.peers import Link, Peers
@@ -331,14 +331,14 @@
 
 def test_only_proof_counts_as_not_executed() -> None:
     proof = [(b"Not-Executed", b"1")]
-    assert classify_gateway(Answer(201)) is ReplyKind.SUCCESS
+    assert classify_gateway(Response(201)) is ReplyKind.SUCCESS
     assert (
-        classify_gateway(Answer(503, proof)) is ReplyKind.NOT_EXECUTED
-        and classify_gateway(Answer(429, proof)) is ReplyKind.NOT_EXECUTED
+        classify_gateway(Response(503, proof)) is ReplyKind.NOT_EXECUTED
+        and classify_gateway(Response(429, proof)) is ReplyKind.NOT_EXECUTED
     )
-    assert classify_gateway(Answer(421)) is ReplyKind.MISDIRECTED
+    assert classify_gateway(Response(421)) is ReplyKind.MISDIRECTED
     for status in (503, 429, 500, 504):
-        assert classify_gateway(Answer(status)) is ReplyKind.FAILURE
+        assert classify_gateway(Response(status)) is ReplyKind.FAILURE
 
 
 def test_the_load_header_is_parsed() -> None:
--- a/tests/test_ledger_rules.py
+++ b/tests/test_ledger_rules.py
@@ -12,9 +12,9 @@
 from cypressbeam.proxy import gateway
 from cypressbeam.proxy.frontend import ClientConnection
 from cypressbeam.proxy.gateway import Gateway
-from cypressbeam.proxy.http_requests import ON_ITS_WAY_US, BodyBudget, RequestMessage, RequestReader
-from cypressbeam.proxy.http_responses import Answer, Limits
-from cypressbeam.proxy.proxy_core import ANSWER_MARGIN_US
+from cypressbeam.proxy.http_requests import MAX_BODY_TRANSIT_US, BodyBudget, RequestMessage, RequestReader
+from cypressbeam.proxy.http_responses import Limits, Response
+from cypressbeam.proxy.proxy_core import RESPONSE_MARGIN_US
 from lab.day import Day, DayError, Kind, Trouble, read
 from lab.day_simulation import play
 from lab.invariant_checker import Ledger, Run, Try, Wish
@@ -117,7 +117,7 @@
     assert play(day, 1).figures["held past the cut-off"] == 0
 
     def as_clients_wait(self: Gateway, message: RequestMessage, found: dict[bytes, bytes], route: object) -> int:
-        return message.came_us + int(found[b"time-left-ms"]) * 1000 - ANSWER_MARGIN_US
+        return message.arrived_us + int(found[b"time-left-ms"]) * 1000 - RESPONSE_MARGIN_US
 
     request_class = gateway.request_class
     monkeypatch.setattr(Gateway, "give_up_at", as_clients_wait)
@@ -293,8 +293,8 @@
 def refuse(monkeypatch: pytest.MonkeyPatch, which: Callable[[bytes], bool]) -> None:
     serve = Gateway.serve
 
-    def refusing(self: Gateway, message: RequestMessage, connection: ClientConnection) -> Answer | None:
-        return Answer(503, [(b"Retry-After", b"1")]) if which(message.target) else serve(self, message, connection)
+    def refusing(self: Gateway, message: RequestMessage, connection: ClientConnection) -> Response | None:
+        return Response(503, [(b"Retry-After", b"1")]) if which(message.target) else serve(self, message, connection)
 
     monkeypatch.setattr(Gateway, "serve", refusing)
 
@@ -367,7 +367,7 @@
     assert broken(day) == set()
     passed_back = Gateway.forwarded_answer
 
-    def as_ours(self: Gateway, answer: Answer) -> Answer:
+    def as_ours(self: Gateway, answer: Response) -> Response:
         given = passed_back(self, answer)
         return given if given.status < 500 else replace(given, status=502)
 
@@ -381,7 +381,7 @@
     for _ in range(3):
         reader.feed(b"POST /b/ HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\n01234")
         reader.feed(b"56789")
-    assert [message.came_us for message in reader.messages] == [0, 10, 3_500_000 - ON_ITS_WAY_US]
+    assert [message.arrived_us for message in reader.messages] == [0, 10, 3_500_000 - MAX_BODY_TRANSIT_US]
 
 
 def test_uploads_over_thin_links_are_held_no_longer_than_others() -> None:
--- a/tests/test_quorum_loss.py
+++ b/tests/test_quorum_loss.py
@@ -23,7 +23,7 @@
     detect,
     parse_missing_durations,
 )
-from cypressbeam.proxy.http_responses import Answer
+from cypressbeam.proxy.http_responses import Response
 from lab import repair
 from lab.local_cluster import demo_configuration
 from lab.simulation import Disk, Host
@@ -149,9 +149,9 @@
 
     def __init__(self) -> None:
         self.request = ""
-        self.answers: list[Answer] = []
+        self.answers: list[Response] = []
 
-    def respond(self, answer: Answer) -> None:
+    def respond(self, answer: Response) -> None:
         self.answers.append(answer)
 
 
--- a/tests/test_stamps.py
+++ b/tests/test_stamps.py
@@ -12,7 +12,7 @@
 from cypressbeam.balancing.balancer import Balancer
 from cypressbeam.balancing.interface import AttemptEnded
 from cypressbeam.proxy.gateway import Gateway
-from cypressbeam.proxy.http_responses import Answer
+from cypressbeam.proxy.http_responses import Response
 from lab.adversarial_servers import SOON_S, TO_THE_END_S, Client, SentRequest, World, answer, play
 
 pytestmark = pytest.mark.usefixtures("quiet")
@@ -43,7 +43,7 @@
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         for child in ast.iter_child_nodes(node):
             if isinstance(child, ast.FunctionDef) and any(
-                isinstance(call, ast.Call) and getattr(call.func, "id", "") in (Answer.__name__, "replace")
+                isinstance(call, ast.Call) and getattr(call.func, "id", "") in (Response.__name__, "replace")
                 for call in ast.walk(child)
             ):
                 found.add(f"{node.name}.{child.name}" if isinstance(node, ast.ClassDef) else child.name)
@@ -93,7 +93,7 @@
 
 async def the_deadline_passes(world: World, client: Client, patch: Any) -> None:
     """The balancer does not end the request itself."""
-    patch.setattr(Balancer, "end", lambda self, request: None)
+    patch.setattr(Balancer, "finish", lambda self, request: None)
     await one_server_fails_and_the_next_never_responds(world, client, patch)
 
 
@@ -111,13 +111,13 @@
 
 
 async def an_unproven_not_executed_status(world: World, client: Client, patch: Any) -> None:
-    patch.setattr(Gateway, "failure", lambda self, request: Answer(503, request.last_response.headers))
+    patch.setattr(Gateway, "failure", lambda self, request: Response(503, request.last_response.headers))
     client.ask(SentRequest("r", "book"))
     await servers_respond(world, 500)
 
 
 async def accepting_it_raises(world: World, client: Client, patch: Any) -> None:
-    patch.setattr(Gateway, Gateway.take.__name__, lambda self, request: 1 / 0)
+    patch.setattr(Gateway, Gateway.start_request.__name__, lambda self, request: 1 / 0)
     client.ask(SentRequest("r", "read"))
 
 
@@ -136,7 +136,7 @@
 async def the_node_shuts_down(world: World, client: Client, patch: Any) -> None:
     client.asked.append(SentRequest("r", "read"))
     client.wire.feed(HEAD[:20])
-    world.frontend.refuse_partial()
+    world.frontend.reject_partial_requests()
 
 
 async def the_id_is_in_use(world: World, client: Client, patch: Any) -> None:
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -14,15 +14,25 @@
 
 import pytest
 
-from cypressbeam.proxy.http_responses import Answer
+from cypressbeam.proxy.http_responses import Response
 from cypressbeam.runtime import LogRateLimiter
 from cypressbeam.standalone.config import OVERFLOW, ConfigError, flatten, read_config
 from lab.loopback_network import LoopbackNetwork
-from tests.loopback import SETTINGS, SOON_S, Client, StubServer, configuration, listing, row, run, soon
+from tests.loopback import (
+    SETTINGS,
+    TIMEOUT_S,
+    Client,
+    StubServer,
+    configuration,
+    run,
+    server_list,
+    server_row,
+    within_timeout,
+)
 
 
 def test_configuration_as_given() -> None:
-    config = configuration({"known": listing(4, row(0, 80)), "name": "n3"})
+    config = configuration({"known": server_list(4, server_row(0, 80)), "name": "n3"})
     assert (config.name, config.seed, config.pushed, config.known.version) == ("n3", 0x1F, True, 4)
     assert (config.connect_timeout_us, config.idle_us) == (5_000_000, 60_000_000)
     assert [kind.name for kind in config.settings.classes] == ["read", "refresh", "order"]
@@ -85,7 +95,7 @@
         if text is not None:
             path.write_text(text)
         process = await start(path)
-        _, said = await soon(process.communicate())
+        _, said = await within_timeout(process.communicate())
         assert process.returncode == 2
         assert said.startswith(b"cypressbeam: ") and said.count(b"\n") == 1
 
@@ -136,7 +146,7 @@
                     "discovery": f"127.0.0.1:{discovery_port}",
                     "seed": "1",
                     "limits": {"sockets": 1024} | self.limits,
-                    "known": listing(1, row(0, self.server.port)),
+                    "known": server_list(1, server_row(0, self.server.port)),
                     "settings": SETTINGS,
                 }
                 | changes
@@ -153,7 +163,7 @@
 
     async def said(self, text: bytes) -> None:
         assert self.process.stderr is not None
-        while text not in await soon(self.process.stderr.readline()):
+        while text not in await within_timeout(self.process.stderr.readline()):
             assert self.process.returncode is None
 
     async def client(self) -> Client:
@@ -168,7 +178,7 @@
 
     async def serves_once_there_is_room(self) -> None:
         """Clients that have just left may hold their places until the node has seen it: others are refused by then."""
-        async with asyncio.timeout(SOON_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while True:
                 client = await self.client()
                 client.send("order")
@@ -188,7 +198,7 @@
     async def end(self) -> bytes:
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGTERM)
-        _, rest = await soon(self.process.communicate())
+        _, rest = await within_timeout(self.process.communicate())
         self.server.stop()
         self.agent.stop()
         self.network.close()
@@ -237,9 +247,11 @@
         await node.said(b"reloaded")
         call = await other.next()
         assert call.target.startswith("/v1/endpoints?after=1&")
-        news = listing(2, row(0, node.server.port, lifecycle="left"), row(1, server.port), whole=False)
+        news = server_list(
+            2, server_row(0, node.server.port, lifecycle="left"), server_row(1, server.port), whole=False
+        )
         call.reply(body=json.dumps(news).encode())
-        await soon(old.peer.lost.wait())
+        await within_timeout(old.peer.lost.wait())
         await other.next()
         late = await node.client()
         late.send("order")
@@ -287,7 +299,7 @@
         busy.send("order")
         await node.server.next()
         node.process.kill()
-        await soon(node.process.communicate())
+        await within_timeout(node.process.communicate())
         await node.again()
         await node.serves()
         assert b"Traceback" not in await node.end()
@@ -306,9 +318,9 @@
             crowd[-1].send("order", timeout="2000m")
         # Each gets an answer or sees its connection end; what reached the server stays without one there.
         ends = await asyncio.gather(*(client.answer() for client in crowd), return_exceptions=True)
-        statuses = {end.status for end in ends if isinstance(end, Answer)}
+        statuses = {end.status for end in ends if isinstance(end, Response)}
         assert statuses <= {503, 504} and 503 in statuses
-        assert all(isinstance(end, (Answer, EOFError, ConnectionError)) for end in ends)
+        assert all(isinstance(end, (Response, EOFError, ConnectionError)) for end in ends)
         for client in crowd:
             client.close()
         while not node.server.received.empty():
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -10,20 +10,29 @@
 import pytest
 
 from cypressbeam.balancing.interface import AttemptOutcome, Report
-from cypressbeam.proxy.http_responses import MAX_RESPONSE_BYTES, Answer
+from cypressbeam.proxy.http_responses import MAX_RESPONSE_BYTES, Response
 from cypressbeam.proxy.protocol_profile import parse_named_load
 from cypressbeam.proxy.upstream import Attempt, Upstream
 from cypressbeam.standalone.discovery import read_list
-from tests.loopback import LONG_AGO_MS, Rig, StubServer, listing, rig, row, run, soon
+from tests.loopback import (
+    LONG_AGO_MS,
+    NodeFixture,
+    StubServer,
+    run,
+    running_node,
+    server_list,
+    server_row,
+    within_timeout,
+)
 
 NOT_STARTED = "Not-Started: 1\r\n"
 
 
-def report_servers(node_fixture: Rig, version: int, *rows: dict[str, Any], whole: bool = True) -> None:
-    node_fixture.node.take_list(read_list(listing(version, *rows, whole=whole)))
+def report_servers(node_fixture: NodeFixture, version: int, *rows: dict[str, Any], whole: bool = True) -> None:
+    node_fixture.node.take_list(read_list(server_list(version, *rows, whole=whole)))
 
 
-async def next_request(node_fixture: Rig) -> tuple[int, Any]:
+async def next_request(node_fixture: NodeFixture) -> tuple[int, Any]:
     """The index of the server that received the next request, and the request."""
     waits = [asyncio.ensure_future(server.received.get()) for server in node_fixture.servers]
     done, rest = await asyncio.wait(waits, timeout=20.0, return_when=asyncio.FIRST_COMPLETED)
@@ -35,7 +44,7 @@
 
 def test_a_refused_connection_is_retried_at_another_server() -> None:
     async def scenario() -> None:
-        async with rig(servers=2) as node_fixture:
+        async with running_node(servers=2) as node_fixture:
             node_fixture.servers[0].refuse()
             for _ in range(6):
                 client = await node_fixture.client()
@@ -49,7 +58,7 @@
 @pytest.mark.parametrize("status", [503, 504])
 def test_a_not_started_response_is_retried_at_another_server(status: int) -> None:
     async def scenario() -> None:
-        async with rig(servers=2) as node_fixture:
+        async with running_node(servers=2) as node_fixture:
             client = await node_fixture.client()
             client.send("order")
             first, got = await next_request(node_fixture)
@@ -76,7 +85,7 @@
 )
 def test_an_unsafe_request_that_may_have_run_is_never_retried(answer: bytes) -> None:
     async def scenario() -> None:
-        async with rig(servers=2) as node_fixture:
+        async with running_node(servers=2) as node_fixture:
             client = await node_fixture.client()
             client.send("order")
             _, got = await next_request(node_fixture)
@@ -93,14 +102,14 @@
 
 def test_a_timeout_is_answered_in_time_and_closes_the_connection() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             began = asyncio.get_running_loop().time()
             client.send("order", timeout="1000m")
             got = await node_fixture.servers[0].next()
             assert (await client.answer()).status == 504
             assert asyncio.get_running_loop().time() - began > 0.2  # and not too early
-            await soon(got.peer.lost.wait())
+            await within_timeout(got.peer.lost.wait())
             assert not node_fixture.node.requests
 
     run(scenario())
@@ -108,7 +117,7 @@
 
 def test_a_connection_is_reused_only_after_a_complete_response() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             for _ in range(3):
                 client.send()
@@ -132,7 +141,7 @@
 
 def test_idle_connections_are_closed_before_the_server_closes_them() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.send()
             got = await node_fixture.servers[0].next()
@@ -143,21 +152,21 @@
             assert not connection.closed
             connection.idle_since_s -= 31.0  # beyond half of the idle timeout of 60 s
             node_fixture.node.upstream.sweep()
-            await soon(got.peer.lost.wait())
+            await within_timeout(got.peer.lost.wait())
 
     run(scenario())
 
 
 def test_unsolicited_bytes_close_an_idle_connection() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.send()
             got = await node_fixture.servers[0].next()
             got.reply()
             assert (await client.answer()).status == 200
             got.reply(body=b"for nobody")
-            await soon(got.peer.lost.wait())
+            await within_timeout(got.peer.lost.wait())
             client.send()
             (await node_fixture.servers[0].next()).reply(body=b"mine")
             assert (await client.answer()).body == b"mine"
@@ -167,27 +176,29 @@
 
 def test_a_reported_restart_ends_the_attempts_at_the_old_process() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.send("order")
             got = await node_fixture.servers[0].next()
             now_ms = node_fixture.node.now_us() // 1000 + 1
-            report_servers(node_fixture, 2, row(0, node_fixture.servers[0].port, startedAtMs=now_ms), whole=False)
+            report_servers(
+                node_fixture, 2, server_row(0, node_fixture.servers[0].port, startedAtMs=now_ms), whole=False
+            )
             assert (await client.answer()).status == 502
-            await soon(got.peer.lost.wait())
+            await within_timeout(got.peer.lost.wait())
 
     run(scenario())
 
 
 def test_attempts_ended_by_a_restart_are_retried_only_after_the_balancer_knows_of_it() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.send("read")
             await node_fixture.servers[0].next()
             now_us = node_fixture.node.now_us() // 1000 * 1000 + 1000
             report_servers(
-                node_fixture, 2, row(0, node_fixture.servers[0].port, startedAtMs=now_us // 1000), whole=False
+                node_fixture, 2, server_row(0, node_fixture.servers[0].port, startedAtMs=now_us // 1000), whole=False
             )
             got = await node_fixture.servers[0].next()  # the retry, on a new connection
             assert len(node_fixture.servers[0].peers) == 2
@@ -201,12 +212,14 @@
 
 def test_a_restart_reported_late_keeps_connections_to_the_new_process() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.send("order")
             got = await node_fixture.servers[0].next()
             before_ms = node_fixture.node.now_us() // 1000 - 60_000
-            report_servers(node_fixture, 2, row(0, node_fixture.servers[0].port, startedAtMs=before_ms), whole=False)
+            report_servers(
+                node_fixture, 2, server_row(0, node_fixture.servers[0].port, startedAtMs=before_ms), whole=False
+            )
             got.reply()
             assert (await client.answer()).status == 200
 
@@ -215,7 +228,7 @@
 
 def test_a_server_with_a_new_address_is_contacted_there() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.send()
             old = await node_fixture.servers[0].next()
@@ -223,8 +236,8 @@
             await client.answer()
             moved = StubServer()
             await moved.start()
-            report_servers(node_fixture, 2, row(0, moved.port), whole=False)
-            await soon(old.peer.lost.wait())
+            report_servers(node_fixture, 2, server_row(0, moved.port), whole=False)
+            await within_timeout(old.peer.lost.wait())
             client.send()
             (await moved.next()).reply()
             assert (await client.answer()).status == 200
@@ -235,13 +248,13 @@
 
 def test_a_response_over_the_size_limit_is_no_success() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.send("order")
             got = await node_fixture.servers[0].next()
             got.reply(body=b"a" * (MAX_RESPONSE_BYTES + 1))
             assert (await client.answer()).status == 502
-            await soon(got.peer.lost.wait())
+            await within_timeout(got.peer.lost.wait())
             client.send("order")
             (await node_fixture.servers[0].next()).reply(body=b"a" * MAX_RESPONSE_BYTES)
             assert len((await client.answer()).body) == MAX_RESPONSE_BYTES
@@ -265,7 +278,7 @@
 )
 def test_trailing_bytes_cost_the_connection_but_not_the_response(answer: bytes) -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             for _ in range(2):
                 client.send("order")
@@ -273,7 +286,7 @@
                 got.raw(answer)
                 response = await client.answer()
                 assert (response.status, response.body) == (200, b"done")
-                await soon(got.peer.lost.wait())
+                await within_timeout(got.peer.lost.wait())
 
     run(scenario())
 
@@ -282,7 +295,7 @@
     """A duplicate that the event loop has not read yet when the connection would be reused."""
 
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.send("order", ident="r1")
             got = await node_fixture.servers[0].next()
@@ -307,7 +320,7 @@
 )
 def test_interim_responses_are_skipped(answer: bytes) -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             for _ in range(2):
                 client.send("order")
@@ -351,13 +364,13 @@
     """The server keeps the connection open and may continue to send: the node must neither wait nor buffer it."""
 
     async def scenario() -> None:
-        async with rig(servers=2) as node_fixture:
+        async with running_node(servers=2) as node_fixture:
             client = await node_fixture.client()
             client.send("order")
             _, got = await next_request(node_fixture)
             got.raw(answer)
             assert (await client.answer()).status == 502
-            await soon(got.peer.lost.wait())
+            await within_timeout(got.peer.lost.wait())
             assert all(server.received.empty() for server in node_fixture.servers)
             assert not node_fixture.node.requests and not node_fixture.node.upstream.connections
 
@@ -366,7 +379,7 @@
 
 def test_trailers_are_not_read_as_headers() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.send("order")
             (await node_fixture.servers[0].next()).raw(
@@ -382,7 +395,7 @@
 @pytest.mark.parametrize(("class_name", "status"), [("read", 200), ("refresh", 200), ("order", 502)])
 def test_a_connection_closed_during_a_request_is_a_reset(class_name: str, status: int) -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             client = await node_fixture.client()
             client.send(class_name)
             (await node_fixture.servers[0].next()).reply()
@@ -405,7 +418,7 @@
     """State of removed servers was never freed, and a new server at the same address inherited it."""
 
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             port = node_fixture.servers[0].port
             client, busy = await node_fixture.client(), await node_fixture.client()
             busy.send("order")
@@ -414,8 +427,8 @@
             (await node_fixture.servers[0].next()).reply(500)
             assert (await client.answer()).status == 502
             for number in range(1, 20):
-                left = row(number - 1, port, lifecycle="left")
-                report_servers(node_fixture, 1 + number, left, row(number, port), whole=False)
+                left = server_row(number - 1, port, lifecycle="left")
+                report_servers(node_fixture, 1 + number, left, server_row(number, port), whole=False)
             assert list(node_fixture.node.upstream.pools) == ["s19"]
             assert node_fixture.node.balancer.servers["s19"].success == 1.0
             client.send("order")
@@ -425,10 +438,10 @@
             assert (await client.answer()).status == 200
             held.reply()  # a response of the removed server still counts
             assert (await busy.answer()).status == 200
-            await soon(held.peer.lost.wait())
+            await within_timeout(held.peer.lost.wait())
             while len(node_fixture.node.balancer.servers) > 1:
                 await asyncio.sleep(0.01)
-            report_servers(node_fixture, 30, row(7, port))
+            report_servers(node_fixture, 30, server_row(7, port))
             assert list(node_fixture.node.upstream.pools) == ["s7"] and node_fixture.node.live == {"s7"}
 
     run(scenario())
@@ -454,16 +467,18 @@
 
 def test_a_connection_established_after_a_drain_is_not_written_to() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             node_fixture.node.upstream.loop = paused_loop = PausedConnectLoop()  # type: ignore[assignment]
             client = await node_fixture.client()
             client.send("order")
-            await soon(paused_loop.connected.wait())
-            peer = await soon(node_fixture.servers[0].opened.get())
-            report_servers(node_fixture, 2, row(0, node_fixture.servers[0].port, lifecycle="leaving"), whole=False)
+            await within_timeout(paused_loop.connected.wait())
+            peer = await within_timeout(node_fixture.servers[0].opened.get())
+            report_servers(
+                node_fixture, 2, server_row(0, node_fixture.servers[0].port, lifecycle="leaving"), whole=False
+            )
             paused_loop.resumed.set()
             assert (await client.answer()).status == 503  # it never ran
-            await soon(peer.lost.wait())
+            await within_timeout(peer.lost.wait())
             assert peer.got == 0
 
     run(scenario())
@@ -471,7 +486,7 @@
 
 def test_a_timeout_before_the_connection_is_established_never_ran() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             node_fixture.node.upstream.loop = PausedConnectLoop()  # type: ignore[assignment]
             client = await node_fixture.client()
             client.send("order", timeout="200m")
@@ -483,18 +498,18 @@
 
 def test_a_pending_connection_is_not_written_to_after_the_client_disconnects() -> None:
     async def scenario() -> None:
-        async with rig() as node_fixture:
+        async with running_node() as node_fixture:
             node_fixture.node.upstream.loop = paused_loop = PausedConnectLoop()  # type: ignore[assignment]
             client = await node_fixture.client()
             client.send("order")
-            await soon(paused_loop.connected.wait())
-            peer = await soon(node_fixture.servers[0].opened.get())
+            await within_timeout(paused_loop.connected.wait())
+            peer = await within_timeout(node_fixture.servers[0].opened.get())
             client.close()
             while node_fixture.node.requests:
                 await asyncio.sleep(0.001)
             paused_loop.resumed.set()
             node_fixture.node.upstream.close()
-            await soon(peer.lost.wait())
+            await within_timeout(peer.lost.wait())
             assert peer.got == 0 and node_fixture.node.upstream.connecting == 0
 
     run(scenario())
@@ -502,7 +517,7 @@
 
 def test_at_the_connection_limit_idle_connections_are_closed_or_the_request_is_refused() -> None:
     async def scenario() -> None:
-        async with rig(servers=2, server_connections=1) as node_fixture:
+        async with running_node(servers=2, server_connections=1) as node_fixture:
             first, second = await node_fixture.client(), await node_fixture.client()
             first.send("order")
             number, got = await next_request(node_fixture)
@@ -510,7 +525,7 @@
             assert (await second.answer()).status == 503
             got.reply()
             assert (await first.answer()).status == 200
-            report_servers(node_fixture, 2, row(1 - number, node_fixture.servers[1 - number].port))
+            report_servers(node_fixture, 2, server_row(1 - number, node_fixture.servers[1 - number].port))
             second.send("order")
             (await node_fixture.servers[1 - number].next()).reply()
             assert (await second.answer()).status == 200
@@ -525,19 +540,19 @@
         await server.start()
         ended: asyncio.Queue[AttemptOutcome] = asyncio.Queue()
 
-        def on_end(attempt: Attempt, ending: AttemptOutcome, answer: Answer | None, report: Report | None) -> None:
+        def on_end(attempt: Attempt, ending: AttemptOutcome, answer: Response | None, report: Report | None) -> None:
             ended.put_nowait(ending)
 
         upstream = Upstream(5_000_000, 60_000_000, 4, lambda: 0, on_end)
-        upstream.pool("s", ("127.0.0.1", server.port), LONG_AGO_MS, True)
+        upstream.update_server("s", ("127.0.0.1", server.port), LONG_AGO_MS, True)
         message = b"POST /order HTTP/1.1\r\nContent-Length: 50000000\r\n\r\n" + b"a" * 50_000_000
         upstream.start(Attempt("r1", 0, "s", message, 0))
-        peer = await soon(server.opened.get())
+        peer = await within_timeout(server.opened.get())
         peer.transport.pause_reading()
         while not any(connection.write_paused for connection in upstream.connections):
             await asyncio.sleep(0.001)
         peer.transport.abort()
-        assert await soon(ended.get()) is AttemptOutcome.RESET
+        assert await within_timeout(ended.get()) is AttemptOutcome.RESET
         upstream.close()
         server.stop()
 
