--- a/cypressbeam/consensus/dispatch.py
+++ b/cypressbeam/consensus/dispatch.py
@@ -1,4 +1,4 @@
-"""Which part of the consensus takes a message: one handler by the type of each. Pure."""
+"""Dispatch of consensus messages: one handler per message type. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from cypressbeam.protocol import frames
 
 M = TypeVar("M", bound=frames.Frame)
-#: Takes a message at a time in seconds; gives what it asks for. It may raise FrameError where the content cannot be.
+#: Handles a message at a time in seconds and returns the effects. May raise FrameError for invalid content.
 Handler = Callable[[M, float], Sequence[Effect]]
 
 
 class Dispatcher:
-    """The handlers of one machine."""
+    """The message handlers of one machine."""
 
     def __init__(self, replica: Replica) -> None:
         self.replica = replica
         self.handlers: dict[type[frames.Frame], Handler[Any]] = {}
-        """By the type of a message."""
+        """Handlers by message type."""
         self.register(frames.ReplicaHeartbeat, replica.on_heartbeat)
         self.register(frames.WriteRequest, replica.submit)
         self.register(frames.ForwardEntry, replica.on_forward_entry)
@@ -37,7 +37,7 @@
         self.register(frames.RollbackNotice, replica.on_rollback_notice)
 
     def add_membership(self, membership: MembershipManager, replacement: ReplacementManager) -> None:
-        """Take changes of the group as well."""
+        """Register the handlers for changes of the group."""
 
         def on_catch_up_ack(frame: frames.CatchUpAck, _now_s: float) -> Sequence[Effect]:
             return membership.on_catch_up_ack(frame)
@@ -47,11 +47,11 @@
         self.register(frames.CatchUpAck, on_catch_up_ack)
 
     def register(self, kind: type[M], handler: Handler[M]) -> None:
-        """A handler for a type of message."""
+        """Register the handler for a message type."""
         self.handlers[kind] = handler
 
     def dispatch(self, frame: frames.Frame, now_s: float) -> Sequence[Effect]:
-        """What a message asks for; nothing where it is none of the consensus. Raises FrameError."""
+        """Handle a message and return its effects; none if it is not a consensus message. Raises FrameError."""
         handler = self.handlers.get(type(frame))
         return handler(frame, now_s) if handler is not None else ()
 
--- a/cypressbeam/consensus/repair.py
+++ b/cypressbeam/consensus/repair.py
@@ -74,18 +74,18 @@
         failure_detector: FailureDetector,
         voter: Voter,
         rollback: RollbackDetector,
-        random_share: Callable[[], float],
+        random_fraction: Callable[[], float],
         on_newer_view: Callable[[frames.ViewAnnouncement, float], list[Effect]],
     ) -> None:
         """
-        :param random_share: a number from 0 to 1, drawn at random.
+        :param random_fraction: a number from 0 to 1, drawn at random.
         :param on_newer_view: takes a view that was made meanwhile.
         """
         self.state = state
         self.failure_detector = failure_detector
         self.voter = voter
         self.rollback = rollback
-        self.random_share = random_share
+        self.random_fraction = random_fraction
         self.on_newer_view = on_newer_view
         self.proposal: Proposal | None = None
         self.backoff = 1
@@ -136,7 +136,7 @@
         chain = self.state.chain
         # While a view is being installed some may still wait for what it begins with.
         backoff = self.backoff if chain is not None and not chain.active else 1
-        return REPAIR_DELAY_S * backoff + position * STAGGER_S + self.random_share() * STAGGER_S / 2
+        return REPAIR_DELAY_S * backoff + position * STAGGER_S + self.random_fraction() * STAGGER_S / 2
 
     def defer(self) -> None:
         """Somebody else is at it, or the process was paused: what seemed wrong must be seen again."""
--- a/lab/rules_core.py
+++ b/lab/rules_core.py
@@ -449,7 +449,7 @@
     state(
         "echoes of a former life prove nothing",
         FAILURE_DETECTION,
-        "self.sequence = int(random_share() * SEQUENCE_RANGE)",
+        "self.sequence = int(random_fraction() * SEQUENCE_RANGE)",
         "self.sequence = 0",
     ),
     state(
@@ -491,8 +491,8 @@
     state(
         "one that was not heard lately is asked in turn",
         FAILURE_DETECTION,
-        "asks = not self.is_alive(ip, now_s) and now_s - last_s > ECHO_REQUEST_INTERVAL_S",
-        "asks = False",
+        "due = not self.is_alive(ip, now_s) and now_s - last_s > ECHO_REQUEST_INTERVAL_S",
+        "due = False",
     ),
     state(
         "a stall of the process is none of its disk",
