--- a/cypressbeam/consensus/membership.py
+++ b/cypressbeam/consensus/membership.py
@@ -1,17 +1,17 @@
-"""Who belongs to the core, and how that changes. Pure: messages, ticks and peers' liveness in, effects out.
+"""Membership changes of the core group. Performs no I/O: takes messages, ticks and peer liveness, returns effects.
 
-A change goes from one group to the next that has one address more, or one less: so any majority of the one meets any
-of the other, and no joint group is needed. A replacement is an add, then a remove. Each is one view (replica.py):
-promised by a majority of the old group, and active once all of a chain hold it, with a majority of the new group among
-them.
+A single step adds or removes one address, so every majority of the old group overlaps every majority of the new one and
+no joint group is needed. A replacement is an add followed by a remove. Each step is one view (replica.py): a majority
+of the old group promises it, and it becomes active once every member of a chain that includes a majority of the new
+group has it on disk.
 
-Two single changes, made by two machines on top of one view, may leave groups whose majorities do not meet (Ongaro, "bug
-in single-server membership changes", 2015). So only the head of a view changes its group, only once the view is active,
-to one other group and no second one, and not from memory that a restart has emptied: otherwise it makes a new view of
-the same group first, which all that was begun on the old one runs into.
+Two single-step changes that two machines make on top of the same view can lead to groups whose majorities do not
+overlap (Ongaro, "bug in single-server membership changes", 2015). Therefore only the head of a view changes its group,
+only once the view is active, and to at most one other group. If it already proposed another group, or no longer knows
+because it restarted, it first makes a new view of the same group, which invalidates any change started on the old one.
 
-A change request names the group that it was made for, so it may be sent again: it gets the same answer.
-Source for the way of changes: Vertical Paxos (Lamport, Malkhi, Zhou, 2009); Raft, section 6 (Ongaro, 2014).
+A change request names the group that it is based on, so it can be retried and gets the same answer.
+Sources: Vertical Paxos (Lamport, Malkhi, Zhou, 2009); Raft, section 6 (Ongaro, 2014).
 """
 
 from __future__ import annotations
@@ -30,23 +30,25 @@
 #: Kinds of change.
 ADD, REMOVE, REPLACE = 1, 2, 3
 KINDS = {"add": ADD, "remove": REMOVE, "replace": REPLACE}
-#: Each member is one more sync on the way of a write.
+#: Each member adds one disk sync to the latency of a write.
 MAX_MEMBERS = 9
-#: The newest entry is sent to a spare again after so long, while a change waits for it.
+#: How often the newest entry is resent to a spare while a change waits for it.
 CATCH_UP_INTERVAL_S = 0.2
-#: The first time with all digests, which a thin link takes a while for: up to 0.2 MB.
+#: How often the first catch-up message is resent. It carries all digests, up to 0.2 MB, which take a while on a slow
+#: link.
 FIRST_CATCH_UP_INTERVAL_S = 1.0
-#: A spare may lag by so many entries: while writes go on it is never quite caught up, and the body of the next one
-#: comes packed on the one before.
-MAX_SPARE_LAG = 1
+#: How many entries a spare may lag behind and still be added: under continuous writes it never catches up completely,
+#: and the next body is sent as a delta to the previous one.
+MAX_SPARE_LAG_ENTRIES = 1
 
-DONE, WAITS, UNKNOWN, REFUSED, ANOTHER = 200, 202, 404, 409, 412
+#: Statuses of a change, as HTTP status codes.
+DONE, WAITS, NOT_FOUND, REFUSED, GROUP_CHANGED = 200, 202, 404, 409, 412
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipChange:
-    """One change of a group. Addresses; `old` is nothing for an add, `new` for a remove. `base` is the group that it
-    was made for."""
+    """One change of a group. Members are given by address: `old` is empty for an add, `new` for a remove. `base` is the
+    group that the change was requested for."""
 
     kind: int
     old: str
@@ -54,32 +56,32 @@
     base: frozenset[str]
 
     def steps(self) -> list[frozenset[str]]:
-        """The groups that it goes through, the one that it begins with first."""
-        found = [self.base]
+        """The sequence of groups that the change goes through, starting with `base`."""
+        groups = [self.base]
         if self.kind in (ADD, REPLACE):
-            found.append(found[-1] | {self.new})
+            groups.append(groups[-1] | {self.new})
         if self.kind in (REMOVE, REPLACE):
-            found.append(found[-1] - {self.old})
-        return found
+            groups.append(groups[-1] - {self.old})
+        return groups
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipState:
-    """What the head of an active view knows when it is asked."""
+    """What the head of an active view knows when it decides on a change."""
 
     view: View
     tolerated_losses: int
-    """Machines that the deployment must be able to lose."""
+    """How many machines the deployment must be able to lose."""
     spares: Mapping[str, str]
-    """Machines with a disk that works, heard lately and in no group: names by addresses."""
+    """Live machines outside the group whose disks work: names by address."""
     caught_up: frozenset[str] = frozenset()
-    """Names of those that hold the newest entry."""
+    """Names of the spares that have the newest entry."""
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeDecision:
-    """What becomes of a change now: an answer, and with `WAITS` maybe the group to propose, or the spare to bring up to
-    date."""
+    """The status of a change. With `WAITS` it may also name the group to propose, or the address of the spare to
+    bring up to date."""
 
     status: int
     text: str
@@ -87,37 +89,37 @@
     catch_up: str = ""
 
 
-def find_fault(change: MembershipChange) -> ChangeDecision | None:
-    """What is wrong with a change whatever the state is: so the same request gets the same answer."""
+def validate_change(change: MembershipChange) -> ChangeDecision | None:
+    """Why a change is invalid, if it is. Does not depend on the state, so a retried request gets the same answer."""
     if change.kind not in KINDS.values() or not change.base:
         return ChangeDecision(REFUSED, "add, remove or replace, and the group that it is for")
     if change.kind in (ADD, REPLACE) and change.new in change.base:
         return ChangeDecision(REFUSED, f"{change.new} is a member already")
     if change.kind in (REMOVE, REPLACE) and change.old not in change.base:
-        return ChangeDecision(UNKNOWN, f"{change.old} is no member")
+        return ChangeDecision(NOT_FOUND, f"{change.old} is no member")
     return None
 
 
 def next_step(change: MembershipChange, state: MembershipState) -> ChangeDecision:
-    """The next step of a change, or why there is none."""
-    fault = find_fault(change)
-    if fault is not None:
-        return fault
-    now = frozenset(ip_of(name) for name in state.view.group)
+    """Decide on the next step of a change, or why there is none."""
+    error = validate_change(change)
+    if error is not None:
+        return error
+    current = frozenset(ip_of(name) for name in state.view.group)
     steps = change.steps()
-    if now == steps[-1]:
-        return ChangeDecision(DONE, "the group is " + " ".join(sorted(now)))
-    if now not in steps:
-        return ChangeDecision(ANOTHER, "the group is another one now: " + " ".join(sorted(now)))
-    wanted = steps[steps.index(now) + 1]
-    return add_member(change.new, state) if len(wanted) > len(now) else remove_member(change.old, state)
+    if current == steps[-1]:
+        return ChangeDecision(DONE, "the group is " + " ".join(sorted(current)))
+    if current not in steps:
+        return ChangeDecision(GROUP_CHANGED, "the group is another one now: " + " ".join(sorted(current)))
+    target = steps[steps.index(current) + 1]
+    return decide_add(change.new, state) if len(target) > len(current) else decide_remove(change.old, state)
 
 
-def add_member(ip: str, state: MembershipState) -> ChangeDecision:
-    """The next step of taking in the machine at an address."""
+def decide_add(ip: str, state: MembershipState) -> ChangeDecision:
+    """Decide on the next step of adding the machine at an address."""
     name = state.spares.get(ip)
     if name is None:
-        return ChangeDecision(UNKNOWN, f"no machine with a disk at {ip} has joined")
+        return ChangeDecision(NOT_FOUND, f"no machine with a disk at {ip} has joined")
     if len(state.view.group) >= MAX_MEMBERS:
         return ChangeDecision(REFUSED, f"a group has {MAX_MEMBERS} members at most")
     if name not in state.caught_up:
@@ -125,37 +127,38 @@
     return ChangeDecision(WAITS, f"{ip} is taken in", (*state.view.group, name))
 
 
-def remove_member(ip: str, state: MembershipState) -> ChangeDecision:
-    """The next step of letting a member go, if the others can bear it."""
+def decide_remove(ip: str, state: MembershipState) -> ChangeDecision:
+    """Decide on the removal of a member: refused if too few members or copies would remain."""
     group = tuple(name for name in state.view.group if ip_of(name) != ip)
     chain = [name for name in state.view.chain if ip_of(name) != ip]
-    least, copies = 2 * state.tolerated_losses + 1, max(state.tolerated_losses + 1, majority(len(group)))
-    if len(group) < least:
+    min_members, min_copies = 2 * state.tolerated_losses + 1, max(state.tolerated_losses + 1, majority(len(group)))
+    if len(group) < min_members:
         return ChangeDecision(
-            REFUSED, f"{len(group)} members would be left; to lose {state.tolerated_losses} it takes {least}"
+            REFUSED, f"{len(group)} members would be left; to lose {state.tolerated_losses} it takes {min_members}"
         )
-    if len(chain) < copies:
-        return ChangeDecision(REFUSED, f"{len(chain)} whole copies would be left; {copies} are needed")
+    if len(chain) < min_copies:
+        return ChangeDecision(REFUSED, f"{len(chain)} whole copies would be left; {min_copies} are needed")
     return ChangeDecision(WAITS, f"{ip} is let go", group)
 
 
 class MembershipManager:
-    """At each machine of the core: the spares; at the head, the changes of the group."""
+    """Tracks the spares at every machine of the core, and carries out changes of the group at the head."""
 
     def __init__(self, replica: Replica, losses: int) -> None:
         self.replica = replica
         self.tolerated_losses = losses
         self.spare_entry_numbers: dict[str, int] = {}
-        """Names of spares, and the newest entry that each has reported."""
+        """The number of the newest entry that each spare has acknowledged, by name."""
         self.catch_up_sent_s: dict[str, float] = {}
         """When the newest entry was last sent to each spare, by address."""
         self.proposed_group: tuple[int, frozenset[str]] | None = None
-        """The epoch of the view whose group was to be changed, and to which addresses."""
+        """The last change of the group that was proposed: the epoch of the view that it builds on, and the addresses of
+        the new group."""
 
-    # -- what is known -------------------------------------------------------------------------------------
+    # -- state ---------------------------------------------------------------------------------------------
 
     def spares(self, now_s: float) -> dict[str, str]:
-        """Machines with a disk that works, alive and in no group: names by addresses."""
+        """Live machines outside the group whose disks work: names by address."""
         view = self.replica.state.view
         if view is None:
             return {}
@@ -167,24 +170,25 @@
         }
 
     def is_active_head(self, now_s: float) -> bool:
-        """Whether the next step of a change is this machine's to make."""
+        """Whether this machine may carry out the next step of a change."""
         replica = self.replica
         return replica.state.chain is not None and replica.state.chain.is_head() and replica.leadership.leads(now_s)
 
     def state(self, now_s: float) -> MembershipState:
-        """What the head of an active view knows."""
+        """The state that decisions on changes are based on."""
         view, newest = self.replica.state.view, self.replica.state.newest_entry()
         assert view is not None
         number = newest.number if newest is not None else 0
         spares = self.spares(now_s)
-        least = max(number - MAX_SPARE_LAG, min(number, 1))
-        caught_up = frozenset(name for name in spares.values() if self.spare_entry_numbers.get(name, -1) >= least)
+        min_number = max(number - MAX_SPARE_LAG_ENTRIES, min(number, 1))
+        caught_up = frozenset(name for name in spares.values() if self.spare_entry_numbers.get(name, -1) >= min_number)
         return MembershipState(view, self.tolerated_losses, spares, caught_up)
 
     # -- changes, at the head ------------------------------------------------------------------------------
 
     def on_change_request(self, frame: frames.MembershipChangeRequest, now_s: float) -> list[Effect]:
-        """An operator's request, sent again and again until it is done: each time the next step is begun."""
+        """Handle an operator's request. The client repeats it until the change is done; each request starts the next
+        step."""
         replica = self.replica
         if replica.state.view is None:
             return []
@@ -199,37 +203,37 @@
         return [SendMessage(frame.origin, answer), *self.effects_of(decision, now_s)]
 
     def effects_of(self, decision: ChangeDecision, now_s: float) -> list[Effect]:
-        """What a decision asks for: a catch-up, or a view with another group."""
+        """The effects of a decision: a catch-up message, or the proposal of a view with another group."""
         if decision.catch_up:
             return self.send_catch_up(decision.catch_up, now_s)
         return self.propose_group(decision.group, now_s) if decision.group else []
 
     def propose_group(self, group: tuple[str, ...], now_s: float) -> list[Effect]:
-        """Propose a view with another group, or the same group anew where this view has been used up."""
+        """Propose a view with another group, or with the same group if that change may not be made on this view."""
         replica = self.replica
         assert replica.state.view is not None
         if replica.proposer.proposal is not None or replica.failure_detector.new_identities(now_s):
             return []
-        epoch, wanted = replica.state.view.epoch, frozenset(ip_of(name) for name in group)
-        if not self.may_propose_group(epoch, wanted):
+        epoch, addresses = replica.state.view.epoch, frozenset(ip_of(name) for name in group)
+        if not self.may_propose_group(epoch, addresses):
             return replica.proposer.propose(now_s)
-        self.proposed_group = epoch, wanted
+        self.proposed_group = epoch, addresses
         return replica.proposer.propose(now_s, group)
 
-    def may_propose_group(self, epoch: int, wanted: frozenset[str]) -> bool:
-        """One other group on top of a view, ever; what this machine proposed in an earlier incarnation it does not
-        know."""
-        fresh = self.replica.state.installed_epoch == epoch
-        return fresh and (
-            self.proposed_group is None or self.proposed_group[0] != epoch or self.proposed_group[1] == wanted
+    def may_propose_group(self, epoch: int, addresses: frozenset[str]) -> bool:
+        """Whether a group may be proposed on top of a view: at most one other group per view, and only if the view was
+        installed since this process started, because earlier proposals are not remembered."""
+        installed = self.replica.state.installed_epoch == epoch
+        return installed and (
+            self.proposed_group is None or self.proposed_group[0] != epoch or self.proposed_group[1] == addresses
         )
 
     def send_catch_up(self, ip: str, now_s: float) -> list[Effect]:
-        """Send view and newest entry to a spare, so that it has both before it counts."""
+        """Send the view and the newest entry to a spare, which must have both before it becomes a member."""
         replica, view = self.replica, self.replica.state.view
         first = replica.failure_detector.peers[ip].disk_state == DiskState.EMPTY
-        again_s = FIRST_CATCH_UP_INTERVAL_S if first else CATCH_UP_INTERVAL_S
-        if view is None or now_s - self.catch_up_sent_s.get(ip, NEVER_S) < again_s:
+        interval_s = FIRST_CATCH_UP_INTERVAL_S if first else CATCH_UP_INTERVAL_S
+        if view is None or now_s - self.catch_up_sent_s.get(ip, NEVER_S) < interval_s:
             return []
         self.catch_up_sent_s[ip] = now_s
         entry = replica.state.newest_entry() or NO_ENTRY
@@ -253,11 +257,11 @@
         ]
 
     def on_catch_up(self, frame: frames.CatchUp, now_s: float) -> list[Effect]:
-        """At the spare, once the body is here. The view goes to disk if there is none yet: from then on this machine
-        promises. The message comes again, and is answered then."""
+        """Handle a catch-up message at the spare, once the body has arrived. If the disk is empty the view is persisted
+        first, and from then on this machine may promise; the message is acknowledged when it is resent."""
         replica = self.replica
-        older = replica.state.view is not None and frame.epoch < replica.state.view.epoch
-        if frame.name != replica.name or replica.name in frame.group or older or replica.state.pending_view is not None:
+        stale = replica.state.view is not None and frame.epoch < replica.state.view.epoch
+        if frame.name != replica.name or replica.name in frame.group or stale or replica.state.pending_view is not None:
             return []
         if replica.state.disk_state != DiskState.EMPTY:
             body_digest = replica.state.digest(frame.body) if frame.number else b""
@@ -269,13 +273,13 @@
         return replica.accept_view(view, entry, digests.unpack(frame.applied_digests), now_s)
 
     def on_catch_up_ack(self, frame: frames.CatchUpAck) -> list[Effect]:
-        """A spare says which entry it holds; it counts if its body is the one that is here."""
+        """Record which entry a spare has, unless its body differs from the one stored here."""
         newest = self.replica.state.newest_entry()
-        fault = (
+        mismatch = (
             newest is not None
             and frame.number == newest.number
             and frame.digest != self.replica.state.digest(newest.body)
         )
-        if not fault:
+        if not mismatch:
             self.spare_entry_numbers[frame.name] = frame.number
         return []
--- a/lab/rules_fencing.py
+++ b/lab/rules_fencing.py
@@ -526,15 +526,20 @@
         "if change.kind in (REMOVE, REPLACE) and change.old not in change.base:",
         "if False:",
     ),
-    members("the same order gets the same answer", MEMBERSHIP_RULES, "    if now == steps[-1]:\n", "    if False:\n"),
     members(
-        "an order is for the group that it names", MEMBERSHIP_RULES, "    if now not in steps:\n", "    if not steps:\n"
+        "the same order gets the same answer", MEMBERSHIP_RULES, "    if current == steps[-1]:\n", "    if False:\n"
+    ),
+    members(
+        "an order is for the group that it names",
+        MEMBERSHIP_RULES,
+        "    if current not in steps:\n",
+        "    if not steps:\n",
     ),
     members(
         "a newcomer must stand by",
         MEMBERSHIP_RULES,
-        "    if name is None:\n        return ChangeDecision(UNKNOWN",
-        "    if False:\n        return ChangeDecision(UNKNOWN",
+        "    if name is None:\n        return ChangeDecision(NOT_FOUND",
+        "    if False:\n        return ChangeDecision(NOT_FOUND",
     ),
     members("nine members are the most", MEMBERSHIP_RULES, "if len(state.view.group) >= MAX_MEMBERS:", "if False:"),
     members(
@@ -543,13 +548,13 @@
         "    if name not in state.caught_up:\n",
         "    if False:\n",
     ),
-    members("enough members are left", MEMBERSHIP_RULES, "    if len(group) < least:\n", "    if False:\n"),
-    members("enough whole copies are left", MEMBERSHIP_RULES, "    if len(chain) < copies:\n", "    if False:\n"),
+    members("enough members are left", MEMBERSHIP_RULES, "    if len(group) < min_members:\n", "    if False:\n"),
+    members("enough whole copies are left", MEMBERSHIP_RULES, "    if len(chain) < min_copies:\n", "    if False:\n"),
     members(
         "one address at a time: an add, then a remove",
         MEMBERSHIP_RULES,
-        "    wanted = steps[steps.index(now) + 1]\n",
-        "    wanted = steps[-1]\n",
+        "    target = steps[steps.index(current) + 1]\n",
+        "    target = steps[-1]\n",
     ),
     members(
         "only the head of an active view steps",
@@ -560,15 +565,15 @@
     members(
         "to one other group only",
         MEMBERSHIP_RULES,
-        "return fresh and (\n"
-        "            self.proposed_group is None or self.proposed_group[0] != epoch or self.proposed_group[1] == wanted\n"
+        "return installed and (\n"
+        "            self.proposed_group is None or self.proposed_group[0] != epoch or self.proposed_group[1] == addresses\n"
         "        )",
-        "return fresh",
+        "return installed",
     ),
     members(
         "not from memory that a restart has emptied",
         MEMBERSHIP_RULES,
-        "return fresh and (\n            self.proposed_group is None or",
+        "return installed and (\n            self.proposed_group is None or",
         "return (self.proposed_group is None or",
     ),
     members(
@@ -580,34 +585,39 @@
     members(
         "one that stands by and is in the group already is not levelled",
         MEMBERSHIP_RULES,
-        "if frame.name != replica.name or replica.name in frame.group or older or replica.state.pending_view is not None:",
-        "if frame.name != replica.name or older or replica.state.pending_view is not None:",
+        "if frame.name != replica.name or replica.name in frame.group or stale or replica.state.pending_view is not None:",
+        "if frame.name != replica.name or stale or replica.state.pending_view is not None:",
     ),
     members(
         "a level of an older view is not taken",
         MEMBERSHIP_RULES,
-        "if frame.name != replica.name or replica.name in frame.group or older or replica.state.pending_view is not None:",
+        "if frame.name != replica.name or replica.name in frame.group or stale or replica.state.pending_view is not None:",
         "if frame.name != replica.name or replica.name in frame.group or replica.state.pending_view is not None:",
     ),
     members(
         "a level is for the one that it names",
         MEMBERSHIP_RULES,
-        "if frame.name != replica.name or replica.name in frame.group or older or replica.state.pending_view is not None:",
-        "if replica.name in frame.group or older or replica.state.pending_view is not None:",
+        "if frame.name != replica.name or replica.name in frame.group or stale or replica.state.pending_view is not None:",
+        "if replica.name in frame.group or stale or replica.state.pending_view is not None:",
     ),
     members(
         "it tells that it is level only with the body's digest",
         MEMBERSHIP_RULES,
-        "        if not fault:\n",
+        "        if not mismatch:\n",
         "        if True:\n",
     ),
     members(
         "a stand-by may be one entry behind",
         MEMBERSHIP_RULES,
-        "least = max(number - MAX_SPARE_LAG, min(number, 1))",
-        "least = number",
+        "min_number = max(number - MAX_SPARE_LAG_ENTRIES, min(number, 1))",
+        "min_number = number",
+    ),
+    members(
+        "and no more",
+        MEMBERSHIP_RULES,
+        "min_number = max(number - MAX_SPARE_LAG_ENTRIES, min(number, 1))",
+        "min_number = 0",
     ),
-    members("and no more", MEMBERSHIP_RULES, "least = max(number - MAX_SPARE_LAG, min(number, 1))", "least = 0"),
     members(
         "no step while a proposal is under way or a newcomer waits",
         MEMBERSHIP_RULES,
