--- a/cypressbeam/consensus/bootstrap.py
+++ b/cypressbeam/consensus/bootstrap.py
@@ -18,7 +18,9 @@
     """Collects the machines with a disk and proposes the first view. Runs on the first seed of a new system."""
 
     def __init__(self, min_members: int) -> None:
-        """:param min_members: how many candidates are needed before a view is proposed."""
+        """
+        :param min_members: how many candidates are needed before a view is proposed.
+        """
         self.min_members = min_members
         self.candidates: set[str] = set()
         self.last_candidate_s = 0.0
--- a/cypressbeam/consensus/repair.py
+++ b/cypressbeam/consensus/repair.py
@@ -1,14 +1,14 @@
-"""Repair: proposing the next view where this one has lost a member, or one is back.
+"""Repair: proposes the next view when a member of the current one fails or returns.
 
-A proposer asks the group to promise its epoch; a promise seals all lower epochs at that member. Of the entries that a
-majority reports, the newest (by epoch, then number) is what the new chain begins with: an entry is committed once every
-member of a chain has it, a chain holds at least `min_copies` members and with them a majority of the group, so any
-other majority has met it. Each member of the new chain puts view and entry on disk in one write; the view is active
-once all have said so.
+A proposer asks the group to promise its epoch; a promise seals all lower epochs at that member. The new chain starts
+with the newest entry (by epoch, then number) that a majority reports. That entry is at least as new as every committed
+one: an entry is committed once every member of a chain has it, and a chain includes at least `min_copies` members and a
+majority of the group, so it shares a member with every other majority. Each member of the new chain persists the view
+and the entry in one write; the view is active once all have confirmed that.
 
-Invariants: two views of one epoch are never active with different chains; what a view begins with is at least as new as
-all that was ever committed; a machine that lost its disk is in no majority until a view has taken it in under its new
-identity; no chain has fewer than `min_copies` members.
+Invariants: two views of one epoch are never active with different chains; a view starts with an entry at least as new
+as any that was ever committed; a machine that lost its disk counts towards no majority until a view has added it under
+its new identity; no chain has fewer than `min_copies` members.
 Sources: Vertical Paxos (Lamport, Malkhi, Zhou, 2009) for repairing a chain by views; Paxos for the promise.
 """
 
@@ -27,16 +27,17 @@
 from cypressbeam.consensus.voting import Voter
 from cypressbeam.protocol import frames
 
-#: A view must need repair for so long before somebody proposes; those further down the group wait longer, so that as a
-#: rule one proposes.
+#: How long a view must need repair before a member proposes the next one.
 REPAIR_DELAY_S = 0.25
+#: Additional delay per position in the group, so that normally only one member proposes.
 STAGGER_S = 0.3
-#: A proposer waits so long for more promises than it needs, and for its view to become active.
-GATHER_S = 0.3
+#: How long a proposer that has a majority waits for the remaining promises.
+PROMISE_WAIT_S = 0.3
+#: How long a proposal may take until its view is active.
 PROPOSAL_TIMEOUT_S = 1.2
-#: After proposals that came to nothing the next may take so many times as long: bodies may be slow to come.
+#: Failed proposals multiply the timeout of the next one by up to this factor, because bodies may arrive slowly.
 MAX_BACKOFF = 4
-#: The last bits of an epoch are the proposer's position in the group: no two machines ever propose the same one.
+#: The low bits of an epoch hold the proposer's position in the group, so no two machines propose the same epoch.
 POSITION_BITS = 8
 
 
@@ -46,27 +47,28 @@
 
     epoch: int
     group: tuple[str, ...]
-    """Whose majority decides."""
+    """The group whose majority decides."""
     new_group: tuple[str, ...]
-    """The group of the new view: the same, but for identities, or one member more or less (membership.py)."""
-    began_s: float
+    """The group of the new view: the same except for new identities, or with one member added or removed
+    (membership.py)."""
+    started_s: float
     digests_since: int = 0
-    """Promises bring the digests of applied writes above this revision."""
+    """Promises include the digests of applied writes above this revision."""
     promises: dict[str, frames.Promise] = field(default_factory=dict)
-    """By the member's name."""
+    """Promises received, by member name."""
     quorum_s: float = 0.0
-    """When a majority had promised; 0: it has not."""
+    """When a majority had promised; 0 if it has not yet."""
     sent: bool = False
     """Whether the view was sent to its chain."""
 
 
 def newest_of(promises: dict[str, frames.Promise]) -> frames.Promise:
-    """The promise that reports the newest entry: a committed one is never newer than that."""
+    """The promise that reports the newest entry, which is at least as new as every committed one."""
     return max(promises.values(), key=lambda promise: (promise.entry_epoch, promise.number))
 
 
 class Proposer:
-    """The proposals of one machine. Times in seconds of its steady clock."""
+    """The proposals of one machine. Times are seconds of its monotonic clock."""
 
     def __init__(
         self,
@@ -78,8 +80,8 @@
         on_newer_view: Callable[[frames.ViewAnnouncement, float], list[Effect]],
     ) -> None:
         """
-        :param random_fraction: a number from 0 to 1, drawn at random.
-        :param on_newer_view: takes a view that was made meanwhile.
+        :param random_fraction: draws a random number from 0 to 1.
+        :param on_newer_view: handles a newer view that a promise reports.
         """
         self.state = state
         self.failure_detector = failure_detector
@@ -89,13 +91,13 @@
         self.on_newer_view = on_newer_view
         self.proposal: Proposal | None = None
         self.backoff = 1
-        """How many times as long as usual the next proposal may take."""
+        """The factor by which the timeout of the next proposal is extended."""
         self.needs_repair_since_s: float | None = None
 
-    # -- whether a view is to be proposed -------------------------------------------------------------------
+    # -- when to propose ------------------------------------------------------------------------------------
 
     def needs_repair(self, now_s: float) -> bool:
-        """Whether the view should be another one, as far as this machine can tell."""
+        """Whether the view should be replaced, as far as this machine can tell."""
         view = self.state.view
         assert view is not None
         if self.failure_detector.new_identities(now_s):
@@ -106,14 +108,14 @@
         return any(self.has_left(name, view.epoch) for name in view.chain)
 
     def has_left(self, name: str, epoch: int) -> bool:
-        """Whether a member of the chain has promised a later epoch, or has not this view."""
+        """Whether a member of the chain has promised a later epoch, or does not have this view."""
         if name == self.state.name:
             return self.voter.promised > epoch or self.state.chain is None
         peer = self.failure_detector.peers[ip_of(name)]
         return peer.promised > epoch or peer.epoch != epoch
 
     def tick(self, now_s: float) -> list[Effect]:
-        """Propose the next view where this one has needed repair for long enough, and a majority is there to decide."""
+        """Propose the next view if this one has needed repair for long enough and a majority can promise."""
         view = self.state.view
         assert view is not None
         if self.state.name not in view.group or not self.needs_repair(now_s):
@@ -132,27 +134,27 @@
         return self.propose(now_s)
 
     def delay_s(self, position: int) -> float:
-        """How long a member waits before it proposes, by its position among those that are available."""
+        """How long a member waits before it proposes, depending on its position among the available ones."""
         chain = self.state.chain
-        # While a view is being installed some may still wait for what it begins with.
+        # While a view is being installed, some members may still be waiting for the body of its first entry.
         backoff = self.backoff if chain is not None and not chain.active else 1
         return REPAIR_DELAY_S * backoff + position * STAGGER_S + self.random_fraction() * STAGGER_S / 2
 
     def defer(self) -> None:
-        """Somebody else is at it, or the process was paused: what seemed wrong must be seen again."""
+        """Restart the repair delay: another member is proposing, or the process was paused and must check again."""
         self.needs_repair_since_s = None
 
     # -- proposing -----------------------------------------------------------------------------------------
 
     def propose(self, now_s: float, new_group: tuple[str, ...] | None = None) -> list[Effect]:
-        """Ask for promises, for a view of the same group or of another one. Who came back with an empty disk must be
-        known by now: whatever the old identity had a part in shows in promises that are asked for later."""
+        """Ask for promises for a view of the same group, or of `new_group`. Members that return with an empty disk
+        after this are not in the new view: only later promises show what their old identities took part in."""
         state = self.state
         assert state.view is not None
         group = state.view.group
         if new_group is None:
-            new = self.failure_detector.new_identities(now_s)
-            new_group = tuple(new.get(name, name) for name in group)
+            renamed = self.failure_detector.new_identities(now_s)
+            new_group = tuple(renamed.get(name, name) for name in group)
         if state.chain is not None and not state.chain.active:
             self.backoff = min(2 * self.backoff, MAX_BACKOFF)
         epoch = ((state.highest_epoch >> POSITION_BITS) + 1 << POSITION_BITS) | group.index(state.name)
@@ -162,7 +164,7 @@
         return [SendMessage(ip_of(name), frames.Prepare(epoch, state.name, since)) for name in group]
 
     def on_promise(self, frame: frames.Promise, now_s: float) -> list[Effect]:
-        """A member promises. Raises FrameError."""
+        """Handle the promise of a member. Raises FrameError."""
         proposal, view = self.proposal, self.state.view
         if proposal is None or proposal.epoch != frame.epoch or proposal.sent or frame.name not in proposal.group:
             return []
@@ -170,33 +172,34 @@
         if self.rollback.rejects(frame.name, marks):
             return self.rollback.report_rollback(frame.name)
         if view is not None and frame.view_epoch > view.epoch:
-            # Another view was made meanwhile: its group decides, so this proposal is over.
+            # A newer view exists, and only its group may decide, so this proposal is abandoned.
             self.proposal = None
             return self.on_newer_view(frames.ViewAnnouncement(frame.view_epoch, frame.chain, frame.group), now_s)
-        deduplication.unpack(frame.applied_digests)  # what is broken is refused here, before anything counts on it
+        deduplication.unpack(frame.applied_digests)  # reject malformed digests before the promise is counted
         proposal.promises[frame.name] = frame
         if len(proposal.promises) >= self.state.quorum_size(proposal.group) and not proposal.quorum_s:
             proposal.quorum_s = now_s
         return self.conclude(now_s)
 
     def conclude(self, now_s: float) -> list[Effect]:
-        """Send out the view once enough have promised, and the others had time to; or give the proposal up."""
+        """Send the view once a majority has promised and the others had time to, or abandon the proposal after its
+        timeout."""
         proposal = self.proposal
         if proposal is None:
             return []
-        if now_s - proposal.began_s > PROPOSAL_TIMEOUT_S * self.backoff:
+        if now_s - proposal.started_s > PROPOSAL_TIMEOUT_S * self.backoff:
             self.proposal = None
             self.backoff = min(2 * self.backoff, MAX_BACKOFF)
-            self.needs_repair_since_s = now_s  # wait anew: another one may be at it
+            self.needs_repair_since_s = now_s  # restart the delay: another member may be proposing
             return []
         if proposal.sent or not proposal.quorum_s:
             return []
-        if self.is_missing_promises(proposal, now_s) and now_s - proposal.quorum_s < GATHER_S:
+        if self.is_missing_promises(proposal, now_s) and now_s - proposal.quorum_s < PROMISE_WAIT_S:
             return []
         return self.decide(proposal, now_s)
 
     def is_missing_promises(self, proposal: Proposal, now_s: float) -> bool:
-        """Whether a member that is available and can promise has not done so yet."""
+        """Whether a member that is available and able to promise has not done so yet."""
         return any(
             name not in proposal.promises
             and self.failure_detector.is_available(name, now_s)
@@ -205,7 +208,7 @@
         )
 
     def decide(self, proposal: Proposal, now_s: float) -> list[Effect]:
-        """Send the new view to its chain, if enough members form one."""
+        """Send the new view to its chain, if enough members are available to form one."""
         group = proposal.new_group
         chain = self.chain_for(proposal, now_s)
         min_members = max(self.state.min_copies, self.state.quorum_size(group))
@@ -222,17 +225,17 @@
         ]
 
     def chain_for(self, proposal: Proposal, now_s: float) -> list[str]:
-        """The members of the new chain, from head to tail. The tail stays where it was if it can: it is the root of the
+        """The members of the new chain, from head to tail. The tail is kept if possible, because it is the root of the
         distribution tree."""
         view, detector = self.state.view, self.failure_detector
         assert view is not None
         group = proposal.new_group
         added = {name for name in group if name not in proposal.group and detector.is_available(name, now_s)}
-        there = set(proposal.promises) | added | {name for name in group if detector.is_empty(name, now_s)}
-        kept = [name for name in view.chain if name in there and name in group]
-        joined = [name for name in group if name in there and name not in kept]
+        eligible = set(proposal.promises) | added | {name for name in group if detector.is_empty(name, now_s)}
+        kept = [name for name in view.chain if name in eligible and name in group]
+        joined = [name for name in group if name in eligible and name not in kept]
         if len(group) > len(proposal.group) and len(kept) > 1:
-            return kept[:1] + joined + kept[1:]  # the head goes on with the change of members
+            return kept[:1] + joined + kept[1:]  # keep the head, which continues the membership change
         return joined + kept
 
     def accept_for(
@@ -244,7 +247,8 @@
         newest: frames.Promise,
         digests: dict[int, bytes],
     ) -> frames.Accept:
-        """To each the digests that it lacks: one with an empty disk has reported none."""
+        """The message that sends the view to a member, with the digests that it lacks. A member with an empty disk has
+        reported none and gets all of them."""
         promise = proposal.promises.get(name)
         since = promise.base if promise is not None else 0
         return frames.Accept(
@@ -260,8 +264,8 @@
         )
 
     def includes_new_address(self, group: tuple[str, ...], chain: list[str]) -> bool:
-        """Whether a machine whose address is new to the group has its place in the chain: it holds what counts before
-        it counts itself."""
+        """Whether every machine whose address is new to the group is in the chain: it must store the state before it
+        counts towards a majority."""
         assert self.state.view is not None
         old = {ip_of(name) for name in self.state.view.group}
         return all(name in chain for name in group if ip_of(name) not in old)
--- a/cypressbeam/consensus/voting.py
+++ b/cypressbeam/consensus/voting.py
@@ -1,10 +1,13 @@
-"""Voting: which proposals of a view this machine takes part in.
+"""Voting: the promises that this machine gives to proposers of views.
 
-Source: Paxos. A promise is an answer to `Prepare`: no lower epoch is taken part in from then on.
-Invariants: a promise never goes down, and is on disk before it is given; it seals all lower epochs at this machine; a
-machine votes only once it has itself put a view on disk. One that came back with an empty disk is named in a new group
-before it has that view, and others may hear of the group from a single machine that has it: a majority with the empty
-one in it would know of nothing (docs/incidents/009).
+A promise answers `Prepare`: the machine takes part in no lower epoch from then on.
+
+Invariants: the promised epoch never decreases, and is on disk before the promise is sent; a promise seals all lower
+epochs at this machine; a machine votes only once it has persisted a view itself. The reason for the last one: a machine
+that returns with an empty disk is part of a new group before it has the view of that group, and others can learn of the
+group from a single machine that has the view. A majority that includes the empty machine could then know of no
+committed entry (docs/incidents/009).
+Source: Paxos.
 """
 
 from __future__ import annotations
@@ -26,16 +29,16 @@
         self.disk = disk
         self.rollback = rollback
         self.promised = 0
-        """The highest epoch that this machine has promised, or takes part in."""
+        """The highest epoch that this machine has promised or accepted a view of."""
         self.digests_since = 0
-        """The revision above which the newest promise reports the digests of applied writes."""
+        """The newest promise reports the digests of applied writes above this revision."""
 
     def can_vote(self) -> bool:
-        """Whether this machine has put a view on its disk."""
+        """Whether this machine has a view on disk."""
         return self.state.disk_state != DiskState.EMPTY
 
     def on_prepare(self, frame: frames.Prepare, now_s: float) -> list[Effect]:
-        """A proposer asks for a promise; it is given once it is on disk."""
+        """Handle a request for a promise. The promise is sent once it is on disk."""
         if frame.epoch <= self.promised:
             return []
         self.state.observe_epoch(frame.epoch)
@@ -47,7 +50,7 @@
         return [PersistPromise(frame.epoch, ip_of(frame.name))]
 
     def promise_persisted(self, epoch: int, proposer: str) -> list[Effect]:
-        """The promise is on disk; what is reported with it was on disk before."""
+        """Send a promise that is now on disk. The state that it reports was on disk before."""
         self.rollback.promise_persisted(epoch)
         if epoch != self.promised:
             return []
@@ -73,7 +76,7 @@
         return [SendMessage(proposer, promise)]
 
     def on_read_check(self, frame: frames.QuorumReadCheck) -> list[Effect]:
-        """The tail asks whether its epoch still holds: it does unless a later one is promised or installed here."""
+        """Confirm the tail's epoch, unless a later epoch is promised or installed here."""
         view = self.state.view
         if self.promised > frame.epoch or view is None or view.epoch > frame.epoch or self.rollback.reason:
             return []
--- a/lab/rules_core.py
+++ b/lab/rules_core.py
@@ -315,7 +315,7 @@
     state(
         "a proposal that gathers too few lapses",
         REPAIR,
-        "if now_s - proposal.began_s > PROPOSAL_TIMEOUT_S * self.backoff:",
+        "if now_s - proposal.started_s > PROPOSAL_TIMEOUT_S * self.backoff:",
         "if False:",
     ),
     state(
@@ -327,7 +327,7 @@
     state(
         "a proposer gives the others time to promise",
         REPAIR,
-        "        if self.is_missing_promises(proposal, now_s) and now_s - proposal.quorum_s < GATHER_S:\n"
+        "        if self.is_missing_promises(proposal, now_s) and now_s - proposal.quorum_s < PROMISE_WAIT_S:\n"
         "            return []\n",
         "",
     ),
--- a/lab/rules_replacement.py
+++ b/lab/rules_replacement.py
@@ -34,10 +34,14 @@
     ),
     replacement(
         "a process that stood still begins to count anew",
-        "        if stood_still:\n            self.since_s.clear()\n",
+        "        if paused:\n            self.since_s.clear()\n",
         "",
     ),
-    replacement("so does one without a majority in reach", "if not ran or not self.has_quorum(now_s):", "if not ran:"),
+    replacement(
+        "so does one without a majority in reach",
+        "if not was_running or not self.has_quorum(now_s):",
+        "if not was_running:",
+    ),
     replacement(
         "only the head replaces",
         '        if not self.membership.is_active_head(now_s):\n            self.status = ""\n            return []\n',
@@ -75,13 +79,13 @@
     ),
     replacement(
         "unless it is no larger than the least",
-        "return len(group) > least and len(group) % 2 == 0",
+        "return len(group) > min_members and len(group) % 2 == 0",
         "return len(group) % 2 == 0",
     ),
     replacement(
         "a group of an odd number removes nobody without a spare in the place",
-        "return len(group) > least and len(group) % 2 == 0",
-        "return len(group) > least",
+        "return len(group) > min_members and len(group) % 2 == 0",
+        "return len(group) > min_members",
     ),
     replacement(
         "a new spare is brought level at once",
--- a/tests/test_core_rules.py
+++ b/tests/test_core_rules.py
@@ -12,7 +12,7 @@
 from cypressbeam.consensus.failure_detection import FAILURE_TIMEOUT_S, NEVER_S
 from cypressbeam.consensus.leadership import VIEW_CHANGE_GRACE_S
 from cypressbeam.consensus.quorum_reads import CONFIRMATION_TIMEOUT_S
-from cypressbeam.consensus.repair import GATHER_S, PROPOSAL_TIMEOUT_S, REPAIR_DELAY_S
+from cypressbeam.consensus.repair import PROMISE_WAIT_S, PROPOSAL_TIMEOUT_S, REPAIR_DELAY_S
 from cypressbeam.consensus.replica import Replica
 from cypressbeam.consensus.views import Entry, View
 from cypressbeam.protocol import frames
@@ -84,12 +84,12 @@
     assert replica.proposer.on_promise(promise("x/0", epoch), world.now_s) == []
     assert replica.proposer.on_promise(promise("b/0", epoch + 1), world.now_s) == []
     assert replica.proposer.on_promise(promise("b/0", epoch, older), world.now_s) == [] and len(proposal.promises) == 1
-    assert replica.proposer.conclude(world.now_s + GATHER_S + 0.01) == []  # one is no majority of three
+    assert replica.proposer.conclude(world.now_s + PROMISE_WAIT_S + 0.01) == []  # one is no majority of three
     newer = Entry(2, 512, 95, 10, b"95:x")
     assert (
         replica.proposer.on_promise(promise("c/0", epoch, newer), world.now_s) == []
     )  # a third is there and may promise too
-    sent = told(replica.proposer.conclude(world.now_s + GATHER_S + 0.01), frames.Accept)
+    sent = told(replica.proposer.conclude(world.now_s + PROMISE_WAIT_S + 0.01), frames.Accept)
     assert {one.number for one in sent} == {2} and {one.revision for one in sent} == {95} and len(sent) == 2
     assert all(one.chain == ("b/0", "c/0") for one in sent)  # the tail stays where it was
     assert replica.proposer.on_promise(promise("a/0", epoch), world.now_s) == []
@@ -103,7 +103,7 @@
     replica.proposer.propose(now_s)
     assert replica.proposer.proposal is not None and replica.proposer.proposal.new_group == ("a/0", "b/0", "c/7")
     assert replica.proposer.on_promise(promise("a/0", replica.proposer.proposal.epoch), now_s) == []
-    assert replica.proposer.conclude(now_s + GATHER_S + 0.01) == [] and not replica.proposer.proposal.sent
+    assert replica.proposer.conclude(now_s + PROMISE_WAIT_S + 0.01) == [] and not replica.proposer.proposal.sent
     assert replica.proposer.on_promise(promise("b/0", replica.proposer.proposal.epoch), now_s + 0.5)
 
 
