--- a/lab/rule_files.py
+++ b/lab/rule_files.py
@@ -1,4 +1,4 @@
-"""The source files in which rules are held, by the names that the lists of rules use."""
+"""Paths of the source files that the mutation rules refer to."""
 
 CHAIN = "cypressbeam/consensus/chain.py"
 CODEC = "cypressbeam/protocol/frames/codec.py"
--- a/lab/rules.py
+++ b/lab/rules.py
@@ -1,7 +1,8 @@
-"""A rule of the design pages, the text that holds it, and how to leave it out. The lists are in the modules beside it:
-rules_fencing.py, rules_replacement.py, rules_orders.py and rules_core.py; lab/mutation.py takes them out one by one.
+"""Mutation rules: each pairs a rule of the design pages with the source that implements it and a mutant without it.
 
-A new rule of those pages gets an entry there, and a test of a few lines that fails without it.
+The rules are listed in rules_fencing.py, rules_replacement.py, rules_orders.py and rules_core.py. lab/mutation.py
+applies one mutation at a time and runs the tests of the rule. A new rule in the design pages needs an entry in one of
+these lists and a short test that fails without the rule.
 """
 
 from __future__ import annotations
@@ -13,10 +14,11 @@
 class Rule:
     name: str
     page: str
-    """The page that tells it, without its folder and ending."""
+    """The design page that states the rule, without folder and extension."""
     file: str
     text: str
-    """What holds it: there exactly once in the file."""
+    """The source that implements the rule. It occurs exactly once in the file."""
     instead: str
+    """What replaces `text` in the mutant."""
     tests: tuple[str, ...]
-    """Files of tests, or tests of them, of which some must fail without it."""
+    """Test files or node ids. At least one of these tests must fail on the mutant."""
--- a/lab/rules_replacement.py
+++ b/lab/rules_replacement.py
@@ -1,14 +1,11 @@
-"""What docs/design/members.md tells of members that are replaced by themselves, rule by rule."""
+"""Mutation rules for the automatic replacement of members, as described in docs/design/members.md."""
 
 from __future__ import annotations
 
-from lab.rule_files import (
-    CONSENSUS_REPLICA,
-    REPLACEMENT,
-)
+from lab.rule_files import CONSENSUS_REPLICA, REPLACEMENT
 from lab.rules import Rule
 
-REPLACEMENTS = (
+REPLACEMENT_TESTS = (
     "tests/test_replacement_rules.py",
     "tests/test_replacement.py::test_silence_counts_only_while_the_process_runs",
     "tests/test_replacement.py::test_a_machine_that_was_never_a_member_goes_before_a_former_one",
@@ -21,109 +18,109 @@
 )
 
 
-def replacement(name: str, text: str, instead: str, file: str = REPLACEMENT) -> Rule:
-    return Rule(name, "members", file, text, instead, REPLACEMENTS)
+def replacement_rule(name: str, text: str, instead: str, file: str = REPLACEMENT) -> Rule:
+    return Rule(name, "members", file, text, instead, REPLACEMENT_TESTS)
 
 
 REPLACEMENT_RULES = (
-    replacement(
+    replacement_rule(
         "every member counts the silence of the others",
         "        self.silence.update(others, self.replica.failure_detector.is_alive, now_s)\n",
         "        if self.membership.is_active_head(now_s):\n"
         "            self.silence.update(others, self.replica.failure_detector.is_alive, now_s)\n",
     ),
-    replacement(
+    replacement_rule(
         "a process that stood still begins to count anew",
         "        if paused:\n            self.since_s.clear()\n",
         "",
     ),
-    replacement(
+    replacement_rule(
         "so does one without a majority in reach",
         "if not was_running or not self.has_quorum(now_s):",
         "if not was_running:",
     ),
-    replacement(
+    replacement_rule(
         "only the head replaces",
         '        if not self.membership.is_active_head(now_s):\n            self.status = ""\n            return []\n',
         "",
     ),
-    replacement(
+    replacement_rule(
         "a replacement after 0 s is none",
         "self.silence.silent_for(self.replace_after_s, now_s) if self.replace_after_s else []",
         "self.silence.silent_for(self.replace_after_s, now_s)",
     ),
-    replacement(
+    replacement_rule(
         "spares that were never members go before former ones",
         "key=lambda ip: (peers[ip].disk_state == DiskState.VOTER, ip)",
         "key=lambda ip: ip",
     ),
-    replacement(
+    replacement_rule(
         "a replacement that was begun goes on though the member is back",
         "            return self.second_step(pending)\n",
         "            pass\n",
     ),
-    replacement(
+    replacement_rule(
         "a spare that has fallen silent meanwhile is taken out again",
         "if pending.new in silent and pending.old not in silent:",
         "if False:",
     ),
-    replacement(
+    replacement_rule(
         "but only where the member is back",
         "if pending.new in silent and pending.old not in silent:",
         "if pending.new in silent:",
     ),
-    replacement(
+    replacement_rule(
         "a group of an even number removes its silent member",
         "        if self.has_surplus_member(group):\n            return MembershipChange(REMOVE, silent[0]",
         "        if False:\n            return MembershipChange(REMOVE, silent[0]",
     ),
-    replacement(
+    replacement_rule(
         "unless it is no larger than the least",
         "return len(group) > min_members and len(group) % 2 == 0",
         "return len(group) % 2 == 0",
     ),
-    replacement(
+    replacement_rule(
         "a group of an odd number removes nobody without a spare in the place",
         "return len(group) > min_members and len(group) % 2 == 0",
         "return len(group) > min_members",
     ),
-    replacement(
+    replacement_rule(
         "a new spare is brought level at once",
         "new = self.replica.failure_detector.peers[ip].disk_state == DiskState.EMPTY",
         "new = False",
     ),
-    replacement(
+    replacement_rule(
         "a machine that leaves is no spare",
         "return self.disk_works(now_s) and (self.state.is_voter() or not self.is_draining)",
         "return self.disk_works(now_s)",
         CONSENSUS_REPLICA,
     ),
-    replacement(
+    replacement_rule(
         "but serves its group to the end",
         "return self.disk_works(now_s) and (self.state.is_voter() or not self.is_draining)",
         "return self.disk_works(now_s) and not self.is_draining",
         CONSENSUS_REPLICA,
     ),
-    replacement(
+    replacement_rule(
         "who leaves waits for nothing without a spare",
         "return MembershipChange(REPLACE, own, spares[0], group) if spares else None",
         'return MembershipChange(REPLACE, own, spares[0] if spares else "", group)',
     ),
-    replacement(
+    replacement_rule(
         "nor without a majority in reach", "        if not self.has_quorum(now_s):\n            return None\n", ""
     ),
-    replacement(
+    replacement_rule(
         "who has left waits until its successors hold their view",
         "        return any(\n"
         "            self.replica.failure_detector.is_alive(ip, now_s) and peers[ip].epoch < view.epoch",
         "        return any(False and peers[ip].epoch < view.epoch",
     ),
-    replacement(
+    replacement_rule(
         "for those that are heard",
         "return any(\n            self.replica.failure_detector.is_alive(ip, now_s) and peers[ip].epoch < view.epoch",
         "return any(ip in peers and peers[ip].epoch < view.epoch",
     ),
-    replacement(
+    replacement_rule(
         "a member has no successors",
         "        if view is None or self.replica.name in view.group:\n            return False\n",
         "",
