--- a/lab/rules_core.py
+++ b/lab/rules_core.py
@@ -26,20 +26,20 @@
     "tests/test_agreement.py::test_a_head_names_the_version_in_force_only_once_others_have_confirmed_its_epoch",
     "tests/test_agreement.py::test_what_others_confirmed_of_an_epoch_does_not_count_in_the_next",
     "tests/test_agreement.py::test_a_call_does_not_go_round_between_two_that_hold_each_other_for_the_head",
-    "tests/test_contact.py::test_one_that_was_frozen_for_20_s_leads_nothing_answers_nothing_and_resigns",
-    "tests/test_contact.py::test_after_a_short_stall_the_root_stays_it_and_answers_only_once_it_is_echoed",
-    "tests/test_contact.py::test_a_root_that_is_cut_off_is_it_for_no_longer_than_its_bound",
-    "tests/test_contact.py::test_a_newcomer_counts_once_it_has_echoed_and_not_by_what_its_address_echoed_before",
-    "tests/test_contact.py::test_nobody_proposes_while_too_few_are_there_that_can_promise",
-    "tests/test_contact.py::test_echoes_of_a_former_life_prove_nothing",
-    "tests/test_contact.py::test_a_stall_of_the_process_is_none_of_its_disk",
-    "tests/test_contact.py::test_what_seemed_wrong_before_a_stall_must_be_seen_again_after_it",
-    "tests/test_contact.py::test_a_majority_s_word_that_is_read_late_answers_nothing",
+    "tests/test_contact.py::test_a_replica_frozen_for_20_s_does_not_lead_or_answer_and_resigns",
+    "tests/test_contact.py::test_after_a_short_pause_the_root_keeps_its_role_and_answers_only_after_an_echo",
+    "tests/test_contact.py::test_a_partitioned_root_resigns_within_its_time_limit",
+    "tests/test_contact.py::test_a_new_identity_counts_by_its_own_echo_and_not_by_earlier_ones_of_its_address",
+    "tests/test_contact.py::test_nobody_proposes_without_a_majority_that_can_promise",
+    "tests/test_contact.py::test_echoes_for_an_earlier_process_are_ignored",
+    "tests/test_contact.py::test_a_pause_of_the_process_is_not_a_disk_stall",
+    "tests/test_contact.py::test_the_repair_delay_starts_again_after_a_pause",
+    "tests/test_contact.py::test_a_confirmation_that_is_read_late_answers_nothing",
 )
 DISK_TESTS = (
     "tests/test_disk_rules.py",
     "tests/test_store.py",
-    "tests/test_disk.py::test_two_starts_from_one_copy_are_told_apart",
+    "tests/test_disk.py::test_two_starts_from_one_copy_are_distinguished",
 )
 
 
--- a/lab/rules_fencing.py
+++ b/lab/rules_fencing.py
@@ -36,9 +36,9 @@
     "test_a_node_whose_parent_is_cut_off_from_the_root_tells_the_root_though_that_parent_fed_it_before",
 )
 MEMBERSHIP = (
-    "tests/test_members.py::test_a_change_that_cannot_be_is_refused_with_its_reason",
-    "tests/test_members.py::test_a_replacement_is_an_add_and_then_a_remove_and_its_order_may_be_sent_at_any_time",
-    "tests/test_members.py::test_a_view_is_changed_to_one_other_group_only_and_not_by_a_head_that_has_forgotten",
+    "tests/test_members.py::test_an_invalid_change_is_refused_with_its_reason",
+    "tests/test_members.py::test_a_replacement_is_an_add_then_a_remove_and_its_request_may_be_sent_at_any_time",
+    "tests/test_members.py::test_a_view_is_changed_to_one_other_group_only_and_not_by_a_restarted_head",
     "tests/test_member_rules.py",
 )
 
--- a/lab/rules_replacement.py
+++ b/lab/rules_replacement.py
@@ -8,13 +8,13 @@
 REPLACEMENT_TESTS = (
     "tests/test_replacement_rules.py",
     "tests/test_replacement.py::test_silence_counts_only_while_the_process_runs",
-    "tests/test_replacement.py::test_a_machine_that_was_never_a_member_goes_before_a_former_one",
-    "tests/test_replacement.py::test_every_member_counts_silences_so_that_a_new_head_goes_on",
-    "tests/test_replacement.py::test_a_replacement_that_was_begun_is_carried_to_its_end_or_taken_back",
-    "tests/test_replacement.py::test_an_even_group_lets_its_silent_member_go",
-    "tests/test_replacement.py::test_who_leaves_asks_for_a_spare_in_its_place_and_is_none_itself",
-    "tests/test_replacement.py::test_without_a_majority_in_reach_nobody_waits_for_a_replacement",
-    "tests/test_replacement.py::test_a_new_spare_is_level_before_it_is_needed",
+    "tests/test_replacement.py::test_a_spare_that_was_never_a_member_is_preferred_to_a_former_member",
+    "tests/test_replacement.py::test_every_member_tracks_silence_so_that_a_new_head_can_continue",
+    "tests/test_replacement.py::test_a_started_replacement_is_completed_or_reverted",
+    "tests/test_replacement.py::test_an_even_group_removes_its_silent_member",
+    "tests/test_replacement.py::test_a_draining_member_requests_its_replacement_and_is_no_spare_itself",
+    "tests/test_replacement.py::test_without_a_reachable_majority_no_replacement_is_requested",
+    "tests/test_replacement.py::test_a_new_spare_catches_up_before_it_is_needed",
 )
 
 
--- a/tests/core_parts.py
+++ b/tests/core_parts.py
@@ -1,4 +1,4 @@
-"""Parts of the core for tests of single rules: a member of a chain, three machines at rest, and what they are told."""
+"""Fixtures for tests of single consensus rules: a chain member, three idle machines, and messages to them."""
 
 from __future__ import annotations
 
@@ -20,22 +20,24 @@
 
 
 def member(ip: str, last: Entry | None = None, committed: int = 0, **changes: Any) -> ChainReplica:
-    made = ChainReplica(ip, VIEW, invariants.revision, invariants.digest, last, active=True, committed=committed)
+    """A member of an active chain, with some attributes changed."""
+    replica = ChainReplica(ip, VIEW, invariants.revision, invariants.digest, last, active=True, committed=committed)
     for name, value in changes.items():
-        setattr(made, name, value)
-    return made
+        setattr(replica, name, value)
+    return replica
 
 
 def forward(entry: Entry, epoch: int = 256) -> frames.ForwardEntry:
     return frames.ForwardEntry(epoch, entry.number, entry.revision, entry.base, entry.body, 7, CLIENT)
 
 
-def told(actions: list[Any], kind: type[frames.Frame] = frames.Frame) -> list[Any]:
-    return [one.frame for one in actions if isinstance(one, SendMessage) and isinstance(one.frame, kind)]
+def told(effects: list[Any], kind: type[frames.Frame] = frames.Frame) -> list[Any]:
+    """The frames of a kind that are sent by a list of effects."""
+    return [effect.frame for effect in effects if isinstance(effect, SendMessage) and isinstance(effect.frame, kind)]
 
 
-def quiet_world() -> World:
-    """Three machines at rest: a is the head, c the tail; one version is in force."""
+def idle_world() -> World:
+    """Three idle machines, a being the head and c the tail, with one committed version."""
     world = World(1, loss=0.0)
     world.run(1.0)
     world.callers.call("x", "replace")
@@ -45,24 +47,24 @@
         for replica in world.replicas.values()
     )
     for replica in world.replicas.values():
-        replica.rollback.reported.clear()  # what the tests make up tells less than what was told
+        replica.rollback.reported.clear()  # the heartbeats of the tests report less than the real ones did
     return world
 
 
-def pulse(name: str, echo: int = 0, **changes: Any) -> frames.ReplicaHeartbeat:
+def heartbeat(name: str, echoed: int = 0, **changes: Any) -> frames.ReplicaHeartbeat:
     return replace(
         frames.ReplicaHeartbeat(
-            name, 256, 256, 1, echoed_sequence=echo, durable_promise=256, stored_epoch=256, stored_number=1
+            name, 256, 256, 1, echoed_sequence=echoed, durable_promise=256, stored_epoch=256, stored_number=1
         ),
         **changes,
     )
 
 
-def echo(replica: Replica, now_s: float, *pulses: frames.ReplicaHeartbeat) -> list[Any]:
-    """A pulse of this machine that others answer, and what it wants done then."""
+def exchange_heartbeats(replica: Replica, now_s: float, *heartbeats: frames.ReplicaHeartbeat) -> list[Any]:
+    """The effects at a machine when others echo a heartbeat of it."""
     number = told(replica.heartbeat(now_s), frames.ReplicaHeartbeat)[0].sequence
     return [
-        action for frame in pulses for action in replica.on_heartbeat(replace(frame, echoed_sequence=number), now_s)
+        effect for frame in heartbeats for effect in replica.on_heartbeat(replace(frame, echoed_sequence=number), now_s)
     ]
 
 
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -26,7 +26,7 @@
 from lab.membership import Cluster
 
 
-def quiet_world(machines: int = 3) -> World:
+def idle_world(machines: int = 3) -> World:
     world = World(1, loss=0.0, machines=machines)
     world.run(1.0)
     return world
@@ -50,9 +50,9 @@
     return number
 
 
-def test_one_that_was_frozen_for_20_s_leads_nothing_answers_nothing_and_resigns() -> None:
+def test_a_replica_frozen_for_20_s_does_not_lead_or_answer_and_resigns() -> None:
     """It took the pulses that its sockets held for new ones."""
-    world = quiet_world()
+    world = idle_world()
     root, head = world.replicas["c"], world.replicas["a"]
     assert root.leadership.is_leader and root.leadership.leads(world.now_s) and head.leadership.leads(world.now_s)
     now_s = world.now_s + 20.0
@@ -71,9 +71,9 @@
     assert root.leadership.leads(now_s + 0.01) and SetLeadership(True) in root.tick(now_s + 0.02)
 
 
-def test_one_that_was_frozen_and_then_cut_off_speaks_no_more_when_it_goes_on() -> None:
+def test_a_replica_partitioned_while_frozen_does_not_lead_after_it_resumes() -> None:
     """What would ask it to promise never came, so nothing in its sockets told of the new view: it led for 0.9 s."""
-    world = quiet_world()
+    world = idle_world()
     replica = world.replicas["c"]
     world.begin(Step(world.now_s, "freeze", "c", 20.0))
     world.at(1.0, "begin", "", Step(world.now_s + 1.0, "tail", "", 30.0))
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.usefixtures("quiet")
-def test_a_join_or_a_list_that_waited_in_a_socket_is_not_taken_by_a_root_that_is_none_any_more() -> None:
+def test_a_former_root_ignores_a_join_or_an_endpoint_list_that_waited_in_a_socket() -> None:
     """Sockets are read before timers run: it placed the node under itself, and told it the old list."""
     for late in (False, True):
         cluster = Cluster(1, 3)
@@ -119,8 +119,8 @@
     )
 
 
-def test_after_a_short_stall_the_root_stays_it_and_answers_only_once_it_is_echoed() -> None:
-    world = quiet_world()
+def test_after_a_short_pause_the_root_keeps_its_role_and_answers_only_after_an_echo() -> None:
+    world = idle_world()
     replica, now_s = world.replicas["c"], world.now_s + FAILURE_TIMEOUT_S + 0.2
     assert not replica.leadership.holds_lease(now_s)  # what is in its sockets is read before its timer runs
     actions = replica.tick(now_s)
@@ -134,8 +134,8 @@
     assert replica.leadership.leads(now_s) and replica.read(frames.ReadRequest(7, CLIENT), now_s)
 
 
-def test_a_root_that_is_cut_off_is_it_for_no_longer_than_its_bound() -> None:
-    world = quiet_world()
+def test_a_partitioned_root_resigns_within_its_time_limit() -> None:
+    world = idle_world()
     cut_s = world.now_s
     world.begin(Step(cut_s, "tail", "", 5.0))
     world.run(cut_s + FAILURE_TIMEOUT_S - HEARTBEAT_INTERVAL_S - 2 * simulated_core.TICK_S)
@@ -148,8 +148,8 @@
     )
 
 
-def test_a_link_that_carries_one_way_alone_shows_as_unheard_at_both_its_ends() -> None:
-    world = quiet_world()
+def test_a_one_way_link_makes_both_ends_unreachable_to_each_other() -> None:
+    world = idle_world()
     world.begin(Step(world.now_s, "one-way", "c", 9.0))
     world.run(world.now_s + 1.5)
     assert not world.replicas["a"].failure_detector.is_alive("c", world.now_s)
@@ -157,16 +157,16 @@
     assert world.replicas["a"].failure_detector.is_alive("b", world.now_s)
 
 
-def test_stalls_that_were_no_alarm_by_silence_are_none_by_echoes() -> None:
+def test_a_pause_of_0_6_s_triggers_no_repair() -> None:
     """By silence one could stand still for 0.7 s, less the time between two ticks."""
-    world = quiet_world()
+    world = idle_world()
     world.begin(Step(world.now_s, "freeze", "b", 0.6))
     world.run(world.now_s + 3.0)
     assert [replica.voter.promised for replica in world.replicas.values()] == [256] * 3
 
 
-def test_a_newcomer_counts_once_it_has_echoed_and_not_by_what_its_address_echoed_before() -> None:
-    world = quiet_world()
+def test_a_new_identity_counts_by_its_own_echo_and_not_by_earlier_ones_of_its_address() -> None:
+    world = idle_world()
     replica, now_s = world.replicas["a"], world.now_s
     told = replica.on_heartbeat(frames.ReplicaHeartbeat("c/7", 0, 0, 1, 0, sequence=3), now_s)
     assert replica.failure_detector.new_identities(now_s) == {} and not replica.failure_detector.is_available(
@@ -181,7 +181,7 @@
     assert replica.failure_detector.new_identities(now_s) == {"c/0": "c/7"}
 
 
-def test_a_machine_without_a_view_answers_pulses_so_that_it_is_taken_in_before_it_finds_the_root() -> None:
+def test_a_machine_without_a_view_answers_heartbeats() -> None:
     """One that had lost its disk, while it held the root, told of itself only once it had found another root."""
     replica = Replica("c/7", 2, invariants.revision, invariants.digest, lambda: 0.5)
     assert replica.load(None, 0, None, {}, 0.0) == []
@@ -190,7 +190,7 @@
     assert (told.frame.echoed_sequence, told.frame.epoch, told.frame.disk_state, told.frame.disk_flags) == (5, 0, 0, 1)
 
 
-def test_nobody_proposes_while_too_few_are_there_that_can_promise() -> None:
+def test_nobody_proposes_without_a_majority_that_can_promise() -> None:
     """At the founding the others may be slow to put the view on disk: they answer, and can promise nothing yet."""
     view = View(256, ("a/0", "b/0", "c/0"), ("a/0", "b/0", "c/0"))
     for empty in (True, False):
@@ -207,7 +207,7 @@
         assert proposes(told) is not empty
 
 
-def test_echoes_of_a_former_life_prove_nothing() -> None:
+def test_echoes_for_an_earlier_process_are_ignored() -> None:
     lives = [
         Replica("a/0", 2, invariants.revision, invariants.digest, lambda share=share: share)  # type: ignore[misc]
         for share in (0.25, 0.75)
@@ -219,8 +219,8 @@
     assert [life.failure_detector.is_alive("b", 1.1) for life in lives] == [True, False]
 
 
-def test_a_stall_of_the_process_is_none_of_its_disk() -> None:
-    world = quiet_world()
+def test_a_pause_of_the_process_is_not_a_disk_stall() -> None:
+    world = idle_world()
     replica, now_s = world.replicas["a"], world.now_s
     (write,) = replica.on_prepare(frames.Prepare(1024, "b/0"), now_s)
     assert isinstance(write, PersistPromise)
@@ -231,9 +231,9 @@
     assert not replica.disk_works(now_s + 20.0 + STALL_TIMEOUT_S + 0.2)
 
 
-def test_what_seemed_wrong_before_a_stall_must_be_seen_again_after_it() -> None:
+def test_the_repair_delay_starts_again_after_a_pause() -> None:
     """A member had just fallen silent; after 20 s nobody has watched it for so long, and it answers a moment later."""
-    world = quiet_world()
+    world = idle_world()
     replica, now_s = world.replicas["a"], world.now_s
     echo(replica, ("b/0",), now_s + FAILURE_TIMEOUT_S)
     assert replica.proposer.needs_repair_since_s is not None
@@ -254,8 +254,8 @@
     return any(isinstance(one, SendMessage) and isinstance(one.frame, frames.Prepare) for one in actions)
 
 
-def test_a_majority_s_word_that_is_read_late_answers_nothing() -> None:
-    world = quiet_world()
+def test_a_confirmation_that_is_read_late_answers_nothing() -> None:
+    world = idle_world()
     replica, now_s = world.replicas["c"], world.now_s
     assert replica.read(frames.ReadRequest(7, CLIENT), now_s)
     late = frames.QuorumReadAck(256, 7, "a/0")
@@ -264,7 +264,7 @@
     assert isinstance(told, SendMessage) and told.ip == CLIENT
 
 
-def test_a_node_below_keeps_to_the_highest_epoch_and_to_one_root_in_it() -> None:
+def test_a_downstream_node_follows_the_highest_epoch_and_one_root_in_it() -> None:
     node = DownstreamNode()
     assert node.take(Announcement(512, "b", 20)) is None and node.take(Announcement(256, "c", 10)) is None
     assert (node.epoch, node.revision) == (512, 20)
@@ -272,7 +272,7 @@
     assert "two roots" in (DownstreamNode(512, 20, {512: "b"}).take(Announcement(512, "c", 30)) or "")
 
 
-def test_what_frames_prove_of_contact_is_as_old_as_what_their_sender_had_read() -> None:
+def test_contact_proven_by_frames_dates_from_what_their_sender_had_read() -> None:
     clocks = VectorClocks(("a", "b", "c"))
     sent = clocks.on_send("a", 1.0)
     clocks.on_read("b", "a", sent)
@@ -281,8 +281,8 @@
     assert clocks.contact_s("b", ("a", "b", "c"), 21.0) == NEVER_S
 
 
-def test_five_machines_work_on_without_two() -> None:
-    world = quiet_world(5)
+def test_five_machines_keep_working_without_two_of_them() -> None:
+    world = idle_world(5)
     for ip in ("c", "e"):
         world.begin(Step(world.now_s, "kill", ip, 9.0))
     world.run(world.now_s + 3.0)
@@ -292,9 +292,9 @@
     }
 
 
-def test_a_second_disk_is_lost_only_once_the_first_one_counts_again() -> None:
+def test_a_second_disk_may_be_lost_only_after_the_first_machine_has_recovered() -> None:
     """Seed 9093 lost a second one while the first was kept from its return by cuts: nobody can promise to that."""
-    world = quiet_world()
+    world = idle_world()
     world.stop("a", wipe=True)
     assert not world.may_lose_disk("c") and world.may_lose_disk("a")
     world.start("a")
@@ -303,13 +303,13 @@
     assert runner.fails(9093, make_plan(9093)) is None
 
 
-def test_thousands_of_changes_one_after_another() -> None:
+def test_thousands_of_consecutive_changes_are_committed() -> None:
     assert shape_of(50).hurry_s
     assert len(runner.play(50, make_plan(50)).observer.committed) >= 2000
 
 
 @pytest.mark.parametrize("name", ["count-old-pulses", "stay-the-root", "lead-alone", "believe-any-epoch"])
-def test_a_rule_of_contact_that_is_left_out_shows_in_some_history(name: str) -> None:
+def test_a_missing_contact_rule_is_detected_in_some_history(name: str) -> None:
     with faults.fault(name) as options:
         found = runner.search(range(60), **options)
     assert found is not None and runner.fails(found[0], make_plan(found[0])) is None
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize("others_too", [False, True])
 @pytest.mark.parametrize("ip", IPS)
 @pytest.mark.parametrize("behind", [1, 2, 7])
-def test_an_older_copy_is_found_and_nothing_old_is_told(ip: str, behind: int, others_too: bool) -> None:
+def test_an_older_copy_of_a_disk_is_detected_and_no_old_version_is_read(ip: str, behind: int, others_too: bool) -> None:
     """By itself, or as all power comes back. The head, the middle and the tail; also with no view made meanwhile."""
     world = settled(3, 3)
     older = copy(world.disks[ip])
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("ip", IPS)
-def test_an_old_disk_that_comes_back_as_it_was_keeps_its_name(ip: str) -> None:
+def test_a_disk_that_was_not_rolled_back_keeps_its_name(ip: str) -> None:
     """Kills, a loss of all power, and frames that were on their way all the while accuse nobody."""
     world = settled(5, 2)
     for round_s in (0.05, 0.4, 2.0):
@@ -83,7 +83,7 @@
     assert [disk.name for disk in world.disks.values()] == [f"{ip}/0" for ip in IPS]
 
 
-def test_two_starts_from_one_copy_are_told_apart() -> None:
+def test_two_starts_from_one_copy_are_distinguished() -> None:
     first, again = HighWaterMarks(3, 17, 512, 512, 4), HighWaterMarks(3, 18, 512, 512, 4)
     assert first.is_behind(again) and again.is_behind(first) and not first.is_behind(first)
     for lower in (
@@ -99,7 +99,7 @@
         unpack_marks("a 1 2")
 
 
-def test_a_machine_of_an_older_copy_promises_nothing_and_waits_for_a_majority_that_has_more() -> None:
+def test_a_rolled_back_machine_does_not_promise_and_waits_for_a_majority_with_newer_state() -> None:
     """While only one other is there its old disk may be all that is left to go on with."""
     world = settled(4, 2)
     older = copy(world.disks["c"])
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize("how", ["its disk", "an empty one", "an older copy"])
-def test_a_member_that_was_away_for_hundreds_of_changes_is_level_at_once(how: str) -> None:
+def test_a_member_that_missed_hundreds_of_changes_catches_up_at_once(how: str) -> None:
     """By the newest entry and the digests that it lacks of those that are kept. A torn disk is an empty one."""
     weights = []
     for changes in (5, 200, 2000):
@@ -169,7 +169,7 @@
     )
 
 
-def test_rules_that_trust_every_disk_show_in_some_history() -> None:
+def test_trusting_every_disk_is_detected_in_some_history() -> None:
     with faults.fault("keep-an-older-copy") as options:
         found = runner.search(range(108, 116), **options)
     assert found is not None
--- a/tests/test_disk_rules.py
+++ b/tests/test_disk_rules.py
@@ -20,10 +20,10 @@
 from cypressbeam.storage.store import FILE_NAME, SqliteStore, StoreError
 from lab.histories import invariants
 from lab.histories.network import CLIENT
-from tests.core_parts import GROUP, VIEW, accept, echo, promise, pulse, quiet_world, told
+from tests.core_parts import GROUP, VIEW, accept, exchange_heartbeats, heartbeat, idle_world, promise, told
 
 #: What b has told; each of the others lacks something of that.
-TOLD = pulse("b/0", incarnation=3, draw=9)
+TOLD = heartbeat("b/0", incarnation=3, draw=9)
 LESS: dict[str, dict[str, Any]] = {
     "a start": {"incarnation": 2},
     "another start from the same copy": {"draw": 8},
@@ -34,12 +34,12 @@
 
 
 @pytest.mark.parametrize("what", LESS)
-def test_who_tells_less_than_it_told_is_not_heard_and_learns_what_it_told(what: str) -> None:
-    world = quiet_world()
+def test_a_member_that_reports_less_than_before_is_rejected_and_notified(what: str) -> None:
+    world = idle_world()
     replica, now_s = world.replicas["a"], world.now_s
-    echo(replica, now_s, TOLD)
+    exchange_heartbeats(replica, now_s, TOLD)
     heard = replica.failure_detector.peers["b"]
-    actions = echo(replica, now_s + 0.2, replace(TOLD, sequence=5, **LESS[what]))
+    actions = exchange_heartbeats(replica, now_s + 0.2, replace(TOLD, sequence=5, **LESS[what]))
     assert (
         replica.failure_detector.peers["b"] is heard and heard.alive_s == now_s and replica.rollback.rejected == {"b/0"}
     )
@@ -52,8 +52,8 @@
     assert not replica.proposer.proposal.promises
 
 
-def test_the_word_of_a_member_that_is_refused_confirms_nothing() -> None:
-    world = quiet_world()
+def test_a_rejected_member_confirms_nothing() -> None:
+    world = idle_world()
     replica = world.replicas["c"]
     assert replica.read(frames.ReadRequest(7, CLIENT), world.now_s)
     replica.rollback.rejected.add("b/0")
@@ -66,16 +66,16 @@
     return frames.RollbackNotice(name, 0, 0, 0, 256, number)
 
 
-def test_a_machine_judges_itself_by_its_own_disk() -> None:
+def test_a_machine_compares_a_rollback_notice_with_its_own_disk() -> None:
     for name, number, lost in (("a/0", 1, False), ("b/0", 9, False), ("a/0", 9, True)):
-        world = quiet_world()
+        world = idle_world()
         replica = world.replicas["a"]
         replica.on_rollback_notice(stale(name, number), world.now_s)
         assert bool(replica.rollback.reason) is lost and replica.state.is_active() is not lost
 
 
-def test_a_machine_whose_disk_is_older_promises_takes_up_and_confirms_nothing() -> None:
-    world = quiet_world()
+def test_a_rolled_back_machine_promises_accepts_and_confirms_nothing() -> None:
+    world = idle_world()
     replica, now_s = world.replicas["b"], world.now_s
     replica.rollback.mark_rolled_back("this disk is an older copy")
     assert replica.state.chain is not None and replica.state.chain.sealed and not replica.disk_works(now_s)
@@ -95,45 +95,47 @@
         ("c/0", 2, 512, False),
     ],
 )
-def test_within_an_epoch_the_numbers_of_the_chain_show_a_loss(name: str, entry: int, held: int, lost: bool) -> None:
+def test_entry_numbers_of_the_chain_reveal_a_rollback_within_an_epoch(
+    name: str, entry: int, held: int, lost: bool
+) -> None:
     """Here b has entry 1: one before it in the chain may have one more, one behind it none."""
-    world = quiet_world()
+    world = idle_world()
     replica = world.replicas["b"]
-    replica.on_heartbeat(pulse(name, stored_number=entry, stored_epoch=held), world.now_s)
+    replica.on_heartbeat(heartbeat(name, stored_number=entry, stored_epoch=held), world.now_s)
     assert bool(replica.rollback.reason) is lost
 
 
 @pytest.mark.parametrize(("newer", "heard", "anew"), [("bc", "bc", True), ("b", "bc", False), ("bc", "b", False)])
-def test_it_starts_anew_only_once_a_majority_that_is_there_has_something_newer(
+def test_a_rolled_back_machine_resets_its_identity_once_a_live_majority_has_newer_state(
     newer: str, heard: str, anew: bool
 ) -> None:
-    world = quiet_world()
+    world = idle_world()
     replica, now_s = world.replicas["a"], world.now_s + 5.0
     replica.rollback.mark_rolled_back("this disk is an older copy")
-    others = [pulse(f"{ip}/0", stored_number=2 if ip in newer else 1, epoch=256) for ip in "bc"]
+    others = [heartbeat(f"{ip}/0", stored_number=2 if ip in newer else 1, epoch=256) for ip in "bc"]
     for frame in others:
         replica.on_heartbeat(frame, now_s)
-    echo(replica, now_s, *(frame for frame in others if frame.name[0] in heard))
+    exchange_heartbeats(replica, now_s, *(frame for frame in others if frame.name[0] in heard))
     assert (ResetIdentity(replica.rollback.reason) in replica.tick(now_s)) is anew
 
 
-def test_as_a_view_ends_what_was_committed_in_it_is_known_of_its_chain() -> None:
-    world = quiet_world()
+def test_the_end_of_a_view_records_its_committed_entry_for_the_chain() -> None:
+    world = idle_world()
     replica = world.replicas["a"]
     replica.rollback.reported = {"b/0": HighWaterMarks(3, 9, 256, 256, 0)}
     replica.install_view(replace(VIEW, epoch=512))
     assert replica.rollback.reported == {"b/0": HighWaterMarks(3, 9, 256, 256, 1)}
 
 
-def test_only_what_is_on_disk_is_told() -> None:
+def test_only_persisted_state_is_reported() -> None:
     replica = Replica("a/0", 2, invariants.revision, invariants.digest, lambda: 0.5)
     replica.remember(HighWaterMarks(1, 5), HighWaterMarks(2, 6), {})
     replica.load(VIEW, 256, None, {}, 0.0)
     assert replica.on_prepare(frames.Prepare(1024, "b/0"), 0.0)
-    pulses = [replica.own_heartbeat(0.0)]
+    heartbeats = [replica.own_heartbeat(0.0)]
     replica.promise_persisted(1024, "b", 0.1)
-    pulses.append(replica.own_heartbeat(0.1))
-    assert [(one.promised, one.durable_promise, one.incarnation, one.draw) for one in pulses] == [
+    heartbeats.append(replica.own_heartbeat(0.1))
+    assert [(one.promised, one.durable_promise, one.incarnation, one.draw) for one in heartbeats] == [
         (1024, 256, 1, 5),
         (1024, 1024, 2, 6),
     ]
@@ -185,7 +187,7 @@
     assert rows(tmp_path, "select number from entry") == [(6,)] and rows(tmp_path, "select epoch from view") == [(512,)]
 
 
-def test_a_promise_on_disk_never_goes_down_and_a_view_takes_its_own_with_it(tmp_path: Path) -> None:
+def test_a_persisted_promise_never_decreases_and_a_view_persists_its_own_epoch(tmp_path: Path) -> None:
     async def promise_and_view(store: SqliteStore) -> None:
         await store.save_promise(1024)
         await store.save_promise(768)
@@ -204,7 +206,7 @@
     assert with_store(tmp_path, synced) == 2  # full
 
 
-def test_a_refused_write_closes_the_database_and_the_next_one_opens_it(tmp_path: Path) -> None:
+def test_a_failed_write_closes_the_database_and_the_next_one_reopens_it(tmp_path: Path) -> None:
     def refuse(database: Any) -> None:
         raise sqlite3.OperationalError("disk I/O error")
 
@@ -226,7 +228,7 @@
         "update taken set digest = zeroblob(32) where revision = 60",
     ],
 )
-def test_an_entry_that_is_not_what_was_taken_is_no_state(tmp_path: Path, spoil: str) -> None:
+def test_an_entry_that_does_not_match_its_digest_is_not_loaded(tmp_path: Path, spoil: str) -> None:
     with_store(tmp_path, fill)
     assert with_store(tmp_path, lambda store: store.found.entry) == entry(6)
     rows(tmp_path, spoil)
@@ -259,7 +261,7 @@
     assert asyncio.run(scenario()).entry is None and (tmp_path / f"{FILE_NAME}.aside-1").exists()
 
 
-def test_what_is_set_aside_goes_before_its_log_and_under_a_name_that_is_free(
+def test_a_database_is_set_aside_before_its_log_and_under_a_free_name(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     moved: list[str] = []
@@ -282,7 +284,7 @@
         assert (tmp_path / f"{FILE_NAME}.aside-{number}").exists()
 
 
-def test_a_log_without_its_database_is_not_the_log_of_a_new_one(tmp_path: Path) -> None:
+def test_a_log_without_its_database_is_not_used_for_a_new_one(tmp_path: Path) -> None:
     with_store(tmp_path, fill)
     (tmp_path / FILE_NAME).unlink()
     (tmp_path / f"{FILE_NAME}-wal").write_bytes(b"of the one that was")
--- a/tests/test_member_rules.py
+++ b/tests/test_member_rules.py
@@ -12,7 +12,7 @@
 from cypressbeam.consensus.views import Entry
 from cypressbeam.protocol import frames
 from lab.histories import invariants
-from tests.core_parts import GROUP, ONE, VIEW, echo, pulse, quiet_world, told
+from tests.core_parts import GROUP, ONE, VIEW, exchange_heartbeats, heartbeat, idle_world, told
 
 NEW = "d/7"
 
@@ -29,8 +29,8 @@
     return replica
 
 
-def test_only_the_head_of_an_active_view_that_leads_steps() -> None:
-    world = quiet_world()
+def test_only_a_leading_head_of_an_active_view_carries_out_changes() -> None:
+    world = idle_world()
     assert [MembershipManager(world.replicas[ip], 1).is_active_head(world.now_s) for ip in "abc"] == [
         True,
         False,
@@ -39,8 +39,8 @@
     assert not MembershipManager(world.replicas["a"], 1).is_active_head(world.now_s + 5.0)
 
 
-def test_the_chain_of_a_view_that_adds_a_machine_holds_that_machine() -> None:
-    replica = quiet_world().replicas["a"]
+def test_the_chain_of_a_view_that_adds_a_machine_includes_it() -> None:
+    replica = idle_world().replicas["a"]
     grown = (*GROUP, NEW)
     assert replica.proposer.includes_new_address(grown, [*GROUP, NEW]) and replica.proposer.includes_new_address(
         GROUP, ["a/0", "b/0"]
@@ -49,18 +49,18 @@
 
 
 @pytest.mark.parametrize("wrong", [{"name": "d/8"}, {"group": (*GROUP, NEW)}, {"epoch": 255}])
-def test_a_stand_by_answers_what_is_for_it_of_a_view_that_does_not_count_it_yet(wrong: dict[str, object]) -> None:
+def test_a_spare_acknowledges_only_its_own_catch_up_for_a_current_view_without_it(wrong: dict[str, object]) -> None:
     members = MembershipManager(standing_by(), 1)
     (answer,) = told(members.on_catch_up(level(), 0.0))
     assert answer == frames.CatchUpAck(NEW, 256, 1, invariants.digest(ONE.body))
     assert members.on_catch_up(level(**wrong), 0.0) == []
 
 
-def test_one_is_level_by_the_body_s_digest_and_at_most_one_entry_behind() -> None:
-    world = quiet_world()
+def test_a_spare_is_caught_up_by_digest_and_at_most_one_entry_behind() -> None:
+    world = idle_world()
     replica = world.replicas["a"]
     members = MembershipManager(replica, 1)
-    echo(replica, world.now_s, pulse(NEW, epoch=0, stored_epoch=0, stored_number=0, disk_state=0))
+    exchange_heartbeats(replica, world.now_s, heartbeat(NEW, epoch=0, stored_epoch=0, stored_number=0, disk_state=0))
     assert members.spares(world.now_s) == {"d": NEW} and replica.state.chain is not None
     replica.state.chain.last = Entry(3, 256, 30, 20, b"30:x")
     mark = invariants.digest(b"30:x")
@@ -70,13 +70,15 @@
         assert members.state(world.now_s).caught_up == (frozenset({NEW}) if holds else frozenset()), number
 
 
-def test_no_step_is_made_while_a_proposal_is_under_way_or_a_lost_disk_waits() -> None:
+def test_no_group_is_proposed_during_a_proposal_or_while_a_lost_disk_waits() -> None:
     for wait in ("proposal", "lost disk", ""):
-        world = quiet_world()
+        world = idle_world()
         replica = world.replicas["a"]
         members = MembershipManager(replica, 1)
         if wait == "proposal":
             replica.proposer.propose(world.now_s)
         elif wait == "lost disk":
-            echo(replica, world.now_s, pulse("c/7", epoch=0, stored_epoch=0, stored_number=0, disk_state=0))
+            exchange_heartbeats(
+                replica, world.now_s, heartbeat("c/7", epoch=0, stored_epoch=0, stored_number=0, disk_state=0)
+            )
         assert bool(members.propose_group((*GROUP, NEW), world.now_s)) is (wait == "")
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -57,14 +57,14 @@
         (MembershipChange(9, "a", "b", frozenset("abc")), MembershipState(ABC, 1, {}), 409, "add, remove or replace"),
     ],
 )
-def test_a_change_that_cannot_be_is_refused_with_its_reason(
+def test_an_invalid_change_is_refused_with_its_reason(
     asked: MembershipChange, known: MembershipState, status: int, told: str
 ) -> None:
     verdict = next_step(asked, known)
     assert verdict.status == status and told in verdict.text and not verdict.group and not verdict.catch_up
 
 
-def test_a_replacement_is_an_add_and_then_a_remove_and_its_order_may_be_sent_at_any_time() -> None:
+def test_a_replacement_is_an_add_then_a_remove_and_its_request_may_be_sent_at_any_time() -> None:
     asked = change(REPLACE, "a", "d")
     assert next_step(asked, MembershipState(ABC, 1, {"d": "d/7"})).catch_up == "d"
     added = next_step(asked, MembershipState(ABC, 1, {"d": "d/7"}, frozenset({"d/7"})))
@@ -117,7 +117,7 @@
     return "".join(sorted(world.group()))
 
 
-def test_a_newcomer_holds_the_newest_before_it_is_named_and_the_one_let_go_has_no_part() -> None:
+def test_a_spare_has_the_newest_entry_before_it_is_added_and_a_removed_member_takes_no_part() -> None:
     world = world_at_rest()
     body = world.disks["a"].last
     named: list[Any] = []
@@ -155,7 +155,7 @@
     return proposal.new_group
 
 
-def test_a_view_is_changed_to_one_other_group_only_and_not_by_a_head_that_has_forgotten() -> None:
+def test_a_view_is_changed_to_one_other_group_only_and_not_by_a_restarted_head() -> None:
     """Two changes on top of one view may lead to groups whose majorities do not meet."""
     world = world_at_rest()
     head = newest(world).head
@@ -175,7 +175,7 @@
     assert wanted_by(world, head, (*replica.state.view.group, "e/0")) == (*replica.state.view.group, "e/0")
 
 
-def test_one_that_came_back_empty_after_promises_were_asked_for_waits_for_the_next_view() -> None:
+def test_a_member_that_returns_empty_after_prepare_waits_for_the_next_view() -> None:
     """Promises given before do not show what its old identity had a part in: a view of a higher epoch, with an entry
     that was acknowledged, could stay unknown to the two that decide next."""
     world = world_at_rest()
@@ -213,7 +213,7 @@
     assert accepts and all(frame.group == replica.state.view.group for frame in accepts)
 
 
-def test_a_proposal_ends_when_its_machine_hears_of_another_group() -> None:
+def test_a_proposal_is_cancelled_by_a_view_with_another_group() -> None:
     """It went on with the group of the view before, and put back a member that had been let go (seed 1224)."""
     world = world_at_rest()
     replica = world.replicas["b"]
@@ -228,7 +228,7 @@
     assert replica.proposer.conclude(world.now_s + 0.5) == []
 
 
-def test_a_head_that_stood_still_counts_no_silence_from_before() -> None:
+def test_a_head_that_was_paused_counts_no_silence_from_before() -> None:
     world = world_at_rest(replace_after_s=PATIENT_S)
     head = newest(world).head
     victim = next(ip for ip in "abc" if ip != head)
@@ -243,7 +243,7 @@
     assert not here.silence.since_s and here.next_change(world.now_s + 30.0) is None
 
 
-def test_only_a_member_that_is_silent_for_long_is_replaced_by_itself() -> None:
+def test_only_a_member_that_stays_silent_is_replaced_automatically() -> None:
     world = world_at_rest(replace_after_s=PATIENT_S)
     world.run(world.now_s + 2.0)
     victim = ip_of(newest(world).chain[-1])
@@ -264,7 +264,7 @@
     ordered(world)
 
 
-def test_without_a_majority_there_are_no_changes_no_orders_and_no_reads() -> None:
+def test_without_a_majority_there_are_no_changes_no_writes_and_no_reads() -> None:
     world = world_at_rest()
     for ip in ("b", "c"):
         world.stop(ip)
@@ -279,14 +279,14 @@
     assert not any(replica.leadership.is_leader for replica in world.replicas.values())
 
 
-def test_histories_in_which_members_come_and_go_keep_every_invariant() -> None:
+def test_histories_with_membership_changes_keep_every_invariant() -> None:
     for seed in [*range(30, 50), 1224]:
         told = membership_churn.fails(seed, membership_churn.make_plan(seed))
         assert told is None, f"seed {seed}: {told}"
 
 
 @pytest.mark.parametrize("name", ["two-at-once", "count-before-level", "step-from-any-view"])
-def test_a_rule_of_changes_that_is_left_out_shows_in_some_history(name: str) -> None:
+def test_a_missing_membership_rule_is_detected_in_some_history(name: str) -> None:
     """The others take some hundred histories: `lab turnover --fault all`."""
     found = membership_churn.search(range(60), name)
     assert found is not None
@@ -316,7 +316,7 @@
     assert all(node.tree.configuration.body == cluster.configuration(taken + 1) for node in cluster.edges)
 
 
-def test_a_machine_is_replaced_at_another_address_and_then_a_second_loss_is_borne() -> None:
+def test_a_second_loss_is_tolerated_after_a_replacement_at_another_address() -> None:
     cluster = repair.Core(6, 2, routes=200)
     try:
         cluster.run(lose_two(cluster))
@@ -354,7 +354,7 @@
     raise AssertionError({node.settings.node: node.tree.configuration.revision for node in cluster.edges})
 
 
-def test_nodes_that_outlived_the_core_take_up_what_a_new_core_brings() -> None:
+def test_surviving_nodes_accept_the_configuration_of_a_new_core() -> None:
     cluster = repair.Core(6, 3, routes=200)
     try:
         cluster.run(lose_the_core(cluster))
@@ -368,7 +368,7 @@
 
 
 @pytest.mark.parametrize("kind", repair.KINDS)
-def test_the_core_stands_again_well_before_the_next_loss_may_come(kind: str) -> None:
+def test_the_core_recovers_well_before_the_next_loss_may_occur(kind: str) -> None:
     wait_s = repair.GONE_S if "itself" in kind else 0.0
     assert repair.measure(kind, 3, repair.THIN_MBPS, 1) - wait_s < 0.75 * SYNC_S
 
@@ -398,13 +398,13 @@
         frames.BootstrapRequest(256, ("a/0", "b")),
     ],
 )
-def test_frames_that_cannot_be_are_refused(frame: frames.Frame) -> None:
+def test_invalid_frames_are_rejected(frame: frames.Frame) -> None:
     packed = frame.pack()
     with pytest.raises(frames.FrameError, match=type(frame).__name__):
         frames.unpack(packed[4], packed[frames.HEADER.size :])
 
 
-def test_an_operator_replaces_a_machine_of_a_system_that_runs() -> None:
+def test_an_operator_replaces_a_machine_of_a_running_system() -> None:
     async def scenario() -> None:
         async with rig(edges=1) as made:
             where = made.edges[0].control
--- a/tests/test_replacement.py
+++ b/tests/test_replacement.py
@@ -43,7 +43,7 @@
     assert not clock.tick(20.0) and clock.silent_for(0.0, 20.0) == []
 
 
-def test_a_silent_member_is_replaced_by_a_spare_and_comes_back_as_one() -> None:
+def test_a_silent_member_is_replaced_by_a_spare_and_returns_as_a_spare() -> None:
     world = world_at_rest()
     victim = next(ip for ip in "abc" if ip != head_of(world))
     world.stop(victim)
@@ -59,7 +59,7 @@
     ordered(world)
 
 
-def test_a_machine_that_was_never_a_member_goes_before_a_former_one() -> None:
+def test_a_spare_that_was_never_a_member_is_preferred_to_a_former_member() -> None:
     world = world_at_rest()
     world.stop("a")
     world.run(world.now_s + 4.0)
@@ -69,7 +69,7 @@
     assert here.spares(world.now_s) == ["e", "a"]
 
 
-def test_every_member_counts_silences_so_that_a_new_head_goes_on() -> None:
+def test_every_member_tracks_silence_so_that_a_new_head_can_continue() -> None:
     world = world_at_rest(replace_after_s=60.0)
     first = head_of(world)
     victim = next(ip for ip in "abc" if ip != first)
@@ -81,7 +81,7 @@
     assert here.next_change(world.now_s) == MembershipChange(REPLACE, victim, "d", frozenset("abc"))
 
 
-def test_a_replacement_that_was_begun_is_carried_to_its_end_or_taken_back() -> None:
+def test_a_started_replacement_is_completed_or_reverted() -> None:
     world = world_at_rest()
     here = world.replacements[head_of(world)]
     begun = here.pending_change = MembershipChange(REPLACE, "b", "d", frozenset("abc"))
@@ -92,7 +92,7 @@
     assert here.second_step(begun) == begun
 
 
-def test_a_spare_that_is_added_after_the_member_is_back_does_not_leave_an_even_group() -> None:
+def test_a_spare_added_after_the_member_returned_does_not_leave_an_even_group() -> None:
     """The view that adds it was proposed before; nobody is silent any more when it becomes active."""
     world = world_at_rest()
     for _ in range(2):  # the first view is one of the same group: what was done on the old one the head has forgotten
@@ -105,7 +105,7 @@
     assert group_of(world) == "acd"
 
 
-def test_a_change_that_was_due_long_ago_is_forgotten() -> None:
+def test_a_change_that_was_due_long_ago_is_discarded() -> None:
     """An operator who adds the same machine later means to."""
     world = world_at_rest()
     for ip in "abc":
@@ -115,7 +115,7 @@
     assert asks(world, ADD, "", "d", "abc") == 200 and group_of(world) == "abcd"
 
 
-def test_an_order_goes_before_what_was_begun_by_itself() -> None:
+def test_an_operator_request_takes_precedence_over_an_automatic_change() -> None:
     """A member that leaves asked for the machine that a false alarm had just removed: added and removed in turns."""
     world = world_at_rest()
     for ip in "abc":
@@ -124,7 +124,7 @@
     assert asks(world, ADD, "", "d", "abc") == 200 and group_of(world) == "abcd"
 
 
-def test_an_even_group_lets_its_silent_member_go() -> None:
+def test_an_even_group_removes_its_silent_member() -> None:
     world = world_at_rest(replace_after_s=60.0)
     assert asks(world, ADD, "", "d", "abc") == 200 and group_of(world) == "abcd"
     silent = next(ip for ip in "abc" if ip != head_of(world))
@@ -133,7 +133,7 @@
     assert here.next_change(world.now_s) == MembershipChange(REMOVE, silent, "", frozenset("abcd"))
 
 
-def test_who_leaves_asks_for_a_spare_in_its_place_and_is_none_itself() -> None:
+def test_a_draining_member_requests_its_replacement_and_is_no_spare_itself() -> None:
     world = world_at_rest()
     here = world.replacements["a"]
     assert here.departure_change(world.now_s) == MembershipChange(REPLACE, "a", "d", frozenset("abc"))
@@ -149,7 +149,7 @@
     assert not spare.offers_disk(world.now_s)
 
 
-def test_without_a_majority_in_reach_nobody_waits_for_a_replacement() -> None:
+def test_without_a_reachable_majority_no_replacement_is_requested() -> None:
     world = world_at_rest()
     for ip in "bc":
         world.stop(ip)
@@ -157,7 +157,7 @@
     assert world.replacements["a"].departure_change(world.now_s) is None
 
 
-def test_a_new_spare_is_level_before_it_is_needed() -> None:
+def test_a_new_spare_catches_up_before_it_is_needed() -> None:
     world = world_at_rest()
     world.run(world.now_s + 2.0)
     view = world.disks["d"].view
@@ -167,7 +167,7 @@
 # -- whole nodes -----------------------------------------------------------------------------------------------------
 
 
-def test_a_replaced_machine_counts_as_lost_for_less_than_sync_s_and_the_next_loss_is_borne() -> None:
+def test_a_replaced_machine_counts_as_lost_for_less_than_sync_s_and_the_next_loss_is_tolerated() -> None:
     """Planned, unplanned, false alarms; heads, storms of changes, slow disks, cuts, thin links."""
     for seed in range(24):
         assert replacements.broken(replacements.play(seed)) == "", seed
@@ -175,17 +175,17 @@
 
 @pytest.mark.parametrize("kind", [UNPLANNED, PLANNED, FALSE_ALARM])
 @pytest.mark.parametrize("position", [0, 2])
-def test_two_changes_of_machines_and_then_a_loss(kind: str, position: int) -> None:
+def test_a_loss_after_two_replacements_is_tolerated(kind: str, position: int) -> None:
     found = replacements.play(3, Case(kind, position, "second replacement", 1.2, 3, repair.CORE_MBPS))
     assert replacements.broken(found) == "" and math.inf not in found.replaced_s
 
 
 @pytest.mark.parametrize("fault", replacements.FAULTS)
-def test_a_rule_of_replacements_that_is_left_out_is_noticed(fault: str) -> None:
+def test_a_missing_replacement_rule_is_detected(fault: str) -> None:
     assert replacements.search(range(12), fault) is not None
 
 
-def test_a_machine_that_is_told_to_stop_with_no_spare_there_ends_at_once() -> None:
+def test_a_machine_that_is_stopped_without_a_spare_exits_at_once() -> None:
     cluster = replacements.Replacing(4, 1)
 
     async def scenario() -> float:
@@ -203,7 +203,7 @@
         cluster.close()
 
 
-def test_the_newest_version_outlives_the_power_and_one_disk_also_after_a_replacement() -> None:
+def test_the_newest_version_survives_a_power_loss_and_one_lost_disk_also_after_a_replacement() -> None:
     for seed in range(12):
         assert power_loss_recovery.broken(power_loss_recovery.play(seed)) == "", seed
     assert power_loss_recovery.search(range(4), "wait-a-minute") is not None
@@ -221,11 +221,11 @@
         ("gateway.replaceAfterS=0\n", 0.0),
     ],
 )
-def test_a_member_is_replaced_well_within_sync_s_unless_told_otherwise(lines: str, seconds: float) -> None:
+def test_a_member_is_replaced_well_within_sync_s_unless_configured_otherwise(lines: str, seconds: float) -> None:
     assert parse(SETTINGS + lines, "boot.conf").replace_after_s == seconds
 
 
 @pytest.mark.parametrize("value", ["-1", "soon", "nan", "inf"])
-def test_a_wrong_time_ends_the_start_with_file_key_found_and_wanted(value: str) -> None:
+def test_an_invalid_delay_is_reported_with_file_key_value_and_expected_format(value: str) -> None:
     with pytest.raises(SettingsError, match=rf"boot.conf: gateway.replaceAfterS is '{value}'; .* is wanted"):
         parse(SETTINGS + f"gateway.replaceAfterS={value}\n", "boot.conf")
--- a/tests/test_replacement_rules.py
+++ b/tests/test_replacement_rules.py
@@ -15,7 +15,7 @@
     world.replacements[at].silence.since_s = dict.fromkeys(silent, world.now_s - 100.0)
 
 
-def test_only_the_head_replaces_a_silent_member_and_only_after_a_time_above_0() -> None:
+def test_only_the_head_replaces_a_silent_member_and_only_with_a_delay_above_0() -> None:
     for seconds, replaces in ((60.0, True), (0.0, False)):
         world = world_at_rest(replace_after_s=seconds)
         head = newest(world).head
@@ -31,7 +31,7 @@
             )
 
 
-def test_one_without_a_majority_in_reach_counts_no_silence() -> None:
+def test_a_member_without_a_reachable_majority_counts_no_silence() -> None:
     world = world_at_rest()
     for ip in "bc":
         world.stop(ip)
@@ -39,7 +39,7 @@
     assert world.replacements["a"].silence.since_s == {}
 
 
-def test_a_replacement_that_was_begun_goes_on_though_the_member_is_back() -> None:
+def test_a_started_replacement_continues_although_the_member_returned() -> None:
     world = world_at_rest()
     here = world.replacements[newest(world).head]
     begun = here.pending_change = MembershipChange(REPLACE, "b", "c", frozenset("ab"))
@@ -48,12 +48,12 @@
     assert here.next_change(world.now_s) is None
 
 
-def test_one_too_many_is_an_even_number_above_the_least() -> None:
+def test_a_group_has_a_surplus_member_if_it_is_even_and_above_the_minimum() -> None:
     here = world_at_rest().replacements["a"]
     assert [count for count in range(1, 8) if here.has_surplus_member(frozenset("abcdefg"[:count]))] == [4, 6]
 
 
-def test_who_has_left_waits_for_the_view_on_the_disks_of_those_that_are_heard() -> None:
+def test_a_departed_member_waits_until_live_successors_have_persisted_the_view() -> None:
     world = world_at_rest()
     here, replica = world.replacements["a"], world.replicas["a"]
     view = replica.state.view
