--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Each message from another node has one handler: at the connections, at the node, or at the core."""
+"""Each message type has exactly one handler: in the transport, at the node, or in the consensus."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from tests.loopback import run
 from tests.test_gateway_parts import BOOT
 
-#: Chunks of bodies, which the connections take themselves (`Peers.take`).
+#: Messages that transfer bodies, handled by the transport (`Peers.take`).
 TRANSFER = {frames.Chunk, frames.ChunkRequest, frames.BlobNotFound}
-#: What machines of the core say to each other, and what is sent to them (`CoreMachine.on_message`).
+#: Messages between core machines and requests to them (`CoreMachine.on_message`).
 CORE = {
     frames.WriteRequest,
     frames.ReadRequest,
@@ -35,7 +35,7 @@
     frames.CatchUpAck,
     frames.StatusQuery,
 }
-#: What only a machine of the core handles itself, beside those.
+#: Other messages that only a core machine handles.
 CORE_MACHINE = {frames.BootstrapRequest, frames.SuspectReport, frames.LeaveNotice}
 
 
@@ -44,8 +44,8 @@
         settings = parse(BOOT, "boot.conf")
         edge = GatewayNode(settings)
         assert edge.core is None
-        everywhere = set(edge.handlers)
-        groups = (TRANSFER, CORE, CORE_MACHINE, everywhere)
+        all_nodes = set(edge.handlers)
+        groups = (TRANSFER, CORE, CORE_MACHINE, all_nodes)
         assert sum(map(len, groups)) == len(frames.FRAME_TYPES) and set().union(*groups) == set(
             frames.FRAME_TYPES.values()
         )
@@ -55,9 +55,9 @@
         dispatcher.add_membership(membership, ReplacementManager(membership, 0.0))
         assert set(dispatcher.handlers) | {frames.StatusQuery} == CORE
         tables = (edge.tree.handlers(), edge.outliers.handlers(), edge.node_handlers())
-        assert sum(map(len, tables)) == len(everywhere)
+        assert sum(map(len, tables)) == len(all_nodes)
         machine = GatewayNode(parse(BOOT + f"stateDir={tmp_path}", "boot.conf"))
-        assert machine.core is not None and set(machine.handlers) == everywhere | CORE_MACHINE
+        assert machine.core is not None and set(machine.handlers) == all_nodes | CORE_MACHINE
         for node in (edge, machine):
             node.failure_detector.close()
             node.peers.close()
--- a/tests/test_member_rules.py
+++ b/tests/test_member_rules.py
@@ -1,4 +1,4 @@
-"""Each rule of docs/design/members.md by itself, but for members that are replaced by themselves."""
+"""Unit tests of the membership rules in docs/design/members.md, except for automatic replacement."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 NEW = "d/7"
 
 
-def level(**changes: object) -> frames.CatchUp:
+def catch_up(**changes: object) -> frames.CatchUp:
     return replace(frames.CatchUp(NEW, "a", 256, GROUP, GROUP, 1, 256, 10, 0, ONE.body, b""), **changes)  # type: ignore
 
 
-def standing_by() -> Replica:
-    """A machine that stands by, with a view on its disk that does not count it."""
+def spare_replica() -> Replica:
+    """A spare that has a view on disk in which it is not a member."""
     replica = Replica(NEW, 2, invariants.revision, invariants.digest, lambda: 0.5)
     replica.load(VIEW, 256, ONE, {}, 0.0)
     assert replica.state.disk_state == DiskState.LEARNER
@@ -41,44 +41,44 @@
 
 def test_the_chain_of_a_view_that_adds_a_machine_includes_it() -> None:
     replica = idle_world().replicas["a"]
-    grown = (*GROUP, NEW)
-    assert replica.proposer.includes_new_address(grown, [*GROUP, NEW]) and replica.proposer.includes_new_address(
+    larger = (*GROUP, NEW)
+    assert replica.proposer.includes_new_address(larger, [*GROUP, NEW]) and replica.proposer.includes_new_address(
         GROUP, ["a/0", "b/0"]
     )
-    assert not replica.proposer.includes_new_address(grown, [*GROUP])
+    assert not replica.proposer.includes_new_address(larger, [*GROUP])
 
 
 @pytest.mark.parametrize("wrong", [{"name": "d/8"}, {"group": (*GROUP, NEW)}, {"epoch": 255}])
 def test_a_spare_acknowledges_only_its_own_catch_up_for_a_current_view_without_it(wrong: dict[str, object]) -> None:
-    members = MembershipManager(standing_by(), 1)
-    (answer,) = told(members.on_catch_up(level(), 0.0))
+    membership = MembershipManager(spare_replica(), 1)
+    (answer,) = told(membership.on_catch_up(catch_up(), 0.0))
     assert answer == frames.CatchUpAck(NEW, 256, 1, invariants.digest(ONE.body))
-    assert members.on_catch_up(level(**wrong), 0.0) == []
+    assert membership.on_catch_up(catch_up(**wrong), 0.0) == []
 
 
 def test_a_spare_is_caught_up_by_digest_and_at_most_one_entry_behind() -> None:
     world = idle_world()
     replica = world.replicas["a"]
-    members = MembershipManager(replica, 1)
+    membership = MembershipManager(replica, 1)
     exchange_heartbeats(replica, world.now_s, heartbeat(NEW, epoch=0, stored_epoch=0, stored_number=0, disk_state=0))
-    assert members.spares(world.now_s) == {"d": NEW} and replica.state.chain is not None
+    assert membership.spares(world.now_s) == {"d": NEW} and replica.state.chain is not None
     replica.state.chain.last = Entry(3, 256, 30, 20, b"30:x")
-    mark = invariants.digest(b"30:x")
-    for number, told_mark, holds in ((3, b"another", False), (1, b"", False), (2, b"", True), (3, mark, True)):
-        members.spare_entry_numbers.clear()
-        members.on_catch_up_ack(frames.CatchUpAck(NEW, 256, number, told_mark))
-        assert members.state(world.now_s).caught_up == (frozenset({NEW}) if holds else frozenset()), number
+    digest = invariants.digest(b"30:x")
+    for number, acked_digest, caught_up in ((3, b"another", False), (1, b"", False), (2, b"", True), (3, digest, True)):
+        membership.spare_entry_numbers.clear()
+        membership.on_catch_up_ack(frames.CatchUpAck(NEW, 256, number, acked_digest))
+        assert membership.state(world.now_s).caught_up == (frozenset({NEW}) if caught_up else frozenset()), number
 
 
 def test_no_group_is_proposed_during_a_proposal_or_while_a_lost_disk_waits() -> None:
-    for wait in ("proposal", "lost disk", ""):
+    for reason in ("proposal", "lost disk", ""):
         world = idle_world()
         replica = world.replicas["a"]
-        members = MembershipManager(replica, 1)
-        if wait == "proposal":
+        membership = MembershipManager(replica, 1)
+        if reason == "proposal":
             replica.proposer.propose(world.now_s)
-        elif wait == "lost disk":
+        elif reason == "lost disk":
             exchange_heartbeats(
                 replica, world.now_s, heartbeat("c/7", epoch=0, stored_epoch=0, stored_number=0, disk_state=0)
             )
-        assert bool(members.propose_group((*GROUP, NEW), world.now_s)) is (wait == "")
+        assert bool(membership.propose_group((*GROUP, NEW), world.now_s)) is (reason == "")
