--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -1,4 +1,4 @@
-"""Disks that came back as older copies of themselves, torn ones, and ones that refuse or hang."""
+"""Tests of rolled-back and lost disks on a simulated core."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def settled(seed: int, changes: int = 1) -> World:
-    """Three machines at rest, after some changes."""
+    """Three idle machines after some writes."""
     world = World(seed, loss=0.0)
     world.run(1.0)
     for _ in range(changes):
@@ -26,7 +26,7 @@
 
 
 def change(world: World) -> None:
-    """One replacement, to its answer."""
+    """Write one configuration and wait for the answer."""
     world.callers.call("x", "replace")
     ident = world.callers.open["x"]
     while world.callers.open.get("x") == ident:
@@ -38,32 +38,34 @@
     return replace(disk, taken=dict(disk.taken), marks=dict(disk.marks))
 
 
-def comes_back(world: World, ip: str, disk: Disk, others_too: bool) -> None:
-    for other in IPS if others_too else (ip,):
+def restart_with_disk(world: World, ip: str, disk: Disk, restart_all: bool) -> None:
+    for other in IPS if restart_all else (ip,):
         world.stop(other)
     world.disks[ip] = disk
-    for other in IPS if others_too else (ip,):
+    for other in IPS if restart_all else (ip,):
         world.start(other)
 
 
-@pytest.mark.parametrize("others_too", [False, True])
+@pytest.mark.parametrize("restart_all", [False, True])
 @pytest.mark.parametrize("ip", IPS)
 @pytest.mark.parametrize("behind", [1, 2, 7])
-def test_an_older_copy_of_a_disk_is_detected_and_no_old_version_is_read(ip: str, behind: int, others_too: bool) -> None:
-    """By itself, or as all power comes back. The head, the middle and the tail; also with no view made meanwhile."""
+def test_an_older_copy_of_a_disk_is_detected_and_no_old_version_is_read(
+    ip: str, behind: int, restart_all: bool
+) -> None:
+    """For the head, the middle and the tail, after a restart of one machine or of all, also without a new view."""
     world = settled(3, 3)
     older = copy(world.disks[ip])
     for _ in range(behind):
         change(world)
     newest = max(world.observer.committed)
-    comes_back(world, ip, older, others_too)
+    restart_with_disk(world, ip, older, restart_all)
     before = len(world.callers.calls)
     for _ in range(4):
         world.callers.open.clear()
         world.callers.call("y", "read")
         world.run(world.now_s + 1.0)
-    read = [call.seen for call in list(world.callers.calls.values())[before:] if call.status]
-    assert read and set(read) == {world.observer.committed[newest].revision}
+    revisions = [call.seen for call in list(world.callers.calls.values())[before:] if call.status]
+    assert revisions and set(revisions) == {world.observer.committed[newest].revision}
     assert {replica.rollback.own_marks().number for replica in world.replicas.values()} == {newest}
     if behind > 1:
         assert world.disks[ip].name != older.name
@@ -72,7 +74,7 @@
 
 @pytest.mark.parametrize("ip", IPS)
 def test_a_disk_that_was_not_rolled_back_keeps_its_name(ip: str) -> None:
-    """Kills, a loss of all power, and frames that were on their way all the while accuse nobody."""
+    """Kills, a power loss of all machines and delayed frames must not be taken for a rollback."""
     world = settled(5, 2)
     for round_s in (0.05, 0.4, 2.0):
         change(world)
@@ -84,8 +86,8 @@
 
 
 def test_two_starts_from_one_copy_are_distinguished() -> None:
-    first, again = HighWaterMarks(3, 17, 512, 512, 4), HighWaterMarks(3, 18, 512, 512, 4)
-    assert first.is_behind(again) and again.is_behind(first) and not first.is_behind(first)
+    first, second = HighWaterMarks(3, 17, 512, 512, 4), HighWaterMarks(3, 18, 512, 512, 4)
+    assert first.is_behind(second) and second.is_behind(first) and not first.is_behind(first)
     for lower in (
         HighWaterMarks(2, 99, 512, 512, 4),
         HighWaterMarks(3, 17, 256, 512, 4),
@@ -93,20 +95,20 @@
         HighWaterMarks(3, 17, 512, 512, 3),
     ):
         assert lower.is_behind(first) and not first.is_behind(lower)
-    told = {"10.0.0.1/a": first, "10.0.0.2/b": HighWaterMarks()}
-    assert unpack_marks(pack_marks(told)) == told and unpack_marks("") == {}
-    with pytest.raises(ValueError, match="marks of 'a'"):
+    marks = {"10.0.0.1/a": first, "10.0.0.2/b": HighWaterMarks()}
+    assert unpack_marks(pack_marks(marks)) == marks and unpack_marks("") == {}
+    with pytest.raises(ValueError, match="marks of 'a': 2 numbers, expected 5"):
         unpack_marks("a 1 2")
 
 
 def test_a_rolled_back_machine_does_not_promise_and_waits_for_a_majority_with_newer_state() -> None:
-    """While only one other is there its old disk may be all that is left to go on with."""
+    """While only one other machine is up, the old disk may be needed for recovery."""
     world = settled(4, 2)
     older = copy(world.disks["c"])
     change(world)
     change(world)
     world.stop("b")
-    comes_back(world, "c", older, others_too=False)
+    restart_with_disk(world, "c", older, restart_all=False)
     world.run(world.now_s + 3.0)
     replica = world.replicas["c"]
     assert replica.rollback.reason and world.disks["c"].name == "c/0" and not replica.disk_works(world.now_s)
@@ -119,51 +121,52 @@
     assert world.disks["c"].name != "c/0" and world.replicas["c"].rollback.own_marks().number == 4
 
 
-class Weighed(World):
-    """Counts what one machine is sent: frames, and each body that they name once."""
+class TrafficCountingWorld(World):
+    """Records what one machine is sent: the bytes of frames, and each body that they refer to once."""
 
-    def __init__(self, seed: int, where: str) -> None:
-        self.where, self.frames, self.named = where, 0, set[bytes]()
+    def __init__(self, seed: int, receiver: str) -> None:
+        self.receiver, self.frame_bytes, self.bodies = receiver, 0, set[bytes]()
         super().__init__(seed, loss=0.0)
 
     def send(self, origin: str, ip: str, frame: frames.Frame) -> None:
         super().send(origin, ip, frame)
-        if ip == self.where and origin in IPS:
-            self.frames += len(frame.pack())
-            self.named.add(frame.body_or_digest())
+        if ip == self.receiver and origin in IPS:
+            self.frame_bytes += len(frame.pack())
+            self.bodies.add(frame.body_or_digest())
 
 
-@pytest.mark.parametrize("how", ["its disk", "an empty one", "an older copy"])
+@pytest.mark.parametrize("how", ["its disk", "empty", "an older copy"])
 def test_a_member_that_missed_hundreds_of_changes_catches_up_at_once(how: str) -> None:
-    """By the newest entry and the digests that it lacks of those that are kept. A torn disk is an empty one."""
-    weights = []
+    """It receives the newest entry and the digests that it lacks of those that are kept. A corrupt disk counts as
+    empty."""
+    traffic = []
     for changes in (5, 200, 2000):
-        world = Weighed(11, "c")
+        world = TrafficCountingWorld(11, "c")
         world.run(1.0)
         change(world)
         older = copy(world.disks["c"])
         for _ in range(3):
             change(world)
-        world.stop("c", wipe=how == "an empty one")
+        world.stop("c", wipe=how == "empty")
         if how == "an older copy":
             world.disks["c"] = older
         for _ in range(changes):
             change(world)
-        newest, world.frames, began_s = max(world.observer.committed), 0, world.now_s
-        world.named.clear()
+        newest, world.frame_bytes, started_s = max(world.observer.committed), 0, world.now_s
+        world.bodies.clear()
         world.start("c")
         world.begin(Step(0.0, "read", "y"))
         while world.replicas["c"].rollback.own_marks().number != newest:
             assert not world.replicas["c"].leadership.leads(world.now_s)
-            assert world.now_s - began_s < 4.0
+            assert world.now_s - started_s < 4.0
             world.step()
-        weights.append(world.frames + sum(map(len, world.named)))
+        traffic.append(world.frame_bytes + sum(map(len, world.bodies)))
         world.run(world.now_s + 1.0)
         assert (world.disks["c"].name == "c/0") is (how == "its disk")
         (read,) = (call for call in world.callers.calls.values() if call.operator == "y")
         assert read.seen == world.observer.committed[newest].revision
     assert (
-        weights[2]
+        traffic[2]
         < 4000 + 1.1 * 2000 * deduplication.RECORD.size
         < 2 * deduplication.MAX_DIGESTS * deduplication.RECORD.size
     )
--- a/tests/test_disk_rules.py
+++ b/tests/test_disk_rules.py
@@ -1,4 +1,4 @@
-"""Each rule of docs/design/disk.md by itself: a machine whose disk is an older copy, and the files of the state."""
+"""Unit tests of the rules in docs/design/disk.md: rollback detection, and the files of the state."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 from lab.histories.network import CLIENT
 from tests.core_parts import GROUP, VIEW, accept, exchange_heartbeats, heartbeat, idle_world, promise, told
 
-#: What b has told; each of the others lacks something of that.
-TOLD = heartbeat("b/0", incarnation=3, draw=9)
-LESS: dict[str, dict[str, Any]] = {
+#: What b has reported, and fields of heartbeats that report less.
+REPORTED = heartbeat("b/0", incarnation=3, draw=9)
+LOWER_FIELDS: dict[str, dict[str, Any]] = {
     "a start": {"incarnation": 2},
     "another start from the same copy": {"draw": 8},
     "a promise": {"durable_promise": 255},
@@ -33,22 +33,22 @@
 }
 
 
-@pytest.mark.parametrize("what", LESS)
+@pytest.mark.parametrize("what", LOWER_FIELDS)
 def test_a_member_that_reports_less_than_before_is_rejected_and_notified(what: str) -> None:
     world = idle_world()
     replica, now_s = world.replicas["a"], world.now_s
-    exchange_heartbeats(replica, now_s, TOLD)
-    heard = replica.failure_detector.peers["b"]
-    actions = exchange_heartbeats(replica, now_s + 0.2, replace(TOLD, sequence=5, **LESS[what]))
+    exchange_heartbeats(replica, now_s, REPORTED)
+    peer = replica.failure_detector.peers["b"]
+    effects = exchange_heartbeats(replica, now_s + 0.2, replace(REPORTED, sequence=5, **LOWER_FIELDS[what]))
     assert (
-        replica.failure_detector.peers["b"] is heard and heard.alive_s == now_s and replica.rollback.rejected == {"b/0"}
+        replica.failure_detector.peers["b"] is peer and peer.alive_s == now_s and replica.rollback.rejected == {"b/0"}
     )
-    stale, answer = told(actions)
-    assert stale == frames.RollbackNotice("b/0", 3, 9, 256, 256, 1) and answer.echoed_sequence == 5
+    notice, answer = told(effects)
+    assert notice == frames.RollbackNotice("b/0", 3, 9, 256, 256, 1) and answer.echoed_sequence == 5
     replica.proposer.propose(now_s)
     assert replica.proposer.proposal is not None
-    less = promise("b/0", replica.proposer.proposal.epoch)  # of an incarnation before all that were told
-    assert [type(frame) for frame in told(replica.proposer.on_promise(less, now_s))] == [frames.RollbackNotice]
+    lower = promise("b/0", replica.proposer.proposal.epoch)  # of an earlier incarnation than the one reported
+    assert [type(frame) for frame in told(replica.proposer.on_promise(lower, now_s))] == [frames.RollbackNotice]
     assert not replica.proposer.proposal.promises
 
 
@@ -62,16 +62,16 @@
     assert replica.reads.on_ack(frames.QuorumReadAck(256, 7, "b/0"), world.now_s)
 
 
-def stale(name: str, number: int) -> frames.RollbackNotice:
+def rollback_notice(name: str, number: int) -> frames.RollbackNotice:
     return frames.RollbackNotice(name, 0, 0, 0, 256, number)
 
 
 def test_a_machine_compares_a_rollback_notice_with_its_own_disk() -> None:
-    for name, number, lost in (("a/0", 1, False), ("b/0", 9, False), ("a/0", 9, True)):
+    for name, number, rolled_back in (("a/0", 1, False), ("b/0", 9, False), ("a/0", 9, True)):
         world = idle_world()
         replica = world.replicas["a"]
-        replica.on_rollback_notice(stale(name, number), world.now_s)
-        assert bool(replica.rollback.reason) is lost and replica.state.is_active() is not lost
+        replica.on_rollback_notice(rollback_notice(name, number), world.now_s)
+        assert bool(replica.rollback.reason) is rolled_back and replica.state.is_active() is not rolled_back
 
 
 def test_a_rolled_back_machine_promises_accepts_and_confirms_nothing() -> None:
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "entry", "held", "lost"),
+    ("name", "entry", "epoch", "rolled_back"),
     [
         ("a/0", 2, 256, False),
         ("a/0", 3, 256, True),
@@ -96,18 +96,18 @@
     ],
 )
 def test_entry_numbers_of_the_chain_reveal_a_rollback_within_an_epoch(
-    name: str, entry: int, held: int, lost: bool
+    name: str, entry: int, epoch: int, rolled_back: bool
 ) -> None:
-    """Here b has entry 1: one before it in the chain may have one more, one behind it none."""
+    """Here b has entry 1. Its predecessor in the chain may have one entry more, its successor may not."""
     world = idle_world()
     replica = world.replicas["b"]
-    replica.on_heartbeat(heartbeat(name, stored_number=entry, stored_epoch=held), world.now_s)
-    assert bool(replica.rollback.reason) is lost
+    replica.on_heartbeat(heartbeat(name, stored_number=entry, stored_epoch=epoch), world.now_s)
+    assert bool(replica.rollback.reason) is rolled_back
 
 
-@pytest.mark.parametrize(("newer", "heard", "anew"), [("bc", "bc", True), ("b", "bc", False), ("bc", "b", False)])
+@pytest.mark.parametrize(("newer", "alive", "resets"), [("bc", "bc", True), ("b", "bc", False), ("bc", "b", False)])
 def test_a_rolled_back_machine_resets_its_identity_once_a_live_majority_has_newer_state(
-    newer: str, heard: str, anew: bool
+    newer: str, alive: str, resets: bool
 ) -> None:
     world = idle_world()
     replica, now_s = world.replicas["a"], world.now_s + 5.0
@@ -115,8 +115,8 @@
     others = [heartbeat(f"{ip}/0", stored_number=2 if ip in newer else 1, epoch=256) for ip in "bc"]
     for frame in others:
         replica.on_heartbeat(frame, now_s)
-    exchange_heartbeats(replica, now_s, *(frame for frame in others if frame.name[0] in heard))
-    assert (ResetIdentity(replica.rollback.reason) in replica.tick(now_s)) is anew
+    exchange_heartbeats(replica, now_s, *(frame for frame in others if frame.name[0] in alive))
+    assert (ResetIdentity(replica.rollback.reason) in replica.tick(now_s)) is resets
 
 
 def test_the_end_of_a_view_records_its_committed_entry_for_the_chain() -> None:
@@ -145,7 +145,7 @@
 
 
 def with_store(folder: Path, what: Any) -> Any:
-    """Do something with a store of a folder, which is loaded; what that gives."""
+    """Load the store of a folder and return the result of an operation on it."""
 
     async def scenario() -> Any:
         store = SqliteStore(folder)
@@ -170,10 +170,10 @@
         await store.save_entry(entry(number))
 
 
-def rows(folder: Path, question: str) -> list[Any]:
+def query(folder: Path, statement: str) -> list[Any]:
     database = sqlite3.connect(folder / FILE_NAME)
     try:
-        found = database.execute(question).fetchall()
+        found = database.execute(statement).fetchall()
         database.commit()
         return found
     finally:
@@ -182,9 +182,11 @@
 
 def test_the_last_three_bodies_are_kept_and_a_view_replaces_them(tmp_path: Path) -> None:
     with_store(tmp_path, fill)
-    assert rows(tmp_path, "select number from entry order by number") == [(4,), (5,), (6,)]
+    assert query(tmp_path, "select number from entry order by number") == [(4,), (5,), (6,)]
     with_store(tmp_path, lambda store: store.save_view(View(512, GROUP, GROUP), entry(6), {60: b"x"}))
-    assert rows(tmp_path, "select number from entry") == [(6,)] and rows(tmp_path, "select epoch from view") == [(512,)]
+    assert query(tmp_path, "select number from entry") == [(6,)] and query(tmp_path, "select epoch from view") == [
+        (512,)
+    ]
 
 
 def test_a_persisted_promise_never_decreases_and_a_view_persists_its_own_epoch(tmp_path: Path) -> None:
@@ -207,51 +209,53 @@
 
 
 def test_a_failed_write_closes_the_database_and_the_next_one_reopens_it(tmp_path: Path) -> None:
-    def refuse(database: Any) -> None:
+    def fail(database: Any) -> None:
         raise sqlite3.OperationalError("disk I/O error")
 
-    async def refused(store: SqliteStore) -> tuple[Any, Any]:
+    async def fail_and_probe(store: SqliteStore) -> tuple[Any, Any]:
         before = store.database
         with pytest.raises(StoreError, match="disk I/O"):
-            await store.write(refuse)
+            await store.write(fail)
         closed = store.database
         await store.probe()
         return closed, store.database is before
 
-    assert with_store(tmp_path, refused) == (None, False)
+    assert with_store(tmp_path, fail_and_probe) == (None, False)
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "corruption",
     [
         "update entry set body = zeroblob(100) where number = 6",
         "update taken set digest = zeroblob(32) where revision = 60",
     ],
 )
-def test_an_entry_that_does_not_match_its_digest_is_not_loaded(tmp_path: Path, spoil: str) -> None:
+def test_an_entry_that_does_not_match_its_digest_is_not_loaded(tmp_path: Path, corruption: str) -> None:
     with_store(tmp_path, fill)
     assert with_store(tmp_path, lambda store: store.found.entry) == entry(6)
-    rows(tmp_path, spoil)
+    query(tmp_path, corruption)
     assert with_store(tmp_path, lambda store: store.found.entry) is None
 
 
-class Torn(sqlite3.Connection):
-    """A file whose rows are all there, and one of whose pages is not what it should be."""
+class CorruptConnection(sqlite3.Connection):
+    """A database with all rows present and one corrupt page."""
 
-    def execute(self, question: str, *values: Any) -> sqlite3.Cursor:
-        return super().execute("select 'page 3 is torn'" if "quick_check" in question else question, *values)
+    def execute(self, statement: str, *values: Any) -> sqlite3.Cursor:
+        return super().execute("select 'page 3 is corrupt'" if "quick_check" in statement else statement, *values)
 
 
 def test_all_pages_are_checked_at_load(tmp_path: Path) -> None:
     with_store(tmp_path, fill)
-    found = list[str]()
+    opened = list[str]()
 
-    def opened(path: Path) -> sqlite3.Connection:
-        found.append(path.name)
-        return sqlite3.connect(path, check_same_thread=False, factory=Torn if len(found) == 1 else sqlite3.Connection)
+    def connect(path: Path) -> sqlite3.Connection:
+        opened.append(path.name)
+        return sqlite3.connect(
+            path, check_same_thread=False, factory=CorruptConnection if len(opened) == 1 else sqlite3.Connection
+        )
 
     async def scenario() -> Any:
-        store = SqliteStore(tmp_path, opened)
+        store = SqliteStore(tmp_path, connect)
         try:
             return await store.load()
         finally:
@@ -273,12 +277,12 @@
 
     monkeypatch.setattr(files, "replace_file", rename)
 
-    def beside(store: SqliteStore) -> None:
+    def set_aside(store: SqliteStore) -> None:
         (tmp_path / f"{FILE_NAME}-journal").write_bytes(b"left")
         store._set_aside()
 
     for number in (1, 2):
-        with_store(tmp_path, beside)
+        with_store(tmp_path, set_aside)
         assert moved == [FILE_NAME, f"{FILE_NAME}-journal"]
         moved.clear()
         assert (tmp_path / f"{FILE_NAME}.aside-{number}").exists()
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Members of the core that come and go: the rules alone, on a simulated core, on whole nodes, and by an operator."""
+"""Tests of membership changes: the decisions alone, on a simulated core, on whole nodes, and through the admin API."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(
-    ("asked", "known", "status", "told"),
+    ("requested", "known", "status", "text"),
     [
         (change(ADD, "", "x"), MembershipState(ABC, 1, {}), 404, "no machine with a disk at x"),
         (change(ADD, "", "b"), MembershipState(ABC, 1, {}), 409, "b is a member already"),
@@ -58,39 +58,39 @@
     ],
 )
 def test_an_invalid_change_is_refused_with_its_reason(
-    asked: MembershipChange, known: MembershipState, status: int, told: str
+    requested: MembershipChange, known: MembershipState, status: int, text: str
 ) -> None:
-    verdict = next_step(asked, known)
-    assert verdict.status == status and told in verdict.text and not verdict.group and not verdict.catch_up
+    decision = next_step(requested, known)
+    assert decision.status == status and text in decision.text and not decision.group and not decision.catch_up
 
 
 def test_a_replacement_is_an_add_then_a_remove_and_its_request_may_be_sent_at_any_time() -> None:
-    asked = change(REPLACE, "a", "d")
-    assert next_step(asked, MembershipState(ABC, 1, {"d": "d/7"})).catch_up == "d"
-    added = next_step(asked, MembershipState(ABC, 1, {"d": "d/7"}, frozenset({"d/7"})))
+    requested = change(REPLACE, "a", "d")
+    assert next_step(requested, MembershipState(ABC, 1, {"d": "d/7"})).catch_up == "d"
+    added = next_step(requested, MembershipState(ABC, 1, {"d": "d/7"}, frozenset({"d/7"})))
     assert (added.status, added.group) == (202, ("a/0", "b/0", "c/0", "d/7"))
     four = View(768, ("b/0", "d/7", "c/0"), added.group)
-    removed = next_step(asked, MembershipState(four, 1, {}))
+    removed = next_step(requested, MembershipState(four, 1, {}))
     assert (removed.status, removed.group) == (202, ("b/0", "c/0", "d/7"))
-    assert next_step(asked, MembershipState(View(1024, four.chain, removed.group), 1, {"a": "a/0"})).status == 200
+    assert next_step(requested, MembershipState(View(1024, four.chain, removed.group), 1, {"a": "a/0"})).status == 200
 
 
-# -- the rules on a simulated core ---------------------------------------------------------------------------------
+# -- on a simulated core -------------------------------------------------------------------------------------------
 
 
-#: Long enough to tell a restart from a machine that is gone for good.
-PATIENT_S = 5.0
+#: A replacement delay that is longer than a restart.
+LONG_REPLACE_AFTER_S = 5.0
 
 
-def world_at_rest(seed: int = 3, replace_after_s: float = membership_churn.REPLACE_AFTER_S) -> MembershipChurn:
+def idle_world(seed: int = 3, replace_after_s: float = membership_churn.REPLACE_AFTER_S) -> MembershipChurn:
     world = MembershipChurn(seed, replace_after_s, loss=0.0)
     world.run(1.0)
-    ordered(world)
+    write_configuration(world)
     return world
 
 
-def ordered(world: MembershipChurn) -> bytes:
-    """A configuration that must be taken; its body."""
+def write_configuration(world: MembershipChurn) -> bytes:
+    """Write a configuration, which must succeed; returns its body."""
     world.callers.call("x", "replace")
     ident = world.callers.open["x"]
     world.run(world.now_s + callers.PATIENCE_S + 1.0)
@@ -98,8 +98,8 @@
     return world.callers.calls[ident].body
 
 
-def asks(world: MembershipChurn, kind: int, old: str, new: str, base: str, for_s: float = 6.0) -> int:
-    """The answer to a change, by an operator who sends it again and again."""
+def request_change(world: MembershipChurn, kind: int, old: str, new: str, base: str, for_s: float = 6.0) -> int:
+    """The status of a change that an operator requests repeatedly."""
     ident = next(world.numbers) + 1
     world.asked[ident] = membership_churn.RequestedChange(kind, old, new, tuple(base), world.now_s + for_s)
     world.ask(ident)
@@ -107,7 +107,7 @@
     return world.asked[ident].status
 
 
-def newest(world: MembershipChurn) -> View:
+def newest_view(world: MembershipChurn) -> View:
     view = world.newest_view()
     assert view is not None
     return view
@@ -118,37 +118,39 @@
 
 
 def test_a_spare_has_the_newest_entry_before_it_is_added_and_a_removed_member_takes_no_part() -> None:
-    world = world_at_rest()
+    world = idle_world()
     body = world.disks["a"].last
-    named: list[Any] = []
+    entries_when_added: list[Any] = []
     real = world.became_active
 
     def became_active(view: View) -> None:
-        if "d/0" in view.group and not named:
-            named.append(world.disks["d"].last)
+        if "d/0" in view.group and not entries_when_added:
+            entries_when_added.append(world.disks["d"].last)
         real(view)
 
     world.became_active = became_active  # type: ignore[method-assign]
-    assert asks(world, REPLACE, "a", "d", "abc") == 200 and group_of(world) == "bcd"
-    assert body is not None and named[0].body == body.body
-    assert asks(world, REPLACE, "a", "d", "abc") == 200 and group_of(world) == "bcd"  # the same again: the same answer
+    assert request_change(world, REPLACE, "a", "d", "abc") == 200 and group_of(world) == "bcd"
+    assert body is not None and entries_when_added[0].body == body.body
+    assert (
+        request_change(world, REPLACE, "a", "d", "abc") == 200 and group_of(world) == "bcd"
+    )  # a repeated request gets the same answer
     replica = world.replicas["a"]
     assert replica.state.chain is None and not replica.leadership.is_leader
-    before = replica.state.highest_epoch
+    epoch = replica.state.highest_epoch
     for ip in "bc":
         world.stop(ip)
     world.run(world.now_s + 4.0)
     assert (
-        replica.proposer.proposal is None and newest(world).epoch == before
-    )  # a and d are no majority, and a asks nobody
+        replica.proposer.proposal is None and newest_view(world).epoch == epoch
+    )  # a and d are not a majority, and a does not propose
     for ip in "bc":
         world.start(ip)
     world.run(world.now_s + 4.0)
-    ordered(world)
+    write_configuration(world)
 
 
-def wanted_by(world: MembershipChurn, ip: str, group: tuple[str, ...]) -> tuple[str, ...]:
-    """The group of the view that a head proposes when it is to step to a group."""
+def proposed_group(world: MembershipChurn, ip: str, group: tuple[str, ...]) -> tuple[str, ...]:
+    """The group of the view that a head proposes when it is asked to change to a group."""
     world.execute(ip, world.members[ip].propose_group(group, world.now_s))
     proposal = world.replicas[ip].proposer.proposal
     assert proposal is not None
@@ -156,29 +158,29 @@
 
 
 def test_a_view_is_changed_to_one_other_group_only_and_not_by_a_restarted_head() -> None:
-    """Two changes on top of one view may lead to groups whose majorities do not meet."""
-    world = world_at_rest()
-    head = newest(world).head
-    epoch = newest(world).epoch
+    """Two changes on top of one view may lead to groups whose majorities do not overlap."""
+    world = idle_world()
+    head = newest_view(world).head
+    epoch = newest_view(world).epoch
     world.stop(head)
     world.start(head)
     world.run(world.now_s + 0.5)
-    here, replica = world.members[head], world.replicas[head]
-    assert here.is_active_head(world.now_s) and replica.state.view is not None and replica.state.view.epoch == epoch
-    grown = (*replica.state.view.group, "d/0")
-    assert wanted_by(world, head, grown) == replica.state.view.group  # a new view of the same group first
+    manager, replica = world.members[head], world.replicas[head]
+    assert manager.is_active_head(world.now_s) and replica.state.view is not None and replica.state.view.epoch == epoch
+    larger = (*replica.state.view.group, "d/0")
+    assert proposed_group(world, head, larger) == replica.state.view.group  # a new view of the same group first
     world.run(world.now_s + 1.0)
-    assert replica.state.view.epoch > epoch and here.is_active_head(world.now_s)
-    here.proposed_group = replica.state.view.epoch, frozenset("abcd")
-    assert wanted_by(world, head, (*replica.state.view.group, "e/0")) == replica.state.view.group
+    assert replica.state.view.epoch > epoch and manager.is_active_head(world.now_s)
+    manager.proposed_group = replica.state.view.epoch, frozenset("abcd")
+    assert proposed_group(world, head, (*replica.state.view.group, "e/0")) == replica.state.view.group
     world.run(world.now_s + 1.0)
-    assert wanted_by(world, head, (*replica.state.view.group, "e/0")) == (*replica.state.view.group, "e/0")
+    assert proposed_group(world, head, (*replica.state.view.group, "e/0")) == (*replica.state.view.group, "e/0")
 
 
 def test_a_member_that_returns_empty_after_prepare_waits_for_the_next_view() -> None:
-    """Promises given before do not show what its old identity had a part in: a view of a higher epoch, with an entry
-    that was acknowledged, could stay unknown to the two that decide next."""
-    world = world_at_rest()
+    """Promises given before that do not show what its old identity took part in: the two members that decide next could
+    miss a view of a higher epoch with an acknowledged entry."""
+    world = idle_world()
     replica = world.replicas["b"]
     assert replica.state.view is not None
     replica.proposer.propose(world.now_s)
@@ -205,17 +207,19 @@
             ),
             world.now_s,
         )
-    replica.on_heartbeat(frames.ReplicaHeartbeat("c/9", 0, 0, 1, 0), world.now_s)  # c has lost its disk meanwhile
-    sent = replica.proposer.conclude(world.now_s + 0.5)
+    replica.on_heartbeat(frames.ReplicaHeartbeat("c/9", 0, 0, 1, 0), world.now_s)  # c has lost its disk
+    effects = replica.proposer.conclude(world.now_s + 0.5)
     accepts = [
-        action.frame for action in sent if isinstance(action, SendMessage) and isinstance(action.frame, frames.Accept)
+        effect.frame
+        for effect in effects
+        if isinstance(effect, SendMessage) and isinstance(effect.frame, frames.Accept)
     ]
     assert accepts and all(frame.group == replica.state.view.group for frame in accepts)
 
 
 def test_a_proposal_is_cancelled_by_a_view_with_another_group() -> None:
-    """It went on with the group of the view before, and put back a member that had been let go (seed 1224)."""
-    world = world_at_rest()
+    """In seed 1224 a proposal continued with the group of the previous view and re-added a removed member."""
+    world = idle_world()
     replica = world.replicas["b"]
     assert replica.state.view is not None
     replica.proposer.propose(world.now_s)
@@ -229,47 +233,47 @@
 
 
 def test_a_head_that_was_paused_counts_no_silence_from_before() -> None:
-    world = world_at_rest(replace_after_s=PATIENT_S)
-    head = newest(world).head
+    world = idle_world(replace_after_s=LONG_REPLACE_AFTER_S)
+    head = newest_view(world).head
     victim = next(ip for ip in "abc" if ip != head)
     world.stop(victim)
     world.run(world.now_s + 3.0)
-    here, replica = world.replacements[newest(world).head], world.replicas[newest(world).head]
-    assert list(here.silence.since_s) == [victim]
-    for heard in replica.failure_detector.peers.values():  # old pulses, read all at once when it goes on
-        heard.alive_s += 30.0 if heard.name != f"{victim}/0" else 0.0
-    assert here.membership.is_active_head(world.now_s + 30.0)
-    here.tick(world.now_s + 30.0)
-    assert not here.silence.since_s and here.next_change(world.now_s + 30.0) is None
+    manager, replica = world.replacements[newest_view(world).head], world.replicas[newest_view(world).head]
+    assert list(manager.silence.since_s) == [victim]
+    for peer in replica.failure_detector.peers.values():  # old heartbeats, all read when the head resumes
+        peer.alive_s += 30.0 if peer.name != f"{victim}/0" else 0.0
+    assert manager.membership.is_active_head(world.now_s + 30.0)
+    manager.tick(world.now_s + 30.0)
+    assert not manager.silence.since_s and manager.next_change(world.now_s + 30.0) is None
 
 
 def test_only_a_member_that_stays_silent_is_replaced_automatically() -> None:
-    world = world_at_rest(replace_after_s=PATIENT_S)
+    world = idle_world(replace_after_s=LONG_REPLACE_AFTER_S)
     world.run(world.now_s + 2.0)
-    victim = ip_of(newest(world).chain[-1])
+    victim = ip_of(newest_view(world).chain[-1])
     world.stop(victim)
-    world.run(world.now_s + PATIENT_S - 0.5)
+    world.run(world.now_s + LONG_REPLACE_AFTER_S - 0.5)
     world.start(victim)
     world.run(world.now_s + 4.0)
-    assert group_of(world) == "abc"  # a restart is no loss
-    head = newest(world).head
+    assert group_of(world) == "abc"  # a restart is not a loss
+    head = newest_view(world).head
     world.begin(Step(world.now_s, "freeze", head, 3.0))
     world.run(world.now_s + 8.0)
-    assert group_of(world) == "abc"  # nor has one that stood still a word on others' silence
+    assert group_of(world) == "abc"  # a paused head does not count the silence of others
     world.stop(victim)
-    world.run(world.now_s + PATIENT_S + FAILURE_TIMEOUT_S + 5.0)
+    world.run(world.now_s + LONG_REPLACE_AFTER_S + FAILURE_TIMEOUT_S + 5.0)
     assert victim not in group_of(world) and len(group_of(world)) == 3
-    others = newest(world).members
+    others = newest_view(world).members
     world.stop(others[0])  # a second loss
-    ordered(world)
+    write_configuration(world)
 
 
 def test_without_a_majority_there_are_no_changes_no_writes_and_no_reads() -> None:
-    world = world_at_rest()
+    world = idle_world()
     for ip in ("b", "c"):
         world.stop(ip)
     world.run(world.now_s + 2.0)
-    assert asks(world, ADD, "", "d", "abc") == 0 and group_of(world) == "abc"
+    assert request_change(world, ADD, "", "d", "abc") == 0 and group_of(world) == "abc"
     for kind in ("replace", "read"):
         world.callers.open.pop("x", None)
         world.callers.call("x", kind)
@@ -281,13 +285,13 @@
 
 def test_histories_with_membership_changes_keep_every_invariant() -> None:
     for seed in [*range(30, 50), 1224]:
-        told = membership_churn.fails(seed, membership_churn.make_plan(seed))
-        assert told is None, f"seed {seed}: {told}"
+        violation = membership_churn.fails(seed, membership_churn.make_plan(seed))
+        assert violation is None, f"seed {seed}: {violation}"
 
 
 @pytest.mark.parametrize("name", ["two-at-once", "count-before-level", "step-from-any-view"])
 def test_a_missing_membership_rule_is_detected_in_some_history(name: str) -> None:
-    """The others take some hundred histories: `lab turnover --fault all`."""
+    """The other faults need some hundred histories: `lab turnover --fault all`."""
     found = membership_churn.search(range(60), name)
     assert found is not None
     assert membership_churn.fails(found[0], membership_churn.make_plan(found[0])) is None
@@ -297,7 +301,7 @@
 
 
 async def lose_two(cluster: repair.Core) -> None:
-    """A machine dies for good and is replaced at another address; then a second one is lost with its disk."""
+    """Lose a machine for good and replace it at another address; then lose a second one with its disk."""
     await repair.begin(cluster)
     first = cluster.machines[0]
     cluster.stop(*first)
@@ -307,13 +311,13 @@
     assert spare in cluster.group() and first[1].ip not in cluster.group()
     second = cluster.machines[1]
     cluster.stop(*second)
-    cluster.disks[second[1].node] = Disk("f" * 12)  # nothing of it comes back
+    cluster.disks[second[1].node] = Disk("f" * 12)  # a new, empty disk
     await asyncio.sleep(2.5)
-    taken = cluster.revision
-    assert all(node.tree.configuration.revision == taken for node in cluster.edges)
+    revision = cluster.revision
+    assert all(node.tree.configuration.revision == revision for node in cluster.edges)
     cluster.order()
-    assert await cluster.known_by_all() < 3.0 and cluster.revision == taken + 1
-    assert all(node.tree.configuration.body == cluster.configuration(taken + 1) for node in cluster.edges)
+    assert await cluster.known_by_all() < 3.0 and cluster.revision == revision + 1
+    assert all(node.tree.configuration.body == cluster.configuration(revision + 1) for node in cluster.edges)
 
 
 def test_a_second_loss_is_tolerated_after_a_replacement_at_another_address() -> None:
@@ -326,26 +330,26 @@
 
 
 async def lose_the_core(cluster: repair.Core) -> None:
-    """All core machines lose their disks for ever, and a new core is made at the same addresses: recovery.md."""
+    """All core machines lose their disks, and a new core is started at the same addresses (recovery.md)."""
     await repair.begin(cluster)
     cores = [machine for machine in cluster.machines if machine[1].front_listener is None]
-    for machine in cores[:2]:  # views that the new core knows nothing of
+    for machine in cores[:2]:  # make views that the new core does not know
         cluster.stop(*machine)
         await asyncio.sleep(2.5)
         cluster.start(*machine)
         await asyncio.sleep(2.5)
-    held = cluster.revision
+    revision = cluster.revision
     for number, machine in enumerate(cores):
         cluster.stop(*machine)
         cluster.disks[machine[1].node] = Disk(f"{number:012x}")
     await asyncio.sleep(5.0)
-    assert all(node.tree.configuration.revision == held for node in cluster.edges)  # they serve on
+    assert all(node.tree.configuration.revision == revision for node in cluster.edges)  # edges keep serving
     for machine in cores:
         cluster.start(*machine)
     assert await cluster.until(lambda: cluster.root is not None) < 10.0
     cluster.revision += 1
     body = cluster.configuration(cluster.revision)
-    for ident in range(20):  # as whoever brings a saved copy back: again until it is taken
+    for ident in range(20):  # as when restoring a saved copy: repeat until it is accepted
         node = cluster.newest()
         assert node.core is not None
         cluster.at(node, node.core.on_message, frames.WriteRequest(ident, node.settings.ip, 0, body))
@@ -363,7 +367,7 @@
         cluster.close()
 
 
-#: Seconds for which a machine counts as lost after it is back, or a new one after its start (source: syncS).
+#: How long a machine counts as lost after it has returned or, if it is new, after its start (setting syncS).
 SYNC_S = 4.0
 
 
@@ -373,7 +377,7 @@
     assert repair.measure(kind, 3, repair.THIN_MBPS, 1) - wait_s < 0.75 * SYNC_S
 
 
-# -- bad frames, and operators -------------------------------------------------------------------------------------
+# -- invalid frames, and the admin API -----------------------------------------------------------------------------
 
 GROUP = ("a/0", "b/0", "c/0")
 
@@ -409,16 +413,16 @@
         async with rig(edges=1) as made:
             where = made.edges[0].control
             core = [machine for machine in made.system.machines if machine.core]
-            one = core[0]
-            spare = Machine("core-9", one.ip.rpartition(".")[0] + ".99", "east", True, made.system.folder / "core-9")
-            for asked, told in (
-                ((where, "remove", one.ip, ""), "409: 2 members would be left"),
+            victim = core[0]
+            spare = Machine("core-9", victim.ip.rpartition(".")[0] + ".99", "east", True, made.system.folder / "core-9")
+            for request, error in (
+                ((where, "remove", victim.ip, ""), "409: 2 members would be left"),
                 ((where, "add", "", spare.ip), "404: no machine with a disk"),
-                ((where, "add", "", one.ip), "409: .* is a member already"),
+                ((where, "add", "", victim.ip), "409: .* is a member already"),
                 ((where, "remove", spare.ip, ""), "404: .* is no member"),
             ):
-                with pytest.raises(errors.RequestRefusedError, match=told):
-                    await membership.change_members(*asked)
+                with pytest.raises(errors.RequestRefusedError, match=error):
+                    await membership.change_members(*request)
             bad = json.dumps({"change": "add", "new": spare.ip, "base": []}).encode()
             for body in (b"{", bad):
                 answer = await send(
@@ -432,10 +436,10 @@
                 while not (await status.read_state(where))["standingBy"]:
                     await asyncio.sleep(0.1)
             assert "stands by" in membership.describe_members(await status.read_state(where))
-            waited: list[str] = []
-            done = await membership.change_members(where, "replace", one.ip, spare.ip, waited.append)
-            assert one.ip not in done["group"] and spare.ip in done["group"] and waited
-            await made.system.kill(one)
+            progress: list[str] = []
+            done = await membership.change_members(where, "replace", victim.ip, spare.ip, progress.append)
+            assert victim.ip not in done["group"] and spare.ip in done["group"] and progress
+            await made.system.kill(victim)
             state = await status.read_state(where)
             assert spare.ip in [ip_of(name) for name in state["chain"]] and len(state["group"]) == 3
             assert (await read_back(made.edges[0])).status == 200
