--- a/cypressbeam/consensus/failure_detection.py
+++ b/cypressbeam/consensus/failure_detection.py
@@ -46,7 +46,7 @@
     promised: int
     disk_works: bool
     disk_state: int
-    alive_s: float
+    last_alive_s: float
     """When the newest heartbeat that the peer echoed was sent."""
     stored_epoch: int
     """The epoch of the newest view on the peer's disk."""
@@ -81,14 +81,19 @@
     def is_alive(self, ip: str, now_s: float) -> bool:
         """Whether the peer at an address is alive, whatever its name."""
         peer = self.peers.get(ip)
-        return peer is not None and now_s - peer.alive_s <= FAILURE_TIMEOUT_S
+        return peer is not None and now_s - peer.last_alive_s <= FAILURE_TIMEOUT_S
 
     def is_available(self, name: str, now_s: float) -> bool:
         """Whether a member is alive and its disk works, as far as this machine knows."""
         if name == self.state.name:
             return self.own_disk_works(now_s)
         peer = self.peers.get(ip_of(name))
-        return peer is not None and peer.name == name and peer.disk_works and now_s - peer.alive_s <= FAILURE_TIMEOUT_S
+        return (
+            peer is not None
+            and peer.name == name
+            and peer.disk_works
+            and now_s - peer.last_alive_s <= FAILURE_TIMEOUT_S
+        )
 
     def is_empty(self, name: str, now_s: float) -> bool:
         """Whether a member is available and has no view on disk yet. It cannot promise, and joins a chain without a
@@ -104,7 +109,12 @@
         renamed = {}
         for name in view.group:
             peer = self.peers.get(ip_of(name))
-            if peer is not None and peer.name != name and peer.disk_works and now_s - peer.alive_s <= FAILURE_TIMEOUT_S:
+            if (
+                peer is not None
+                and peer.name != name
+                and peer.disk_works
+                and now_s - peer.last_alive_s <= FAILURE_TIMEOUT_S
+            ):
                 renamed[name] = peer.name
         return renamed
 
@@ -113,13 +123,13 @@
         view = self.state.view
         if view is None:
             return NEVER_S
-        times_s = [now_s if name == self.state.name else self.alive_s(name) for name in view.group]
+        times_s = [now_s if name == self.state.name else self.last_alive_s(name) for name in view.group]
         return sorted(times_s, reverse=True)[self.state.quorum_size(view.group) - 1]
 
-    def alive_s(self, name: str) -> float:
+    def last_alive_s(self, name: str) -> float:
         """When a member with this name was last known to be alive."""
         peer = self.peers.get(ip_of(name))
-        return peer.alive_s if peer is not None and peer.name == name else NEVER_S
+        return peer.last_alive_s if peer is not None and peer.name == name else NEVER_S
 
     def has_quorum_contact(self, now_s: float) -> bool:
         """Whether a majority of the group is reachable."""
@@ -180,16 +190,16 @@
         """Record the heartbeat of a peer."""
         ip = ip_of(frame.name)
         previous = self.peers.get(ip)
-        alive_s = self.echoed_s(frame, now_s)
+        last_alive_s = self.echoed_s(frame, now_s)
         if previous is not None and previous.name == frame.name:
-            alive_s = max(alive_s, previous.alive_s)
+            last_alive_s = max(last_alive_s, previous.last_alive_s)
         self.peers[ip] = PeerLiveness(
             frame.name,
             frame.epoch,
             frame.promised,
             bool(frame.disk_flags),
             frame.disk_state,
-            alive_s,
+            last_alive_s,
             frame.stored_epoch,
             frame.stored_number,
         )
--- a/lab/rules_core.py
+++ b/lab/rules_core.py
@@ -481,8 +481,8 @@
     state_rule(
         "contact is with members by their names",
         FAILURE_DETECTION,
-        "return peer.alive_s if peer is not None and peer.name == name else NEVER_S",
-        "return peer.alive_s if peer is not None else NEVER_S",
+        "return peer.last_alive_s if peer is not None and peer.name == name else NEVER_S",
+        "return peer.last_alive_s if peer is not None else NEVER_S",
     ),
     state_rule(
         "a pulse is answered at once",
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -109,7 +109,7 @@
         core.last_turn_s -= 20.0
         replica.leadership.last_active_tail_s -= 20.0
         for peer in replica.failure_detector.peers.values():
-            peer.alive_s -= 20.0
+            peer.last_alive_s -= 20.0
     sequence = node.tree.endpoints.endpoints.sequence
     cluster.at(node, core.take_list, [])
     assert (node.tree.endpoints.endpoints.sequence != sequence) is not paused
--- a/tests/test_core_rules.py
+++ b/tests/test_core_rules.py
@@ -103,7 +103,7 @@
     exchange_heartbeats(
         replica, now_s, heartbeat("c/7", epoch=0, promised=0, stored_epoch=0, stored_number=0, disk_state=0)
     )
-    replica.failure_detector.peers["b"].alive_s = NEVER_S
+    replica.failure_detector.peers["b"].last_alive_s = NEVER_S
     replica.proposer.propose(now_s)
     assert replica.proposer.proposal is not None and replica.proposer.proposal.new_group == ("a/0", "b/0", "c/7")
     assert replica.proposer.on_promise(promise("a/0", replica.proposer.proposal.epoch), now_s) == []
@@ -273,8 +273,8 @@
 def test_quorum_contact_counts_members_by_name_and_dates_from_the_echoed_heartbeat() -> None:
     replica = idle_world().replicas["a"]
     for peer in replica.failure_detector.peers.values():
-        peer.alive_s = 5.0
-    replica.failure_detector.peers["b"].alive_s = 8.0
+        peer.last_alive_s = 5.0
+    replica.failure_detector.peers["b"].last_alive_s = 8.0
     assert replica.failure_detector.last_quorum_contact_s(20.0) == 8.0
     replica.failure_detector.peers["b"].name = "b/9"
     assert replica.failure_detector.last_quorum_contact_s(20.0) == 5.0
@@ -293,7 +293,7 @@
         (world.now_s + VIEW_CHANGE_GRACE_S + 0.1, False),
     ):
         for peer in replica.failure_detector.peers.values():
-            peer.alive_s = at_s
+            peer.last_alive_s = at_s
         assert replica.leadership.holds_lease(at_s) is holds
     replica.leadership.is_leader = False
     assert not replica.leadership.holds_lease(world.now_s)
--- a/tests/test_disk_rules.py
+++ b/tests/test_disk_rules.py
@@ -41,7 +41,9 @@
     peer = replica.failure_detector.peers["b"]
     effects = exchange_heartbeats(replica, now_s + 0.2, replace(REPORTED, sequence=5, **LOWER_FIELDS[what]))
     assert (
-        replica.failure_detector.peers["b"] is peer and peer.alive_s == now_s and replica.rollback.rejected == {"b/0"}
+        replica.failure_detector.peers["b"] is peer
+        and peer.last_alive_s == now_s
+        and replica.rollback.rejected == {"b/0"}
     )
     notice, answer = told(effects)
     assert notice == frames.RollbackNotice("b/0", 3, 9, 256, 256, 1) and answer.echoed_sequence == 5
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -241,7 +241,7 @@
     manager, replica = world.replacements[newest_view(world).head], world.replicas[newest_view(world).head]
     assert list(manager.silence.since_s) == [victim]
     for peer in replica.failure_detector.peers.values():  # old heartbeats, all read when the head resumes
-        peer.alive_s += 30.0 if peer.name != f"{victim}/0" else 0.0
+        peer.last_alive_s += 30.0 if peer.name != f"{victim}/0" else 0.0
     assert manager.membership.is_active_head(world.now_s + 30.0)
     manager.tick(world.now_s + 30.0)
     assert not manager.silence.since_s and manager.next_change(world.now_s + 30.0) is None
--- a/tests/test_replacement_rules.py
+++ b/tests/test_replacement_rules.py
@@ -66,5 +66,5 @@
     first, second = (replica.failure_detector.peers[ip_of(name)] for name in others)
     first.epoch = replica.state.view.epoch
     assert manager.successors_lack_view(world.now_s)
-    second.alive_s -= 10.0  # falls silent
+    second.last_alive_s -= 10.0  # falls silent
     assert not manager.successors_lack_view(world.now_s)
