--- a/cypressbeam/consensus/membership.py
+++ b/cypressbeam/consensus/membership.py
@@ -29,7 +29,7 @@
 
 #: Kinds of change.
 ADD, REMOVE, REPLACE = 1, 2, 3
-KINDS = {"add": ADD, "remove": REMOVE, "replace": REPLACE}
+CHANGE_KINDS = {"add": ADD, "remove": REMOVE, "replace": REPLACE}
 #: Each member adds one disk sync to the latency of a write.
 MAX_MEMBERS = 9
 #: How often the newest entry is resent to a spare while a change waits for it.
@@ -42,7 +42,7 @@
 MAX_SPARE_LAG_ENTRIES = 1
 
 #: Statuses of a change, as HTTP status codes.
-DONE, WAITS, NOT_FOUND, REFUSED, GROUP_CHANGED = 200, 202, 404, 409, 412
+DONE, PENDING, NOT_FOUND, REFUSED, GROUP_CHANGED = 200, 202, 404, 409, 412
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeDecision:
-    """The status of a change. With `WAITS` it may also name the group to propose, or the address of the spare to
+    """The status of a change. With `PENDING` it may also name the group to propose, or the address of the spare to
     bring up to date."""
 
     status: int
@@ -91,7 +91,7 @@
 
 def validate_change(change: MembershipChange) -> ChangeDecision | None:
     """Why a change is invalid, if it is. Does not depend on the state, so a retried request gets the same answer."""
-    if change.kind not in KINDS.values() or not change.base:
+    if change.kind not in CHANGE_KINDS.values() or not change.base:
         return ChangeDecision(REFUSED, "add, remove or replace, and the group that it is for")
     if change.kind in (ADD, REPLACE) and change.new in change.base:
         return ChangeDecision(REFUSED, f"{change.new} is a member already")
@@ -123,8 +123,8 @@
     if len(state.view.group) >= MAX_MEMBERS:
         return ChangeDecision(REFUSED, f"a group has {MAX_MEMBERS} members at most")
     if name not in state.caught_up:
-        return ChangeDecision(WAITS, f"{ip} is brought level", catch_up=ip)
-    return ChangeDecision(WAITS, f"{ip} is taken in", (*state.view.group, name))
+        return ChangeDecision(PENDING, f"{ip} is brought level", catch_up=ip)
+    return ChangeDecision(PENDING, f"{ip} is taken in", (*state.view.group, name))
 
 
 def decide_remove(ip: str, state: MembershipState) -> ChangeDecision:
@@ -138,7 +138,7 @@
         )
     if len(chain) < min_copies:
         return ChangeDecision(REFUSED, f"{len(chain)} whole copies would be left; {min_copies} are needed")
-    return ChangeDecision(WAITS, f"{ip} is let go", group)
+    return ChangeDecision(PENDING, f"{ip} is let go", group)
 
 
 class MembershipManager:
--- a/cypressbeam/node/control_api.py
+++ b/cypressbeam/node/control_api.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from cypressbeam.consensus.membership import KINDS
+from cypressbeam.consensus.membership import CHANGE_KINDS
 from cypressbeam.node.state_query import JSON, STATE, StateQuery
 from cypressbeam.protocol import frames
 from cypressbeam.protocol.address import Address
@@ -140,7 +140,7 @@
         except (msgspec.DecodeError, msgspec.ValidationError) as err:
             raise BadRequestError(400, f"System.Members: {err}") from None
         frame = frames.MembershipChangeRequest(
-            request_id, self.ip, KINDS.get(request.change, 0), request.old, request.new, tuple(request.base)
+            request_id, self.ip, CHANGE_KINDS.get(request.change, 0), request.old, request.new, tuple(request.base)
         )
         try:
             frame.check()
--- a/lab/membership_churn.py
+++ b/lab/membership_churn.py
@@ -75,7 +75,7 @@
     def answer(self, frame: frames.Frame) -> None:
         if not isinstance(frame, frames.MembershipChangeStatus):
             super().answer(frame)
-        elif frame.status != membership.WAITS:
+        elif frame.status != membership.PENDING:
             self.asked[frame.request_id].status = frame.status
 
     def step(self) -> None:
@@ -209,7 +209,7 @@
         if change.kind != REPLACE or now != change.base or new is None:
             return real(change, known)
         kept = tuple(name for name in known.view.group if ip_of(name) != change.old)
-        return membership.ChangeDecision(membership.WAITS, "at once", (*kept, new))
+        return membership.ChangeDecision(membership.PENDING, "at once", (*kept, new))
 
     real = membership.next_step
     patch(membership.MembershipChange, "steps", steps)
--- a/lab/mutation.py
+++ b/lab/mutation.py
@@ -60,7 +60,7 @@
     found = text.count(rule.text)
     if found != 1:
         raise RuleListError(f"{rule.name}: its text is {found} times in {rule.file}, not once")
-    return text.replace(rule.text, rule.instead)
+    return text.replace(rule.text, rule.replacement)
 
 
 @contextmanager
--- a/lab/rules.py
+++ b/lab/rules.py
@@ -18,7 +18,7 @@
     file: str
     text: str
     """The source that implements the rule. It occurs exactly once in the file."""
-    instead: str
+    replacement: str
     """What replaces `text` in the mutant."""
     tests: tuple[str, ...]
     """Test files or node ids. At least one of these tests must fail on the mutant."""
--- a/lab/rules_orders.py
+++ b/lab/rules_orders.py
@@ -8,9 +8,9 @@
     CONFIGURATION,
     CONFIGURATION_REPLICA,
     CONSENSUS_REPLICA,
-    CONTROL,
+    CONTROL_API,
     DEDUPLICATION,
-    GATE,
+    GATEWAY,
     REPAIR,
     ROUTING,
     STATE,
@@ -276,28 +276,28 @@
     ),
     orders(
         "an edge node forwards a body that it can't read",
-        CONTROL,
+        CONTROL_API,
         "        # The head judges whether it is valid",
         '        if not message.body.startswith(b"\\xa4"):\n'
         '            raise BadRequestError(400, "no configuration")\n'
         "        # The head judges whether it is valid",
     ),
-    orders("an edge node rejects a base that is not a number", CONTROL, "or not given[0].isdigit()", ""),
+    orders("an edge node rejects a base that is not a number", CONTROL_API, "or not given[0].isdigit()", ""),
     orders(
         "an edge node rejects a base above the highest revision",
-        CONTROL,
+        CONTROL_API,
         "len(given[0]) > 19 or int(given[0]) > MAX_REVISION:",
         "len(given[0]) > 19:",
     ),
     orders(
         "an edge node forwards any base up to the highest revision",
-        CONTROL,
+        CONTROL_API,
         "len(given[0]) > 19 or int(given[0]) > MAX_REVISION:",
         "len(given[0]) > 18:",
     ),
     orders(
         "a call is resent until its timeout",
-        CONTROL,
+        CONTROL_API,
         "        self.loop.call_later(\n"
         "            min(RESEND_INTERVAL_S, max(call.deadline_s - self.loop.time(), 0.001)), self.send_pending, name\n"
         "        )\n",
@@ -305,7 +305,7 @@
     ),
     orders(
         "a call gets 503 after its timeout",
-        CONTROL,
+        CONTROL_API,
         "        if self.loop.time() >= call.deadline_s:",
         "        if False:",
     ),
@@ -419,21 +419,21 @@
     ),
     orders(
         "the balancer of a new service knows its servers immediately",
-        GATE,
+        GATEWAY,
         "                self.notify_servers(service)\n            elif",
         "            elif",
         ROUTES,
     ),
     orders(
         "servers listed later reach the balancer",
-        GATE,
+        GATEWAY,
         "        for service in changed_services:\n            self.notify_servers(service)\n",
         "",
         ROUTES,
     ),
     orders(
         "a balancer learns of new kinds of requests",
-        GATE,
+        GATEWAY,
         "                host.handle(it.SettingsChanged(settings))\n",
         "                pass\n",
         ROUTES,
--- a/tests/core_parts.py
+++ b/tests/core_parts.py
@@ -16,10 +16,10 @@
 
 GROUP = ("a/0", "b/0", "c/0")
 VIEW = View(256, GROUP, GROUP)
-ONE, TWO = Entry(1, 256, 10, 0, b"10:x"), Entry(2, 256, 20, 10, b"20:x")
+ENTRY_1, ENTRY_2 = Entry(1, 256, 10, 0, b"10:x"), Entry(2, 256, 20, 10, b"20:x")
 
 
-def member(ip: str, last: Entry | None = None, committed: int = 0, **changes: Any) -> ChainReplica:
+def chain_member(ip: str, last: Entry | None = None, committed: int = 0, **changes: Any) -> ChainReplica:
     """A member of an active chain, with some attributes changed."""
     replica = ChainReplica(ip, VIEW, invariants.revision, invariants.digest, last, active=True, committed=committed)
     for name, value in changes.items():
@@ -27,11 +27,11 @@
     return replica
 
 
-def forward(entry: Entry, epoch: int = 256) -> frames.ForwardEntry:
+def forward_frame(entry: Entry, epoch: int = 256) -> frames.ForwardEntry:
     return frames.ForwardEntry(epoch, entry.number, entry.revision, entry.base, entry.body, 7, CLIENT)
 
 
-def told(effects: list[Any], kind: type[frames.Frame] = frames.Frame) -> list[Any]:
+def sent_frames(effects: list[Any], kind: type[frames.Frame] = frames.Frame) -> list[Any]:
     """The frames of a kind that are sent by a list of effects."""
     return [effect.frame for effect in effects if isinstance(effect, SendMessage) and isinstance(effect.frame, kind)]
 
@@ -62,13 +62,13 @@
 
 def exchange_heartbeats(replica: Replica, now_s: float, *heartbeats: frames.ReplicaHeartbeat) -> list[Any]:
     """The effects at a machine when others echo a heartbeat of it."""
-    number = told(replica.heartbeat(now_s), frames.ReplicaHeartbeat)[0].sequence
+    number = sent_frames(replica.heartbeat(now_s), frames.ReplicaHeartbeat)[0].sequence
     return [
         effect for frame in heartbeats for effect in replica.on_heartbeat(replace(frame, echoed_sequence=number), now_s)
     ]
 
 
-def promise(name: str, epoch: int, entry: Entry = ONE, view: View = VIEW) -> frames.Promise:
+def promise(name: str, epoch: int, entry: Entry = ENTRY_1, view: View = VIEW) -> frames.Promise:
     return frames.Promise(
         epoch,
         name,
--- a/tests/test_chain_rules.py
+++ b/tests/test_chain_rules.py
@@ -11,73 +11,83 @@
 from cypressbeam.consensus.effects import PersistEntry, Publish
 from cypressbeam.consensus.views import Entry
 from cypressbeam.protocol import frames
-from tests.core_parts import ONE, TWO, VIEW, forward, member, told
+from tests.core_parts import ENTRY_1, ENTRY_2, VIEW, chain_member, forward_frame, sent_frames
 
 
 def test_an_entry_is_synced_before_it_is_forwarded_and_committed_only_by_the_tail() -> None:
     for ip in "bc":
-        replica = member(ip)
+        replica = chain_member(ip)
         assert (
-            replica.on_forward(forward(ONE), 0.0) == [PersistEntry(ONE)]
+            replica.on_forward(forward_frame(ENTRY_1), 0.0) == [PersistEntry(ENTRY_1)]
             and replica.last is None
             and replica.committed == 0
         )
-        effects = replica.entry_persisted(ONE, 0.0)
-        assert (Publish(ONE) in effects) is (ip == "c") is (replica.committed == 1)
-        frame_types = [type(frame).__name__ for frame in told(effects)]
+        effects = replica.entry_persisted(ENTRY_1, 0.0)
+        assert (Publish(ENTRY_1) in effects) is (ip == "c") is (replica.committed == 1)
+        frame_types = [type(frame).__name__ for frame in sent_frames(effects)]
         assert frame_types == (["WriteResult", "CommitNotice"] if ip == "c" else ["ForwardEntry"])
 
 
 @pytest.mark.parametrize(
     "changes",
-    [{"sealed": True}, {"active": False}, {"persisting": TWO}, {"last": TWO}, {"view": replace(VIEW, epoch=512)}],
+    [
+        {"sealed": True},
+        {"active": False},
+        {"persisting": ENTRY_2},
+        {"last": ENTRY_2},
+        {"view": replace(VIEW, epoch=512)},
+    ],
 )
 def test_only_the_next_entry_of_the_current_epoch_is_accepted(changes: dict[str, Any]) -> None:
-    replica = member("b", **changes)
+    replica = chain_member("b", **changes)
     before = replica.persisting
     entry = Entry(4 if replica.last else 1, 256, 40, 30, b"40:x")
-    assert replica.on_forward(forward(entry), 0.0) == [] and replica.persisting is before
+    assert replica.on_forward(forward_frame(entry), 0.0) == [] and replica.persisting is before
 
 
 def test_a_commit_notice_applies_to_stored_entries_of_the_current_epoch_and_is_passed_up_the_chain() -> None:
-    replica = member("b", TWO)
+    replica = chain_member("b", ENTRY_2)
     assert (
         replica.on_commit(frames.CommitNotice(512, 1), 0.0) == []
         and replica.on_commit(frames.CommitNotice(256, 3), 0.0) == []
     )
     assert replica.committed == 0
     assert (
-        told(replica.on_commit(frames.CommitNotice(256, 2), 0.0)) == [frames.CommitNotice(256, 2)]
+        sent_frames(replica.on_commit(frames.CommitNotice(256, 2), 0.0)) == [frames.CommitNotice(256, 2)]
         and replica.committed == 2
     )
-    sealed = member("b", TWO, sealed=True)
+    sealed = chain_member("b", ENTRY_2, sealed=True)
     assert sealed.on_commit(frames.CommitNotice(256, 2), 0.0) == [] and sealed.committed == 0
 
 
 def test_a_member_sealed_during_a_write_sends_nothing() -> None:
     for ip in "abc":
-        replica = member(ip, sealed=True, persisting=ONE)
-        assert replica.entry_persisted(ONE, 0.0) == [] and replica.last == ONE and replica.committed == 0
+        replica = chain_member(ip, sealed=True, persisting=ENTRY_1)
+        assert replica.entry_persisted(ENTRY_1, 0.0) == [] and replica.last == ENTRY_1 and replica.committed == 0
 
 
 def test_an_uncommitted_entry_is_resent_and_a_duplicate_of_a_committed_one_is_acknowledged() -> None:
-    replica = member("a", ONE, forwarded_s=5.0)
+    replica = chain_member("a", ENTRY_1, forwarded_s=5.0)
     assert replica.tick(5.0 + RESEND_INTERVAL_S / 2) == []
-    assert told(replica.tick(5.01 + RESEND_INTERVAL_S)) == [frames.ForwardEntry(256, 1, 10, 0, b"10:x", 0, "")]
-    assert member("a", ONE, 1).tick(9.0) == [] and member("a", ONE, sealed=True).tick(9.0) == []
-    assert told(member("b", ONE, 1).on_forward(forward(ONE), 0.0)) == [frames.CommitNotice(256, 1)]
-    assert told(member("b", ONE).on_forward(forward(ONE), 0.0), frames.ForwardEntry)
+    assert sent_frames(replica.tick(5.01 + RESEND_INTERVAL_S)) == [frames.ForwardEntry(256, 1, 10, 0, b"10:x", 0, "")]
+    assert chain_member("a", ENTRY_1, 1).tick(9.0) == [] and chain_member("a", ENTRY_1, sealed=True).tick(9.0) == []
+    assert sent_frames(chain_member("b", ENTRY_1, 1).on_forward(forward_frame(ENTRY_1), 0.0)) == [
+        frames.CommitNotice(256, 1)
+    ]
+    assert sent_frames(chain_member("b", ENTRY_1).on_forward(forward_frame(ENTRY_1), 0.0), frames.ForwardEntry)
 
 
 def test_a_tail_that_lacks_reported_entries_neither_publishes_nor_commits() -> None:
-    tail = member("c", ONE)
+    tail = chain_member("c", ENTRY_1)
     assert tail.activate(0.0, catch_up_target=2) == [] and tail.committed == 0
-    assert tail.on_forward(forward(TWO), 0.0) == [PersistEntry(TWO)]
-    assert Publish(TWO) in tail.entry_persisted(TWO, 0.0) and tail.is_caught_up()
-    caught_up = member("c", ONE)
-    assert caught_up.activate(0.0, catch_up_target=1) == [Publish(ONE)] and caught_up.committed == 1
+    assert tail.on_forward(forward_frame(ENTRY_2), 0.0) == [PersistEntry(ENTRY_2)]
+    assert Publish(ENTRY_2) in tail.entry_persisted(ENTRY_2, 0.0) and tail.is_caught_up()
+    caught_up = chain_member("c", ENTRY_1)
+    assert caught_up.activate(0.0, catch_up_target=1) == [Publish(ENTRY_1)] and caught_up.committed == 1
 
 
 def test_the_initial_entry_of_a_view_is_committed_on_activation() -> None:
-    head = member("a", TWO, view=replace(VIEW, initial_number=1))
-    assert told(head.activate(0.0)) == [frames.ForwardEntry(256, 2, 20, 10, b"20:x", 0, "")] and head.committed == 1
+    head = chain_member("a", ENTRY_2, view=replace(VIEW, initial_number=1))
+    assert (
+        sent_frames(head.activate(0.0)) == [frames.ForwardEntry(256, 2, 20, 10, b"20:x", 0, "")] and head.committed == 1
+    )
--- a/tests/test_core_rules.py
+++ b/tests/test_core_rules.py
@@ -18,7 +18,17 @@
 from cypressbeam.protocol import frames
 from lab.histories import invariants
 from lab.histories.network import CLIENT
-from tests.core_parts import GROUP, ONE, VIEW, accept, exchange_heartbeats, heartbeat, idle_world, promise, told
+from tests.core_parts import (
+    ENTRY_1,
+    GROUP,
+    VIEW,
+    accept,
+    exchange_heartbeats,
+    heartbeat,
+    idle_world,
+    promise,
+    sent_frames,
+)
 
 
 def test_a_promise_is_persisted_before_it_is_sent_seals_lower_epochs_and_never_decreases() -> None:
@@ -31,7 +41,7 @@
     assert replica.on_prepare(frames.Prepare(768, "c/0"), world.now_s) == []
     assert replica.on_prepare(frames.Prepare(2048, "c/0"), world.now_s)
     assert replica.promise_persisted(1024, "a", world.now_s) == []  # a later one is being written
-    assert told(replica.promise_persisted(2048, "c", world.now_s), frames.Promise)
+    assert sent_frames(replica.promise_persisted(2048, "c", world.now_s), frames.Promise)
 
 
 def test_a_machine_without_a_view_on_disk_does_not_promise() -> None:
@@ -87,7 +97,7 @@
     newer = Entry(2, 512, 95, 10, b"95:x")
     # The third member is alive and may still promise.
     assert replica.proposer.on_promise(promise("c/0", epoch, newer), world.now_s) == []
-    accepts = told(replica.proposer.conclude(world.now_s + PROMISE_WAIT_S + 0.01), frames.Accept)
+    accepts = sent_frames(replica.proposer.conclude(world.now_s + PROMISE_WAIT_S + 0.01), frames.Accept)
     assert (
         {frame.number for frame in accepts} == {2}
         and {frame.revision for frame in accepts} == {95}
@@ -119,7 +129,7 @@
     proposal = replica.proposer.proposal
     assert proposal is not None
     proposal.promises = {name: promise(name, proposal.epoch) for name in GROUP}
-    accepts = told(replica.proposer.decide(proposal, world.now_s), frames.Accept)
+    accepts = sent_frames(replica.proposer.decide(proposal, world.now_s), frames.Accept)
     assert {frame.chain for frame in accepts} == {("c/0", "b/0", "a/0")}
 
 
@@ -149,7 +159,7 @@
     assert replicas[0].state.highest_epoch == 5000
     for replica in replicas:
         replica.state.highest_epoch = 5000
-    epochs = [told(replica.proposer.propose(world.now_s), frames.Prepare)[0].epoch for replica in replicas]
+    epochs = [sent_frames(replica.proposer.propose(world.now_s), frames.Prepare)[0].epoch for replica in replicas]
     assert len(set(epochs)) == 3 and min(epochs) > 5000
 
 
@@ -186,7 +196,7 @@
         proposed: list[float] = []
         for tick in range(1, 12):
             effects = exchange_heartbeats(replica, tick / 10, *(heartbeat(other, stored_number=0) for other in others))
-            if told([*effects, *replica.tick(tick / 10)], frames.Prepare):
+            if sent_frames([*effects, *replica.tick(tick / 10)], frames.Prepare):
                 proposed.append(tick / 10)
         assert bool(proposed) is repairs and (not repairs or proposed[0] > 0.1 + REPAIR_DELAY_S)
 
@@ -227,7 +237,7 @@
 
 
 def answers_after_ack(replica: Replica, now_s: float, name: str = "a/0", epoch: int = 256) -> list[Any]:
-    return told(replica.reads.on_ack(frames.QuorumReadAck(epoch, 7, name), now_s))
+    return sent_frames(replica.reads.on_ack(frames.QuorumReadAck(epoch, 7, name), now_s))
 
 
 @pytest.mark.parametrize("why", ["", "late", "another epoch", "no member", "sealed", "behind", "not committed"])
@@ -235,7 +245,7 @@
     world = idle_world()
     replica, now_s = world.replicas["c"], world.now_s
     assert replica.state.chain is not None
-    assert len(told(replica.read(frames.ReadRequest(7, CLIENT), now_s), frames.QuorumReadCheck)) == 2
+    assert len(sent_frames(replica.read(frames.ReadRequest(7, CLIENT), now_s), frames.QuorumReadCheck)) == 2
     if why == "sealed":
         replica.state.chain.sealed = True
     elif why == "behind":
@@ -306,7 +316,7 @@
     world = idle_world()
     replica, now_s = world.replicas["b"], world.now_s
     view = replace(VIEW, epoch=512)
-    (write,) = replica.accept_view(view, ONE, {}, now_s)
+    (write,) = replica.accept_view(view, ENTRY_1, {}, now_s)
     assert isinstance(write, PersistView)
     replica.write_failed(write, now_s)
     assert not replica.disk_works(now_s) and replica.state.pending_view is None
--- a/tests/test_disk_rules.py
+++ b/tests/test_disk_rules.py
@@ -20,7 +20,7 @@
 from cypressbeam.storage.store import FILE_NAME, SqliteStore, StoreError
 from lab.histories import invariants
 from lab.histories.network import CLIENT
-from tests.core_parts import GROUP, VIEW, accept, exchange_heartbeats, heartbeat, idle_world, promise, told
+from tests.core_parts import GROUP, VIEW, accept, exchange_heartbeats, heartbeat, idle_world, promise, sent_frames
 
 #: What b has reported, and fields of heartbeats that report less.
 REPORTED = heartbeat("b/0", incarnation=3, draw=9)
@@ -45,12 +45,12 @@
         and peer.last_alive_s == now_s
         and replica.rollback.rejected == {"b/0"}
     )
-    notice, answer = told(effects)
+    notice, answer = sent_frames(effects)
     assert notice == frames.RollbackNotice("b/0", 3, 9, 256, 256, 1) and answer.echoed_sequence == 5
     replica.proposer.propose(now_s)
     assert replica.proposer.proposal is not None
     lower = promise("b/0", replica.proposer.proposal.epoch)  # of an earlier incarnation than the one reported
-    assert [type(frame) for frame in told(replica.proposer.on_promise(lower, now_s))] == [frames.RollbackNotice]
+    assert [type(frame) for frame in sent_frames(replica.proposer.on_promise(lower, now_s))] == [frames.RollbackNotice]
     assert not replica.proposer.proposal.promises
 
 
--- a/tests/test_member_rules.py
+++ b/tests/test_member_rules.py
@@ -12,19 +12,19 @@
 from cypressbeam.consensus.views import Entry
 from cypressbeam.protocol import frames
 from lab.histories import invariants
-from tests.core_parts import GROUP, ONE, VIEW, exchange_heartbeats, heartbeat, idle_world, told
+from tests.core_parts import ENTRY_1, GROUP, VIEW, exchange_heartbeats, heartbeat, idle_world, sent_frames
 
 NEW = "d/7"
 
 
 def catch_up(**changes: object) -> frames.CatchUp:
-    return replace(frames.CatchUp(NEW, "a", 256, GROUP, GROUP, 1, 256, 10, 0, ONE.body, b""), **changes)  # type: ignore
+    return replace(frames.CatchUp(NEW, "a", 256, GROUP, GROUP, 1, 256, 10, 0, ENTRY_1.body, b""), **changes)  # type: ignore
 
 
 def spare_replica() -> Replica:
     """A spare that has a view on disk in which it is not a member."""
     replica = Replica(NEW, 2, invariants.revision, invariants.digest, lambda: 0.5)
-    replica.load(VIEW, 256, ONE, {}, 0.0)
+    replica.load(VIEW, 256, ENTRY_1, {}, 0.0)
     assert replica.state.disk_state == DiskState.LEARNER
     return replica
 
@@ -51,8 +51,8 @@
 @pytest.mark.parametrize("wrong", [{"name": "d/8"}, {"group": (*GROUP, NEW)}, {"epoch": 255}])
 def test_a_spare_acknowledges_only_its_own_catch_up_for_a_current_view_without_it(wrong: dict[str, object]) -> None:
     membership = MembershipManager(spare_replica(), 1)
-    (answer,) = told(membership.on_catch_up(catch_up(), 0.0))
-    assert answer == frames.CatchUpAck(NEW, 256, 1, invariants.digest(ONE.body))
+    (answer,) = sent_frames(membership.on_catch_up(catch_up(), 0.0))
+    assert answer == frames.CatchUpAck(NEW, 256, 1, invariants.digest(ENTRY_1.body))
     assert membership.on_catch_up(catch_up(**wrong), 0.0) == []
 
 
