--- a/lab/rules_replacement.py
+++ b/lab/rules_replacement.py
@@ -24,104 +24,106 @@
 
 REPLACEMENT_RULES = (
     replacement_rule(
-        "every member counts the silence of the others",
+        "every member tracks how long the others are silent",
         "        self.silence.update(others, self.replica.failure_detector.is_alive, now_s)\n",
         "        if self.membership.is_active_head(now_s):\n"
         "            self.silence.update(others, self.replica.failure_detector.is_alive, now_s)\n",
     ),
     replacement_rule(
-        "a process that stood still begins to count anew",
+        "a paused process counts silence from zero",
         "        if paused:\n            self.since_s.clear()\n",
         "",
     ),
     replacement_rule(
-        "so does one without a majority in reach",
+        "a member without a reachable majority counts no silence",
         "if not was_running or not self.has_quorum(now_s):",
         "if not was_running:",
     ),
     replacement_rule(
-        "only the head replaces",
+        "only the head replaces members",
         '        if not self.membership.is_active_head(now_s):\n            self.status = ""\n            return []\n',
         "",
     ),
     replacement_rule(
-        "a replacement after 0 s is none",
+        "a replacement delay of 0 s disables replacement",
         "self.silence.silent_for(self.replace_after_s, now_s) if self.replace_after_s else []",
         "self.silence.silent_for(self.replace_after_s, now_s)",
     ),
     replacement_rule(
-        "spares that were never members go before former ones",
+        "spares that were never members are preferred",
         "key=lambda ip: (peers[ip].disk_state == DiskState.VOTER, ip)",
         "key=lambda ip: ip",
     ),
     replacement_rule(
-        "a replacement that was begun goes on though the member is back",
+        "a started replacement continues although the member returned",
         "            return self.second_step(pending)\n",
         "            pass\n",
     ),
     replacement_rule(
-        "a spare that has fallen silent meanwhile is taken out again",
+        "a spare that falls silent during a replacement is removed again",
         "if pending.new in silent and pending.old not in silent:",
         "if False:",
     ),
     replacement_rule(
-        "but only where the member is back",
+        "a silent spare is removed only if the old member returned",
         "if pending.new in silent and pending.old not in silent:",
         "if pending.new in silent:",
     ),
     replacement_rule(
-        "a group of an even number removes its silent member",
+        "an even group removes its silent member",
         "        if self.has_surplus_member(group):\n            return MembershipChange(REMOVE, silent[0]",
         "        if False:\n            return MembershipChange(REMOVE, silent[0]",
     ),
     replacement_rule(
-        "unless it is no larger than the least",
+        "an even group of the minimum size removes no member",
         "return len(group) > min_members and len(group) % 2 == 0",
         "return len(group) % 2 == 0",
     ),
     replacement_rule(
-        "a group of an odd number removes nobody without a spare in the place",
+        "an odd group removes no member without a replacement",
         "return len(group) > min_members and len(group) % 2 == 0",
         "return len(group) > min_members",
     ),
     replacement_rule(
-        "a new spare is brought level at once",
+        "a new spare catches up at once",
         "new = self.replica.failure_detector.peers[ip].disk_state == DiskState.EMPTY",
         "new = False",
     ),
     replacement_rule(
-        "a machine that leaves is no spare",
+        "a draining machine is not a spare",
         "return self.disk_works(now_s) and (self.state.is_voter() or not self.is_draining)",
         "return self.disk_works(now_s)",
         CONSENSUS_REPLICA,
     ),
     replacement_rule(
-        "but serves its group to the end",
+        "a draining member serves its group until it is replaced",
         "return self.disk_works(now_s) and (self.state.is_voter() or not self.is_draining)",
         "return self.disk_works(now_s) and not self.is_draining",
         CONSENSUS_REPLICA,
     ),
     replacement_rule(
-        "who leaves waits for nothing without a spare",
+        "a draining member without a spare waits for nothing",
         "return MembershipChange(REPLACE, own, spares[0], group) if spares else None",
         'return MembershipChange(REPLACE, own, spares[0] if spares else "", group)',
     ),
     replacement_rule(
-        "nor without a majority in reach", "        if not self.has_quorum(now_s):\n            return None\n", ""
+        "a draining member without a reachable majority waits for nothing",
+        "        if not self.has_quorum(now_s):\n            return None\n",
+        "",
     ),
     replacement_rule(
-        "who has left waits until its successors hold their view",
+        "a removed member waits until its successors have persisted their view",
         "        return any(\n"
         "            self.replica.failure_detector.is_alive(ip, now_s) and peers[ip].epoch < view.epoch",
         "        return any(False and peers[ip].epoch < view.epoch",
     ),
     replacement_rule(
-        "for those that are heard",
+        "a removed member waits only for live successors",
         "return any(\n            self.replica.failure_detector.is_alive(ip, now_s) and peers[ip].epoch < view.epoch",
         "return any(ip in peers and peers[ip].epoch < view.epoch",
     ),
     replacement_rule(
-        "a member has no successors",
+        "a member of the group has no successors to wait for",
         "        if view is None or self.replica.name in view.group:\n            return False\n",
         "",
     ),
