--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -151,9 +151,9 @@
                 while (got := await ask(edge, "/book/2", "b2", "PUT", body=body)).status == 200:
                     await asyncio.sleep(0)  # the first one's bytes are still on their way
             assert got.status == 503 and got.header(b"retry-after") == b"1"
-            assert "refused a request: 503: too many bodies at once" in log_of(edge)
+            assert "request rejected: 503: too many bodies at once" in log_of(edge)
             assert (await ask(edge, "/book/3", "b3", "PUT", body=body * 2)).status == 413
-            assert "refused a request: 413: the body is too large" in log_of(edge)
+            assert "request rejected: 413: the body is too large" in log_of(edge)
             assert first.writer is not None
             first.writer.write(body[-1:])
             assert (await within_timeout(answered)).status == 200
@@ -181,7 +181,7 @@
                 held[-1].writer.write((whole % number)[:-1])  # within a second request: it keeps its place
             refused = await ask(edge, ident="one-too-many")
             assert refused.status == 503 and refused.header(b"retry-after") == b"0.5"
-            assert "all 12 client connections are in use: no room for another" in log_of(edge)
+            assert "all 12 client connections are in use, rejecting a new one" in log_of(edge)
             for connection in held:
                 assert (await connection.call(b"b", 20.0)).status == 200
                 connection.close()
