--- a/cypressbeam/standalone/discovery.py
+++ b/cypressbeam/standalone/discovery.py
@@ -12,7 +12,7 @@
 from cypressbeam.balancing.interface import ServerEntry, ServerState
 from cypressbeam.protocol.address import Address, read_address
 from cypressbeam.proxy.http_client import HttpClient
-from cypressbeam.standalone.simulator import STATES
+from cypressbeam.standalone.simulator import SERVER_STATES
 
 log = logging.getLogger(__name__)
 
@@ -52,7 +52,7 @@
     weight = row.get("weight", 1.0)
     if not isinstance(name, str) or not name:
         raise ValueError(f"instanceId: a name is needed, not {name!r}")
-    if state not in STATES:
+    if state not in SERVER_STATES:
         raise ValueError(f"{name}: lifecycle: unknown value {state!r}")
     if not isinstance(started, (int, float)) or not 0 <= started < 1e15:
         raise ValueError(f"{name}: startedAtMs: a time is needed, not {started!r}")
@@ -63,7 +63,7 @@
         server=name,
         zone=str(row.get("zone", "")),
         cell=cell if isinstance(cell, int) else 0,
-        state=STATES[state],
+        state=SERVER_STATES[state],
         weight=float(weight),
         started_us=int(started * 1000),
     )
--- a/cypressbeam/standalone/profile.py
+++ b/cypressbeam/standalone/profile.py
@@ -1,7 +1,6 @@
-"""The settings that a proxy is told when it starts, read from paths and their text.
+"""Parses the balancer settings of a proxy from a flat mapping of setting paths to text values.
 
-One reading for all who give them: the simulator's wire (cypressbeam/standalone/simulator.py) and a real node's
-configuration.
+Shared by the simulator adapter (cypressbeam/standalone/simulator.py) and the configuration file of a standalone node.
 """
 
 from __future__ import annotations
@@ -14,39 +13,43 @@
 
 T = TypeVar("T")
 
-REPEATS = {"read_like": it.Repeat.SAFE, "idempotency_key": it.Repeat.KEYED, "non_idempotent": it.Repeat.UNSAFE}
-GROUPS = {"all": it.Group.ALL, "zone": it.Group.ZONE, "cell": it.Group.CELL}
-WEIGHTS = {
+REPEAT_BY_SEMANTICS = {
+    "read_like": it.Repeat.SAFE,
+    "idempotency_key": it.Repeat.KEYED,
+    "non_idempotent": it.Repeat.UNSAFE,
+}
+DEDUPLICATION_GROUPS = {"all": it.Group.ALL, "zone": it.Group.ZONE, "cell": it.Group.CELL}
+WEIGHT_MEANINGS = {
     "none": it.WeightMeaning.NONE,
     "nominal": it.WeightMeaning.SIZE,
     "rough": it.WeightMeaning.SIZE,
     "live": it.WeightMeaning.LIVE,
 }
-MODES = {"push": False, "ask": True}
-BOOLS = {"true": True, "false": False, "1": True, "0": False}
-REPORT_VIA = {"answers": True, "probe": False, "none": False}
+MUST_SUBSCRIBE_BY_MODE = {"push": False, "ask": True}
+BOOLEANS = {"true": True, "false": False, "1": True, "0": False}
+REPORTS_IN_ANSWERS = {"answers": True, "probe": False, "none": False}
 
 
 class ProfileError(CypressbeamError, ValueError):
-    """A setting that cannot be read: its path, and why."""
+    """An invalid setting: its path and the reason."""
 
-    def __init__(self, path: str, why: str) -> None:
-        super().__init__(f"{path}: {why}")
+    def __init__(self, path: str, reason: str) -> None:
+        super().__init__(f"{path}: {reason}")
         self.path = path
-        self.why = why
+        self.reason = reason
 
 
-def read_integer(text: str, path: str, least: int | None = None) -> int:
+def parse_integer(text: str, path: str, minimum: int | None = None) -> int:
     try:
         value = int(text)
     except ValueError:
         raise ProfileError(path, f"a whole number is needed, not {text!r}") from None
-    if least is not None and value < least:
-        raise ProfileError(path, f"at least {least} is needed, not {value}")
+    if minimum is not None and value < minimum:
+        raise ProfileError(path, f"at least {minimum} is needed, not {value}")
     return value
 
 
-def read_number(text: str, path: str) -> float:
+def parse_number(text: str, path: str) -> float:
     try:
         value = float(text)
     except ValueError:
@@ -56,14 +59,14 @@
     return value
 
 
-def read_choice(text: str, path: str, among: Mapping[str, T]) -> T:
-    if text not in among:
-        raise ProfileError(path, f"unknown value {text!r}; known are {', '.join(among)}")
-    return among[text]
+def parse_choice(text: str, path: str, choices: Mapping[str, T]) -> T:
+    if text not in choices:
+        raise ProfileError(path, f"unknown value {text!r}; known are {', '.join(choices)}")
+    return choices[text]
 
 
 class Profile:
-    """Settings by path; unknown paths are left alone."""
+    """Settings by path. Unknown paths are ignored; an empty value or `-` means the default."""
 
     def __init__(self, values: Mapping[str, str]) -> None:
         self.values = values
@@ -74,34 +77,34 @@
 
     def integer(self, path: str, default: int) -> int:
         text = self.text(path, "")
-        return read_integer(text, path, 0) if text else default
+        return parse_integer(text, path, 0) if text else default
 
     def number(self, path: str, default: float) -> float:
         text = self.text(path, "")
-        return read_number(text, path) if text else default
+        return parse_number(text, path) if text else default
 
-    def choice(self, path: str, among: Mapping[str, T], default: T) -> T:
+    def choice(self, path: str, choices: Mapping[str, T], default: T) -> T:
         text = self.text(path, "")
-        return read_choice(text, path, among) if text else default
+        return parse_choice(text, path, choices) if text else default
 
     def settings(self) -> it.Settings:
         classes = []
         for i in range(self.integer("classes.count", 0)):
-            at = f"classes.{i}."
-            if not self.text(at + "semantics", ""):
-                raise ProfileError(at + "semantics", "a value is needed")
+            prefix = f"classes.{i}."
+            if not self.text(prefix + "semantics", ""):
+                raise ProfileError(prefix + "semantics", "a value is needed")
             classes.append(
                 it.RequestClass(
-                    name=self.text(at + "name", str(i)),
-                    repeat=self.choice(at + "semantics", REPEATS, it.Repeat.UNSAFE),
-                    latency_target_us=self.integer(at + "objectiveUs", 0),
-                    deadline_us=self.integer(at + "deadlineUs", 0),
-                    group=self.choice(at + "group", GROUPS, it.Group.ALL),
-                    window_us=self.integer(at + "dedupWindowUs", 0),
-                    value=self.number(at + "value", 1.0),
-                    late_value=self.number(at + "lateWorth", 0.0),
-                    streamed=self.choice(at + "streamed", BOOLS, False),
-                    latency_target_stretch=self.number(at + "aimStretch", 0.0),
+                    name=self.text(prefix + "name", str(i)),
+                    repeat=self.choice(prefix + "semantics", REPEAT_BY_SEMANTICS, it.Repeat.UNSAFE),
+                    latency_target_us=self.integer(prefix + "objectiveUs", 0),
+                    deadline_us=self.integer(prefix + "deadlineUs", 0),
+                    group=self.choice(prefix + "group", DEDUPLICATION_GROUPS, it.Group.ALL),
+                    window_us=self.integer(prefix + "dedupWindowUs", 0),
+                    value=self.number(prefix + "value", 1.0),
+                    late_value=self.number(prefix + "lateWorth", 0.0),
+                    streamed=self.choice(prefix + "streamed", BOOLEANS, False),
+                    latency_target_stretch=self.number(prefix + "aimStretch", 0.0),
                 )
             )
         tenants = {}
@@ -122,19 +125,19 @@
             proxies=self.integer("siblings", 1),
             own_name=self.integer("me", 0),
             zone=self.text("myZone", ""),
-            must_subscribe=self.choice("membershipMode", MODES, False),
-            may_cancel=self.choice("bounds.cancelling", BOOLS, False),
-            may_overlap=self.choice("bounds.secondCopies", BOOLS, False),
-            may_probe=self.choice("bounds.probes", BOOLS, False),
-            may_message=self.choice("bounds.mayTell", BOOLS, False),
-            retry_advice=self.choice("bounds.retryAfter", BOOLS, False),
+            must_subscribe=self.choice("membershipMode", MUST_SUBSCRIBE_BY_MODE, False),
+            may_cancel=self.choice("bounds.cancelling", BOOLEANS, False),
+            may_overlap=self.choice("bounds.secondCopies", BOOLEANS, False),
+            may_probe=self.choice("bounds.probes", BOOLEANS, False),
+            may_message=self.choice("bounds.mayTell", BOOLEANS, False),
+            retry_advice=self.choice("bounds.retryAfter", BOOLEANS, False),
             max_attempts=self.integer("bounds.maxAttempts", 1),
             max_advice_us=self.integer("bounds.maxRetryAfterUs", 0),
-            warm_keys=self.choice("familyInfo.warmKeys", BOOLS, False),
-            weights=self.choice("weights", WEIGHTS, it.WeightMeaning.NONE),
+            warm_keys=self.choice("familyInfo.warmKeys", BOOLEANS, False),
+            weights=self.choice("weights", WEIGHT_MEANINGS, it.WeightMeaning.NONE),
             value_is_per_work=self.text("worthBy", "request") == "work",
             reports=reports,
-            reports_in_answers=self.choice("report.via", REPORT_VIA, False),
+            reports_in_answers=self.choice("report.via", REPORTS_IN_ANSWERS, False),
             prices=prices,
             drain_grace_us=self.integer("safety.drainGraceUs", 0),
             ask_within_us=self.integer("safety.askWithinUs", 10_000_000),
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter: round trips of every event and action, and each kind of bad input by its text."""
+"""The simulator adapter: every event and action, and the error message for each kind of invalid input."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import pytest
 
-from cypressbeam import balancing as pr
+from cypressbeam import balancing
 from cypressbeam.standalone import simulator
 
 SETTINGS = (
@@ -19,28 +19,28 @@
 LIST = "SYNC 0 1 SAVED 1\nM 10.0.0.1:80 z k 0 active 1 -"
 
 
-def converse(*batches: str) -> list[str]:
+def replies_to(*batches: str) -> list[str]:
     source = "".join(f"TICK {1_000_000 + n * 10_000} {n}\n{text}\nOVER_TO_YOU\n" for n, text in enumerate(batches, 1))
     sink = io.StringIO()
     simulator.serve(io.StringIO(source), sink)
     return sink.getvalue().splitlines()
 
 
-def failure(*lines: str) -> str:
-    host = simulator.Host()
+def error_of(*lines: str) -> str:
+    proxies = simulator.SimulatedProxies()
     with pytest.raises(simulator.ProtocolError) as caught:
-        host.batch("TICK 1000000 9", list(lines))
+        proxies.handle_batch("TICK 1000000 9", list(lines))
     return str(caught.value)
 
 
-def test_empty_batch() -> None:
+def test_an_empty_batch_is_acknowledged() -> None:
     sink = io.StringIO()
     simulator.serve(io.StringIO("TICK 8412250 1\nOVER_TO_YOU\n"), sink)
     assert sink.getvalue() == "ACK 1\n"
 
 
-def test_request_served() -> None:
-    reply = converse(
+def test_a_request_is_sent_to_a_server_and_completed() -> None:
+    reply = replies_to(
         PROVISION + "\n" + LIST,
         "ACCEPT 0 r1 a - 1900000 k 12000 1",
         "ATTEMPT_END 0 r1 0 10.0.0.1:80 100 9000 1 backlog:3,recent_ms:14.5,odd:1",
@@ -50,8 +50,8 @@
     assert not any(line.startswith(("REPORT_FAILURE", "TURN_AWAY")) for line in reply)
 
 
-def test_every_event_is_read() -> None:
-    reply = converse(
+def test_every_event_is_parsed() -> None:
+    reply = replies_to(
         PROVISION + "\n" + LIST,
         "ACCEPT 0 r1 a t1 1900000 - - 2\nSTREAMING 0 r1 0 10.0.0.1:80 50",
         "SAMPLED 0 10.0.0.1:80 100 1400 -\nPEER_DATA 0 2 68692037\nWAKEUP 0 12345\nTIMED_OUT_CLIENT 0 nobody",
@@ -64,8 +64,8 @@
 
 
 @pytest.mark.parametrize("code", [301, 302, 303, 304, 305, 306, 307])
-def test_every_ending_is_read(code: int) -> None:
-    reply = converse(
+def test_every_attempt_outcome_is_parsed(code: int) -> None:
+    reply = replies_to(
         PROVISION + "\n" + LIST,
         "ACCEPT 0 r1 a - 1020001 - - 0",
         f"ATTEMPT_END 0 r1 0 10.0.0.1:80 {code} 9000 0 -",
@@ -77,40 +77,40 @@
 @pytest.mark.parametrize(
     ("action", "text"),
     [
-        (pr.Send("r", "s:1", 80), "PASS_ON 3 r s:1 80"),
-        (pr.Cancel("r", 1), "WITHDRAW 3 r 1"),
-        (pr.Fail("r"), "REPORT_FAILURE 3 r"),
-        (pr.Refuse("r", 250), "TURN_AWAY 3 r 250"),
-        (pr.Subscribe(), "TAIL 3 1"),
-        (pr.FetchList(), "READ_LIST 3"),
-        (pr.SetTimer(5, 77), "SLEEP 3 5 77"),
-        (pr.Probe("s:1"), "TOUCH 3 s:1"),
-        (pr.SendMessage(-1, b"hi"), "SAY 3 -1 6869"),
-        (pr.Log("two\nservers  known"), "RECORD 3 two servers known"),
+        (balancing.Send("r", "s:1", 80), "PASS_ON 3 r s:1 80"),
+        (balancing.Cancel("r", 1), "WITHDRAW 3 r 1"),
+        (balancing.Fail("r"), "REPORT_FAILURE 3 r"),
+        (balancing.Refuse("r", 250), "TURN_AWAY 3 r 250"),
+        (balancing.Subscribe(), "TAIL 3 1"),
+        (balancing.FetchList(), "READ_LIST 3"),
+        (balancing.SetTimer(5, 77), "SLEEP 3 5 77"),
+        (balancing.Probe("s:1"), "TOUCH 3 s:1"),
+        (balancing.SendMessage(-1, b"hi"), "SAY 3 -1 6869"),
+        (balancing.Log("two\nservers  known"), "RECORD 3 two servers known"),
     ],
 )
-def test_every_action_is_written(action: pr.Action, text: str) -> None:
-    assert simulator.write_action(3, action) == text
+def test_every_action_is_formatted(action: balancing.Action, text: str) -> None:
+    assert simulator.format_action(3, action) == text
 
 
-def test_settings_are_read() -> None:
-    line = simulator.Line(
+def test_settings_are_parsed() -> None:
+    message = simulator.Message(
         PROVISION + " bounds.secondCopies=true weights=rough membershipMode=ask "
         "report.fields=backlog,recent_ms tenants.count=1 tenants.0.name=t "
         "tenants.0.quotaPerS=5",
         "1",
     )
-    read = simulator.read_pairs(line, 3).settings()
-    assert read.proxies == 3 and read.zone == "z" and read.may_overlap and read.must_subscribe
-    assert read.weights is pr.WeightMeaning.SIZE and read.reports == ("backlog", "recent_ms")
-    assert read.classes[0].repeat is pr.Repeat.SAFE and read.tenants == {"t": 5.0}
+    settings = simulator.parse_profile(message, 3).settings()
+    assert settings.proxies == 3 and settings.zone == "z" and settings.may_overlap and settings.must_subscribe
+    assert settings.weights is balancing.WeightMeaning.SIZE and settings.reports == ("backlog", "recent_ms")
+    assert settings.classes[0].repeat is balancing.Repeat.SAFE and settings.tenants == {"t": 5.0}
 
 
 @pytest.mark.parametrize(
     ("lines", "text"),
     [
         (["NONSENSE 0"], "batch 9: NONSENSE: message: unknown message"),
-        (["ACCEPT 4 r a - 5 - - 0"], "batch 9: ACCEPT: who: no instance 4 was started"),
+        (["ACCEPT 4 r a - 5 - - 0"], "batch 9: ACCEPT: who: instance 4 is not running"),
         ([PROVISION, "ACCEPT 0 r a"], "batch 9: ACCEPT: number of fields: 8 needed, 3 given"),
         ([PROVISION, "ACCEPT 0 r a - soon - - 0"], "batch 9: ACCEPT: giveUpAtUs: a whole number is needed, not 'soon'"),
         ([PROVISION, "ACCEPT 0 - a - 5 - - 0"], "batch 9: ACCEPT: ref: a value is needed"),
@@ -126,7 +126,7 @@
         ),
         (
             [PROVISION, "SYNC 0 1 FULL 2", "M s z k 0 active 1 -"],
-            "batch 9: SYNC: rowsIn: 2 entries were announced, 1 follow",
+            "batch 9: SYNC: rowsIn: 2 entries were announced, but 1 follow",
         ),
         ([PROVISION, "SYNC 0 1 FULL 1", "M s z k 0 asleep 1 -"], "batch 9: M: status: unknown value 'asleep'"),
         ([PROVISION, "PEER_DATA 0 1 xyz"], "batch 9: PEER_DATA: bytes: hex digits are needed, not 'xyz'"),
@@ -155,11 +155,11 @@
         ),
     ],
 )
-def test_bad_lines_name_their_field(lines: list[str], text: str) -> None:
-    assert text in failure(*lines)
+def test_errors_name_the_invalid_field(lines: list[str], text: str) -> None:
+    assert text in error_of(*lines)
 
 
-def run(text: str) -> subprocess.CompletedProcess[str]:
+def run_adapter(text: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "cypressbeam.standalone.simulator"],
         input=text,
@@ -169,37 +169,37 @@
     )
 
 
-def test_end_between_batches_is_fine() -> None:
-    done = run("TICK 1 1\nOVER_TO_YOU\n")
-    assert (done.returncode, done.stdout, done.stderr) == (0, "ACK 1\n", "")
+def test_end_of_input_between_batches_exits_cleanly() -> None:
+    process = run_adapter("TICK 1 1\nOVER_TO_YOU\n")
+    assert (process.returncode, process.stdout, process.stderr) == (0, "ACK 1\n", "")
 
 
 @pytest.mark.parametrize(
-    ("text", "why"),
+    ("text", "message"),
     [
-        ("TICK 1 1\n", "OVER_TO_YOU: the input ends inside the batch"),
-        ("TICK 1 1\nWAKEUP 0 5\nOVER_TO_", "OVER_TO_YOU: the input ends inside the batch"),
-        ("TICK 1 1\nWAKEUP 0 5\nOVER_TO_YOU\n", "batch 1: WAKEUP: who: no instance 0 was started"),
-        ("TOCK 1 1\nOVER_TO_YOU\n", "TOCK: message: a batch opens with TICK"),
+        ("TICK 1 1\n", "OVER_TO_YOU: the input ended inside the batch"),
+        ("TICK 1 1\nWAKEUP 0 5\nOVER_TO_", "OVER_TO_YOU: the input ended inside the batch"),
+        ("TICK 1 1\nWAKEUP 0 5\nOVER_TO_YOU\n", "batch 1: WAKEUP: who: instance 0 is not running"),
+        ("TOCK 1 1\nOVER_TO_YOU\n", "TOCK: message: a batch must start with TICK"),
     ],
 )
-def test_bad_input_exits_with_one_line_and_no_reply(text: str, why: str) -> None:
-    done = run(text)
-    assert done.returncode == 1 and done.stdout == ""
-    assert why in done.stderr and done.stderr.count("\n") == 1
+def test_invalid_input_exits_with_one_error_line_and_no_reply(text: str, message: str) -> None:
+    process = run_adapter(text)
+    assert process.returncode == 1 and process.stdout == ""
+    assert message in process.stderr and process.stderr.count("\n") == 1
 
 
-def test_fault_inside_is_reported_for_its_instance(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(self: pr.Balancer, now_us: int, event: pr.Event) -> list[pr.Action]:
+def test_an_exception_in_a_balancer_is_reported_for_its_instance(monkeypatch: pytest.MonkeyPatch) -> None:
+    def broken(self: balancing.Balancer, now_us: int, event: balancing.Event) -> list[balancing.Action]:
         raise KeyError("lost\nkey")
 
-    monkeypatch.setattr(pr.Balancer, "handle", broken)
-    reply = converse(PROVISION + "\n" + LIST)
+    monkeypatch.setattr(balancing.Balancer, "handle", broken)
+    reply = replies_to(PROVISION + "\n" + LIST)
     assert reply[0].startswith("BUG 0 KeyError:") and reply[-1] == "ACK 1"
 
 
-def test_restart_in_one_batch_forgets_everything() -> None:
-    reply = converse(
+def test_a_restart_within_one_batch_discards_all_state() -> None:
+    reply = replies_to(
         PROVISION + "\n" + LIST + "\nACCEPT 0 r1 a - 1900000 - - 0",
         "POWER_OFF 0\n" + PROVISION + "\nSYNC 0 2 SAVED 1\nM 10.0.0.2:80 z k 0 active 1 -",
         "ACCEPT 0 r2 a - 1900000 - - 0",
@@ -210,7 +210,7 @@
     ]
 
 
-def test_hash_seed_does_not_matter() -> None:
+def test_replies_do_not_depend_on_the_hash_seed() -> None:
     text = (
         f"TICK 1000000 1\n{PROVISION} warm=1\nSYNC 0 1 SAVED 3\n"
         + "".join(f"M 10.0.0.{i}:80 z k 0 active 1 -\n" for i in range(3))
