--- a/cypressbeam/standalone/__main__.py
+++ b/cypressbeam/standalone/__main__.py
@@ -59,7 +59,7 @@
     except ConfigError as err:
         log.error("reload: %s; the old configuration stays", err)
         return
-    node.discovery.move(node.config.discovery)
+    node.discovery.change_address(node.config.discovery)
     log.info("reloaded: discovery at %s:%d", *node.config.discovery)
 
 
--- a/cypressbeam/standalone/node.py
+++ b/cypressbeam/standalone/node.py
@@ -1,4 +1,4 @@
-"""The node of the older program: one balancer, the list from discovery, and its own wire."""
+"""The standalone node: one balancer, and a server list that comes from discovery."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from cypressbeam.proxy.protocol_profile import STANDALONE_PROFILE
 from cypressbeam.proxy.proxy_core import RESPONSE_MARGIN_US, BalancerHost, ProxiedRequest, ProxyCore
 from cypressbeam.standalone.config import Config
-from cypressbeam.standalone.discovery import Discovery, ServerList
+from cypressbeam.standalone.discovery import DiscoveryClient, ServerList
 
 log = logging.getLogger(__name__)
 
@@ -23,12 +23,12 @@
         super().__init__(STANDALONE_PROFILE, config.connect_timeout_us, config.idle_us, config.server_connections)
         self.config = config
         self.settings = config.settings
-        self.kinds = {kind.name: kind for kind in config.settings.classes}
+        self.classes = {request_class.name: request_class for request_class in config.settings.classes}
         self.balancer = Balancer(config.settings, config.seed)
         self.host = BalancerHost(self, self.balancer)
         self.live: set[str] = set()
-        self.discovery = Discovery(
-            config.discovery, config.known.version, config.pushed, self.take_list, self.list_failed
+        self.discovery = DiscoveryClient(
+            config.discovery, config.known.version, config.pushed, self.take_list, self.on_list_failed
         )
         self.take_list(config.known, saved=True)
         self.start_periodic_tasks()
@@ -42,29 +42,29 @@
         if not connection.admitted:
             connection.closing = True
             return Response(503)
-        arrived, head = read_request(message, self.kinds, RESPONSE_MARGIN_US)
-        if self.has_request(arrived.request):
-            raise BadRequestError(400, f"Request-Id: {arrived.request} is still in hand")
-        connection.request = arrived.request
+        arrival, head = read_request(message, self.classes, RESPONSE_MARGIN_US)
+        if self.has_request(arrival.request):
+            raise BadRequestError(400, f"Request-Id: {arrival.request} is already in flight")
+        connection.request = arrival.request
         self.start_request(
             ProxiedRequest(
                 self.host,
-                arrived,
+                arrival,
                 head,
                 message.body,
                 connection.respond,
-                is_idempotent(self.kinds[arrived.class_name]),
+                is_idempotent(self.classes[arrival.class_name]),
             )
         )
         return None
 
-    def take_list(self, news: ServerList, saved: bool = False) -> None:
-        if news.whole:
-            named = {listed.entry.server for listed in news.servers}
-            for server in self.upstream.pools.keys() - named:
+    def take_list(self, update: ServerList, saved: bool = False) -> None:
+        if update.is_snapshot:
+            listed_names = {listed.entry.server for listed in update.servers}
+            for server in self.upstream.pools.keys() - listed_names:
                 self.upstream.remove_server(server)
-            self.live &= named
-        for listed in news.servers:
+            self.live &= listed_names
+        for listed in update.servers:
             entry = listed.entry
             active = entry.state is it.ServerState.ACTIVE
             if listed.address is None or entry.state is it.ServerState.GONE:
@@ -72,19 +72,19 @@
             else:
                 self.upstream.update_server(entry.server, listed.address, entry.started_us, active)
             (self.live.add if active else self.live.discard)(entry.server)
-        scope = it.ListScope.SAVED if saved else it.ListScope.WHOLE if news.whole else it.ListScope.CHANGES
-        self.host.handle(it.ListChanged(news.version, scope, tuple(listed.entry for listed in news.servers)))
+        scope = it.ListScope.SAVED if saved else it.ListScope.WHOLE if update.is_snapshot else it.ListScope.CHANGES
+        self.host.handle(it.ListChanged(update.version, scope, tuple(listed.entry for listed in update.servers)))
         self.upstream.end_stale()
 
-    def list_failed(self) -> None:
-        if self.settings.must_subscribe:  # elsewhere the balancer has asked for nothing that could fail
+    def on_list_failed(self) -> None:
+        if self.settings.must_subscribe:  # otherwise the balancer awaits no call that could fail
             self.host.handle(it.ListChanged(self.discovery.version, it.ListScope.FAILED))
 
     def on_list_requested(self, whole: bool) -> None:
         if whole:
-            self.discovery.fetch()
+            self.discovery.fetch_snapshot()
         else:
-            self.discovery.watch()
+            self.discovery.subscribe()
 
     def retry_after_headers(self, retry_after_us: int) -> list[tuple[bytes, bytes]]:
         return super().retry_after_headers(retry_after_us) if self.settings.retry_advice else []
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch on the list of servers."""
+"""Long polling of the server list."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 from tests.loopback import ReceivedRequest, StubServer, run, running_node, server_list, server_row, within_timeout
 
 
-def give(call: ReceivedRequest, document: Any) -> None:
+def respond(call: ReceivedRequest, document: Any) -> None:
     call.reply(body=json.dumps(document).encode())
 
 
-def test_changes_and_whole_lists_are_taken_up() -> None:
+def test_changes_and_snapshots_are_applied() -> None:
     async def scenario() -> None:
-        async with running_node(servers=3) as made:
-            ports = [server.port for server in made.servers]
-            call = await made.agent.next()
+        async with running_node(servers=3) as node_fixture:
+            ports = [server.port for server in node_fixture.servers]
+            call = await node_fixture.agent.next()
             assert call.target.startswith("/v1/endpoints?after=1&wait_ms=")
-            give(call, server_list(2, server_row(0, ports[0], lifecycle="leaving"), whole=False))
-            call = await made.agent.next()
-            assert call.target.startswith("/v1/endpoints?after=2&") and made.node.live == {"s1", "s2"}
-            give(call, server_list(5, server_row(1, ports[1]), server_row(9, ports[2])))
-            await made.agent.next()
-            assert made.node.live == {"s1", "s9"} and len(made.agent.peers) == 1
-            assert made.node.balancer.servers["s2"].is_inactive
-            assert not made.node.balancer.servers["s9"].is_inactive
+            respond(call, server_list(2, server_row(0, ports[0], lifecycle="leaving"), whole=False))
+            call = await node_fixture.agent.next()
+            assert call.target.startswith("/v1/endpoints?after=2&") and node_fixture.node.live == {"s1", "s2"}
+            respond(call, server_list(5, server_row(1, ports[1]), server_row(9, ports[2])))
+            await node_fixture.agent.next()
+            assert node_fixture.node.live == {"s1", "s9"} and len(node_fixture.agent.peers) == 1
+            assert node_fixture.node.balancer.servers["s2"].is_inactive
+            assert not node_fixture.node.balancer.servers["s9"].is_inactive
 
     run(scenario())
 
 
-GARBAGE: list[Any] = [
+INVALID_LISTS: list[Any] = [
     [],
     {},
     {"generation": 2, "reset": False, "instances": [7]},
@@ -53,149 +53,148 @@
         b"HTTP/1.1 200 X\r\nContent-Length: 3\r\n\r\n{]}",
         b"HTTP/1.1 200 X\r\nContent-Length: 3\r\n\r\n\xff\xfe\xfd",
         "[" * 100_000,
-        *(json.dumps(document) for document in GARBAGE),
+        *(json.dumps(document) for document in INVALID_LISTS),
     ],
     ids=lambda answer: str(answer)[:60],
 )
-def test_an_agent_that_fails_is_asked_again_and_the_list_is_kept(answer: bytes | str) -> None:
+def test_a_failed_poll_is_retried_and_keeps_the_list(answer: bytes | str) -> None:
     async def scenario() -> None:
-        async with running_node() as made:
-            call = await made.agent.next()
+        async with running_node() as node_fixture:
+            call = await node_fixture.agent.next()
             if isinstance(answer, str):
                 call.reply(body=answer.encode())
             else:
                 call.raw(answer)
                 if not answer:
                     call.peer.transport.abort()
-            call = await made.agent.next()
-            assert made.node.live == {"s0"}
-            client = await made.client()
+            call = await node_fixture.agent.next()
+            assert node_fixture.node.live == {"s0"}
+            client = await node_fixture.client()
             client.send()
-            (await made.servers[0].next()).reply()
+            (await node_fixture.servers[0].next()).reply()
             assert (await client.answer()).status == 200
-            give(call, server_list(7, server_row(3, 1)))
-            await made.agent.next()
-            assert made.node.live == {"s3"}
+            respond(call, server_list(7, server_row(3, 1)))
+            await node_fixture.agent.next()
+            assert node_fixture.node.live == {"s3"}
 
     run(scenario())
 
 
-def test_a_list_that_went_back_is_fetched_whole() -> None:
+def test_a_snapshot_is_fetched_when_the_version_goes_backwards() -> None:
     async def scenario() -> None:
-        async with running_node() as made:
-            give(await made.agent.next(), server_list(0, whole=False))
-            call = await made.agent.next()
+        async with running_node() as node_fixture:
+            respond(await node_fixture.agent.next(), server_list(0, whole=False))
+            call = await node_fixture.agent.next()
             assert call.target == "/v1/endpoints"
-            give(call, server_list(0, server_row(4, 1)))
-            call = await made.agent.next()
-            assert call.target.startswith("/v1/endpoints?after=0&") and made.node.live == {"s4"}
+            respond(call, server_list(0, server_row(4, 1)))
+            call = await node_fixture.agent.next()
+            assert call.target.startswith("/v1/endpoints?after=0&") and node_fixture.node.live == {"s4"}
 
     run(scenario())
 
 
-def test_where_discovery_is_asked_the_balancer_says_when() -> None:
+def test_a_discovery_service_is_polled_when_the_balancer_subscribes() -> None:
     async def scenario() -> None:
-        async with running_node(changes={"membershipMode": "ask"}) as made:
-            call = await made.agent.next()  # the balancer subscribes when it starts
+        async with running_node(changes={"membershipMode": "ask"}) as node_fixture:
+            call = await node_fixture.agent.next()  # the balancer subscribes when it starts
             call.reply(503)
-            call = await made.agent.next()  # and again after a failure
-            give(call, server_list(2, server_row(5, 1)))
-            await made.agent.next()
-            assert made.node.live == {"s5"} and made.node.balancer.failed_list_calls == 0
+            call = await node_fixture.agent.next()  # and again after a failure
+            respond(call, server_list(2, server_row(5, 1)))
+            await node_fixture.agent.next()
+            assert node_fixture.node.live == {"s5"} and node_fixture.node.balancer.failed_list_calls == 0
 
     run(scenario())
 
 
-def test_a_closing_agent_is_met_again_at_once() -> None:
+def test_an_agent_that_closes_the_connection_is_reconnected_at_once() -> None:
     async def scenario() -> None:
-        async with running_node() as made:
-            call = await made.agent.next()
+        async with running_node() as node_fixture:
+            call = await node_fixture.agent.next()
             call.reply(body=json.dumps(server_list(2, whole=False)).encode(), head="Connection: close\r\n")
-            await made.agent.next()
+            await node_fixture.agent.next()
             await within_timeout(call.peer.lost.wait())
-            assert len(made.agent.peers) == 2 and made.node.live == {"s0"}
+            assert len(node_fixture.agent.peers) == 2 and node_fixture.node.live == {"s0"}
 
     run(scenario())
 
 
-def test_a_server_may_leave_without_an_address() -> None:
+def test_a_server_that_left_may_be_listed_without_an_address() -> None:
     async def scenario() -> None:
-        async with running_node(servers=2) as made:
-            left = {"instanceId": "s1", "lifecycle": "left"}
-            give(await made.agent.next(), server_list(2, left, whole=False))
-            await made.agent.next()
-            assert made.node.live == {"s0"} and list(made.node.upstream.pools) == ["s0"]
+        async with running_node(servers=2) as node_fixture:
+            gone = {"instanceId": "s1", "lifecycle": "left"}
+            respond(await node_fixture.agent.next(), server_list(2, gone, whole=False))
+            await node_fixture.agent.next()
+            assert node_fixture.node.live == {"s0"} and list(node_fixture.node.upstream.pools) == ["s0"]
 
     run(scenario())
 
 
-def test_a_fetch_is_taken_up_behind_the_running_watch() -> None:
+def test_a_snapshot_is_fetched_after_the_running_poll() -> None:
     async def scenario() -> None:
-        async with running_node() as made:
-            call = await made.agent.next()
-            made.node.discovery.fetch()
-            give(call, server_list(2, server_row(1, 1), whole=False))
-            call = await made.agent.next()
-            assert call.target == "/v1/endpoints" and made.node.live == {"s0", "s1"}
-            give(call, server_list(3, server_row(2, 1)))
-            call = await made.agent.next()
-            assert call.target.startswith("/v1/endpoints?after=3&") and made.node.live == {"s2"}
-            assert len(made.agent.peers) == 1
+        async with running_node() as node_fixture:
+            call = await node_fixture.agent.next()
+            node_fixture.node.discovery.fetch_snapshot()
+            respond(call, server_list(2, server_row(1, 1), whole=False))
+            call = await node_fixture.agent.next()
+            assert call.target == "/v1/endpoints" and node_fixture.node.live == {"s0", "s1"}
+            respond(call, server_list(3, server_row(2, 1)))
+            call = await node_fixture.agent.next()
+            assert call.target.startswith("/v1/endpoints?after=3&") and node_fixture.node.live == {"s2"}
+            assert len(node_fixture.agent.peers) == 1
 
     run(scenario())
 
 
-def test_a_watch_that_moves_keeps_list_and_version_until_news_comes() -> None:
-    """A new configuration names another address: no gap in the news, and nothing forgotten."""
+def test_a_new_address_keeps_the_list_and_version_until_it_responds() -> None:
+    """After a change of the configured address, no update is missed and the list is not discarded."""
 
     async def scenario() -> None:
-        async with running_node() as made:
-            old = await made.agent.next()
+        async with running_node() as node_fixture:
+            old_call = await node_fixture.agent.next()
             first, second = StubServer(), StubServer()
             for agent in (first, second):
                 await agent.start()
-            made.node.discovery.move(("127.0.0.1", first.port))
-            unheard = await first.next()
-            assert unheard.target.startswith("/v1/endpoints?after=1&wait_ms=")
-            # What the old address still has to tell counts until the new one has answered; and a second move
-            # comes before that.
-            give(old, server_list(2, server_row(1, 1), whole=False))
-            made.node.discovery.move(("127.0.0.1", second.port))
-            await within_timeout(unheard.peer.lost.wait())
-            again = await made.agent.next()
-            assert made.node.live == {"s0", "s1"} and not again.peer.lost.is_set()
+            node_fixture.node.discovery.change_address(("127.0.0.1", first.port))
+            unanswered_call = await first.next()
+            assert unanswered_call.target.startswith("/v1/endpoints?after=1&wait_ms=")
+            # The old address stays in use until a new one has responded, also if the address changes again before that.
+            respond(old_call, server_list(2, server_row(1, 1), whole=False))
+            node_fixture.node.discovery.change_address(("127.0.0.1", second.port))
+            await within_timeout(unanswered_call.peer.lost.wait())
+            next_old_call = await node_fixture.agent.next()
+            assert node_fixture.node.live == {"s0", "s1"} and not next_old_call.peer.lost.is_set()
             call = await second.next()
-            give(call, server_list(2, whole=False))
-            await within_timeout(again.peer.lost.wait())
+            respond(call, server_list(2, whole=False))
+            await within_timeout(next_old_call.peer.lost.wait())
             call = await second.next()
-            assert call.target.startswith("/v1/endpoints?after=2&") and made.node.live == {"s0", "s1"}
-            give(call, server_list(3, server_row(2, 1), whole=False))
+            assert call.target.startswith("/v1/endpoints?after=2&") and node_fixture.node.live == {"s0", "s1"}
+            respond(call, server_list(3, server_row(2, 1), whole=False))
             await second.next()
-            assert made.node.live == {"s0", "s1", "s2"} and made.agent.received.empty()
+            assert node_fixture.node.live == {"s0", "s1", "s2"} and node_fixture.agent.received.empty()
             first.stop()
             second.stop()
 
     run(scenario())
 
 
-def test_a_former_address_that_closes_is_not_met_again() -> None:
+def test_a_previous_address_that_closes_is_not_reconnected() -> None:
     async def scenario() -> None:
-        async with running_node() as made:
-            old = await made.agent.next()
-            other = StubServer()
-            await other.start()
-            made.node.discovery.move(("127.0.0.1", other.port))
-            await other.next()
-            watch = made.node.discovery.old
-            old.peer.transport.abort()
-            assert watch is not None
-            await within_timeout(watch)
-            assert len(made.agent.peers) == 1 and made.node.live == {"s0"}
-            other.stop()
+        async with running_node() as node_fixture:
+            old_call = await node_fixture.agent.next()
+            new_agent = StubServer()
+            await new_agent.start()
+            node_fixture.node.discovery.change_address(("127.0.0.1", new_agent.port))
+            await new_agent.next()
+            task = node_fixture.node.discovery.previous_task
+            old_call.peer.transport.abort()
+            assert task is not None
+            await within_timeout(task)
+            assert len(node_fixture.agent.peers) == 1 and node_fixture.node.live == {"s0"}
+            new_agent.stop()
 
     run(scenario())
 
 
-def test_start_times_compare_with_the_node_clock() -> None:
+def test_start_times_are_converted_to_microseconds() -> None:
     listed = read_list(server_list(1, server_row(0, 1, startedAtMs=1_700_000_000_000))).servers[0]
     assert listed.entry.started_us == 1_700_000_000_000_000 and listed.address == ("127.0.0.1", 1)
