--- a/cypressbeam/standalone/__init__.py
+++ b/cypressbeam/standalone/__init__.py
@@ -1,1 +1,1 @@
-"""The older program: a single proxy node that is given its configuration and asks a discovery service for servers."""
+"""The standalone program: one proxy node with a configuration file, which gets its server list from discovery."""
--- a/cypressbeam/standalone/__main__.py
+++ b/cypressbeam/standalone/__main__.py
@@ -1,4 +1,4 @@
-"""Start and stop of a node: `python -m cypressbeam.standalone`."""
+"""Entry point of the standalone node: `python -m cypressbeam.standalone`."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 from cypressbeam.proxy.frontend import Frontend
 from cypressbeam.runtime import GC_THRESHOLDS, LogRateLimiter
-from cypressbeam.standalone.config import OVERFLOW, Config, ConfigError, load, reload
+from cypressbeam.standalone.config import OVERFLOW, Config, ConfigError, load_config, reload_config
 from cypressbeam.standalone.node import StandaloneNode
 
 log = logging.getLogger(__name__)
 
-#: New connections go on coming for up to 0.4 s after SIGTERM.
-ACCEPT_ON_S = 0.5
-#: What was taken is answered by its own deadline; past the longest, and this, nothing can be owed any more.
-STOP_SLACK_S = 0.2
+#: How long new connections are accepted after SIGTERM. Clients still open them for up to 0.4 s.
+ACCEPT_AFTER_SIGTERM_S = 0.5
+#: Every accepted request is answered by its deadline. Shutdown waits at most for the longest deadline plus this margin.
+SHUTDOWN_MARGIN_S = 0.2
 
 
 async def serve(config: Config) -> None:
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     node = StandaloneNode(config)
-    loop.add_signal_handler(signal.SIGHUP, take_up, node)
+    loop.add_signal_handler(signal.SIGHUP, reload_node, node)
     frontend = Frontend(node, config.client_connections, OVERFLOW)
     await frontend.listen(*config.listen)
     node.discovery.start()
@@ -41,21 +41,21 @@
     await stop.wait()
     log.info("stopping: %d requests in hand", len(node.requests))
     frontend.stopping = True
-    await asyncio.sleep(ACCEPT_ON_S)
+    await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
     frontend.stop_accepting()
-    longest_s = max(kind.deadline_us for kind in config.settings.classes) / 1e6
-    ends_s = loop.time() + longest_s + STOP_SLACK_S
-    while frontend.connections and loop.time() < ends_s:
+    longest_deadline_s = max(request_class.deadline_us for request_class in config.settings.classes) / 1e6
+    stop_at_s = loop.time() + longest_deadline_s + SHUTDOWN_MARGIN_S
+    while frontend.connections and loop.time() < stop_at_s:
         await asyncio.sleep(0.01)
     node.discovery.close()
     node.upstream.close()
     log.info("stopped: %d requests in hand", len(node.requests))
 
 
-def take_up(node: StandaloneNode) -> None:
-    """Read the configuration again on SIGHUP. A bad one changes nothing: the node serves on as it was."""
+def reload_node(node: StandaloneNode) -> None:
+    """Reload the configuration on SIGHUP. An invalid one is rejected and the node continues unchanged."""
     try:
-        node.config = reload(node.config, os.environ)
+        node.config = reload_config(node.config, os.environ)
     except ConfigError as err:
         log.error("reload: %s; the old configuration stays", err)
         return
@@ -64,13 +64,13 @@
 
 
 def main() -> int:
-    # Until the loop runs a hang-up must not end the process: the configuration is only just being read.
+    # SIGHUP must not end the process while the configuration is being read, before the event loop handles the signal.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     logging.basicConfig(level=logging.INFO, format="%(levelname)s %(name)s: %(message)s", stream=sys.stderr)
     for handler in logging.getLogger().handlers:
         handler.addFilter(LogRateLimiter())
     try:
-        config = load(os.environ)
+        config = load_config(os.environ)
         uvloop.run(serve(config))
     except ConfigError as err:
         print(f"cypressbeam: {err}", file=sys.stderr)
--- a/cypressbeam/standalone/config.py
+++ b/cypressbeam/standalone/config.py
@@ -1,4 +1,4 @@
-"""The node's configuration: `EDGE_CONFIG` to typed settings, the known list and the limits."""
+"""The configuration of a standalone node, read from the JSON file that `EDGE_CONFIG` names."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 log = logging.getLogger(__name__)
 
-#: Descriptors kept for all that is no client or server connection: standard streams, the event loop, the
-#: listening socket, discovery.
-SPARE_DESCRIPTORS = 20
-#: Client connections past the bound that are still taken in to be told so.
+#: File descriptors reserved for everything but client and server connections: standard streams, the event loop, the
+#: listening socket and discovery.
+RESERVED_DESCRIPTORS = 20
+#: Client connections beyond the limit that are accepted only to be answered with 503.
 OVERFLOW = 12
-CONNECT_TIMEOUT_US = 250_000
-IDLE_US = 15_000_000
+DEFAULT_CONNECT_TIMEOUT_US = 250_000
+DEFAULT_IDLE_US = 15_000_000
 
 
 class ConfigError(CypressbeamError):
-    """One plain line on what is wrong with the configuration."""
+    """The configuration is invalid. The text is a single line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,19 +40,19 @@
     settings: Settings
     known: ServerList
     pushed: bool
-    """Whether an agent on this machine holds the list; elsewhere discovery is asked."""
+    """Whether a local agent provides the server list; otherwise it comes from the discovery service."""
     connect_timeout_us: int
     idle_us: int
-    """Servers close connections that have stood idle for so long."""
+    """Idle time after which servers close a connection."""
     client_connections: int
     server_connections: int
 
 
 def flatten(value: object, path: str = "") -> Iterator[tuple[str, str]]:
-    """Settings as paths and text, the form in which the simulator's first message gives them."""
+    """Flatten settings to paths and text values, as in the PROVISION message of the simulator."""
     if isinstance(value, dict):
-        for name, inner in value.items():
-            yield from flatten(inner, f"{path}.{name}" if path else str(name))
+        for name, nested in value.items():
+            yield from flatten(nested, f"{path}.{name}" if path else str(name))
     elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
         yield f"{path}.count", str(len(value))
         for number, item in enumerate(value):
@@ -65,7 +65,7 @@
         yield path, str(value)
 
 
-def read_seed(value: object) -> int:
+def parse_seed(value: object) -> int:
     if isinstance(value, int):
         return value
     if isinstance(value, str):
@@ -73,18 +73,18 @@
     raise ValueError(f"hex digits are needed, not {value!r}")
 
 
-def descriptors(limits: object) -> int:
-    """How many descriptors the process may hold: the stated limit, or the system's if that is lower."""
+def max_descriptors(limits: object) -> int:
+    """The maximum number of open file descriptors: the configured limit, or that of the system if it is lower."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    stated = limits.get("sockets") if isinstance(limits, dict) else None
-    if stated is None:
+    configured = limits.get("sockets") if isinstance(limits, dict) else None
+    if configured is None:
         return min(soft, 1024)
-    if not isinstance(stated, int) or stated <= 0:
-        raise ValueError(f"sockets: a number above 0 is needed, not {stated!r}")
-    return min(soft, stated) if soft != resource.RLIM_INFINITY else stated
+    if not isinstance(configured, int) or configured <= 0:
+        raise ValueError(f"sockets: a number above 0 is needed, not {configured!r}")
+    return min(soft, configured) if soft != resource.RLIM_INFINITY else configured
 
 
-def load(environ: Mapping[str, str]) -> Config:
+def load_config(environ: Mapping[str, str]) -> Config:
     path = environ.get("EDGE_CONFIG")
     if not path:
         raise ConfigError("EDGE_CONFIG is not set")
@@ -93,40 +93,40 @@
     except OSError as err:
         raise ConfigError(f"EDGE_CONFIG: {path}: {err.strerror}") from None
     except (ValueError, RecursionError) as err:
-        raise ConfigError(f"EDGE_CONFIG: {path}: no JSON: {err}") from None
+        raise ConfigError(f"EDGE_CONFIG: {path}: invalid JSON: {err}") from None
     if not isinstance(document, dict):
         raise ConfigError(f"EDGE_CONFIG: {path}: an object is needed")
     return read_config(document, environ)
 
 
-def reload(old: Config, environ: Mapping[str, str]) -> Config:
-    """The configuration read again: the old one with what can change while the node runs.
+def reload_config(old: Config, environ: Mapping[str, str]) -> Config:
+    """Read the configuration again and return the old one with the changes that can be applied without a restart.
 
-    In EDGE_DISCOVERY stands the address that the node was started with, so here the file's goes first.
+    EDGE_DISCOVERY is ignored, because it still holds the address from the start of the node.
     """
-    new = load({name: value for name, value in environ.items() if name != "EDGE_DISCOVERY"})
-    taken = replace(old, discovery=new.discovery)
-    if replace(new, seed=old.seed, known=old.known) != taken:
+    new = load_config({name: value for name, value in environ.items() if name != "EDGE_DISCOVERY"})
+    reloaded = replace(old, discovery=new.discovery)
+    if replace(new, seed=old.seed, known=old.known) != reloaded:
         log.warning("reload: only discovery is taken up, other changes wait for a restart")
-    return taken
+    return reloaded
 
 
 def read_config(document: Mapping[str, object], environ: Mapping[str, str]) -> Config:
-    where = ""
+    key = ""
     try:
-        where = "listen"
+        key = "listen"
         listen = read_address(environ.get("EDGE_LISTEN") or document.get("listen"))
-        where = "discovery"
+        key = "discovery"
         discovery = read_address(environ.get("EDGE_DISCOVERY") or document.get("discovery"))
-        where = "seed"
-        seed = read_seed(document.get("seed", 0))
-        where = "known"
+        key = "seed"
+        seed = parse_seed(document.get("seed", 0))
+        key = "known"
         known = read_list(document.get("known", {"generation": 0, "reset": True, "instances": []}))
-        where = "limits"
-        usable = descriptors(document.get("limits")) - SPARE_DESCRIPTORS - OVERFLOW
+        key = "limits"
+        usable = max_descriptors(document.get("limits")) - RESERVED_DESCRIPTORS - OVERFLOW
         if usable < 2:
-            raise ValueError(f"sockets: at least {SPARE_DESCRIPTORS + OVERFLOW + 2} are needed")
-        where = "settings"
+            raise ValueError(f"sockets: at least {RESERVED_DESCRIPTORS + OVERFLOW + 2} are needed")
+        key = "settings"
         if not isinstance(document.get("settings"), dict):
             raise ValueError("an object is needed")
         profile = Profile(dict(flatten(document["settings"])))
@@ -140,10 +140,10 @@
             settings=settings,
             known=known,
             pushed=not settings.must_subscribe,
-            connect_timeout_us=profile.integer("bounds.connectTimeoutUs", CONNECT_TIMEOUT_US),
-            idle_us=profile.integer("bounds.connIdleUs", IDLE_US),
+            connect_timeout_us=profile.integer("bounds.connectTimeoutUs", DEFAULT_CONNECT_TIMEOUT_US),
+            idle_us=profile.integer("bounds.connIdleUs", DEFAULT_IDLE_US),
             client_connections=min(clients, profile.integer("bounds.maxOpen", usable)),
             server_connections=usable - clients,
         )
     except ValueError as err:
-        raise ConfigError(f"configuration: {where}: {' '.join(str(err).split())}") from None
+        raise ConfigError(f"configuration: {key}: {' '.join(str(err).split())}") from None
