--- a/tests/test_identifiers.py
+++ b/tests/test_identifiers.py
@@ -1,4 +1,7 @@
-"""Names that the code no longer has: those of the earlier house style, withdrawn by the engineers who are on call."""
+"""Identifiers that must not come back, former product names, and names in comments that the code must define.
+
+The on-call engineers asked for the identifiers of an earlier house style to be removed.
+"""
 
 from __future__ import annotations
 
@@ -8,8 +11,8 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-#: Whole identifiers. `data/frame_names.txt` maps the names of messages that frame_bytes.txt was written with.
-WITHDRAWN = frozenset(
+#: Complete identifiers. The former message names used in frame_bytes.txt are mapped by `data/frame_names.txt`.
+REMOVED_IDENTIFIERS = frozenset(
     [
         "pepperrelay",
         "mallowworks",
@@ -78,29 +81,29 @@
         "mend",
     ]
 )
-SOURCES = ("cypressbeam", "lab", "tests")
-THEMED = re.compile(r"pepperrelay|mallowworks", re.IGNORECASE)
+SOURCE_PACKAGES = ("cypressbeam", "lab", "tests")
+FORMER_PRODUCT_NAMES = re.compile(r"pepperrelay|mallowworks", re.IGNORECASE)
 
 
 def identifiers(path: Path) -> set[str]:
-    """All names in a source file."""
+    """All identifiers and keywords in a source file."""
     text = path.read_text(encoding="utf-8")
     return {
         token.string for token in tokenize.generate_tokens(io.StringIO(text).readline) if token.type == tokenize.NAME
     }
 
 
-def test_no_withdrawn_identifier_is_in_the_sources() -> None:
+def test_no_removed_identifier_is_in_the_sources() -> None:
     found = {
         str(path.relative_to(ROOT)): sorted(names)
-        for package in SOURCES
+        for package in SOURCE_PACKAGES
         for path in sorted((ROOT / package).rglob("*.py"))
-        if (names := identifiers(path) & WITHDRAWN)
+        if (names := identifiers(path) & REMOVED_IDENTIFIERS)
     }
     assert found == {}
 
 
-def test_no_themed_name_is_in_what_is_installed_or_run() -> None:
+def test_no_former_product_name_is_in_installed_files_or_documentation() -> None:
     files = [
         ROOT / "pyproject.toml",
         ROOT / "requirements.txt",
@@ -111,20 +114,22 @@
         *(ROOT / "docs" / "design").glob("*.md"),
         *(ROOT / "docs" / "operations").glob("*.md"),
     ]
-    found = [str(path.relative_to(ROOT)) for path in files if THEMED.search(path.read_text(encoding="utf-8"))]
+    found = [
+        str(path.relative_to(ROOT)) for path in files if FORMER_PRODUCT_NAMES.search(path.read_text(encoding="utf-8"))
+    ]
     assert [name for name in found if name != "docs/GLOSSARY.md"] == []
 
 
-#: In backticks, and no name of the code: keys and headers that the pages give, variables of the environment.
-OUTSIDE_NAMES = frozenset(["syncS", "recoveryS", "Range", "EDGE_CONFIG", "module.NAME"])
+#: Names in backticks that the code does not define: documented keys and headers, and environment variables.
+EXTERNAL_NAMES = frozenset(["syncS", "recoveryS", "Range", "EDGE_CONFIG", "module.NAME"])
 BACKTICKED = re.compile(r"`([A-Za-z_][\w.]*)`")
 MODULE_CONSTANT = re.compile(r"\b([a-z_]+)\.([A-Z][A-Z0-9_]{2,})\b")
-RAISED = re.compile(r"\bRaises ([A-Z]\w+)")
+RAISED_EXCEPTION = re.compile(r"\bRaises ([A-Z]\w+)")
 SOURCE_FILE = re.compile(r"\b([a-z_]+\.py)\b")
 
 
 def comments_and_docstrings(path: Path) -> list[str]:
-    """The prose of a source file."""
+    """All comments and docstrings of a source file."""
     text = path.read_text(encoding="utf-8")
     return [
         token.string
@@ -134,21 +139,21 @@
 
 
 def unknown_names(prose: str, names: set[str], modules: set[str]) -> set[str]:
-    """What a comment or docstring names and the code does not have."""
+    """Names in a comment or docstring that the code does not define."""
     found = {
         name for name in BACKTICKED.findall(prose) if not name.endswith(".py") and name.rpartition(".")[2] not in names
     }
-    found |= set(RAISED.findall(prose)) - names
+    found |= set(RAISED_EXCEPTION.findall(prose)) - names
     found |= {name for name in SOURCE_FILE.findall(prose) if name.removesuffix(".py") not in modules}
     found |= {
         f"{module}.{name}"
         for module, name in MODULE_CONSTANT.findall(prose)
         if module not in modules or name not in names
     }
-    return found - OUTSIDE_NAMES
+    return found - EXTERNAL_NAMES
 
 
-def test_each_name_in_a_comment_or_docstring_is_one_of_the_code() -> None:
+def test_names_in_comments_and_docstrings_are_defined() -> None:
     sources = [path for package in ("cypressbeam", "lab") for path in sorted((ROOT / package).rglob("*.py"))]
     modules = {path.stem for path in sources} | {path.parent.name for path in sources}
     names = modules.union(*(identifiers(path) for path in sources))
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""The import graph: layers, and no circles, also not by imports within functions or for types alone."""
+"""The import graph has layers and no cycles. Imports within functions and for types only count too."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 ROOT = Path(__file__).parent.parent
 PACKAGES = ("cypressbeam", "lab")
-#: Parts of the distribution: each imports only itself and those above it.
+#: Modules and packages of cypressbeam. Each may import only itself and those listed before it.
 LAYERS = (
     "errors",
     "runtime",
@@ -26,13 +26,13 @@
     "cli",
     "__main__",
 )
-#: Packages that are pure: no event loop, socket, file, thread or clock.
-PURE = ("balancing", "consensus")
+#: Packages without input and output: no event loop, socket, file, thread or clock.
+PURE_PACKAGES = ("balancing", "consensus")
 IMPURE_MODULES = {"asyncio", "socket", "sqlite3", "threading", "time", "os", "pathlib", "subprocess", "uvloop"}
 
 
-def modules() -> dict[str, Path]:
-    """All modules by their dotted name; a package by its `__init__`."""
+def modules_by_name() -> dict[str, Path]:
+    """All modules by dotted name. A package is represented by its `__init__`."""
     found = {}
     for package in PACKAGES:
         for path in sorted((ROOT / package).rglob("*.py")):
@@ -41,8 +41,8 @@
     return found
 
 
-def imports(path: Path, known: dict[str, Path]) -> set[str]:
-    """The modules that a file imports. `from package import name` is of the module `package.name` if there is one."""
+def imported_modules(path: Path, known: dict[str, Path]) -> set[str]:
+    """The modules that a file imports. `from package import name` counts as `package.name` if that is a module."""
     found = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
@@ -54,43 +54,43 @@
     return found
 
 
-def reachable(graph: dict[str, set[str]], start: str) -> set[str]:
-    """All modules that a module imports, at any remove."""
+def transitive_imports(graph: dict[str, set[str]], start: str) -> set[str]:
+    """All modules that a module imports directly or indirectly."""
     seen: set[str] = set()
-    left = [start]
-    while left:
-        new = graph[left.pop()] - seen
+    pending = [start]
+    while pending:
+        new = graph[pending.pop()] - seen
         seen |= new
-        left += new
+        pending += new
     return seen
 
 
-def test_no_module_imports_itself_at_any_remove() -> None:
-    known = modules()
+def test_there_are_no_import_cycles() -> None:
+    known = modules_by_name()
     assert len(known) > 60
-    graph = {name: imports(path, known) & known.keys() for name, path in known.items()}
-    reach = {name: reachable(graph, name) for name in graph}
-    circles = {
-        frozenset(other for other in reach[name] if name in reach[other]) for name in graph if name in reach[name]
+    graph = {name: imported_modules(path, known) & known.keys() for name, path in known.items()}
+    reached = {name: transitive_imports(graph, name) for name in graph}
+    cycles = {
+        frozenset(other for other in reached[name] if name in reached[other]) for name in graph if name in reached[name]
     }
-    assert not circles, sorted(map(sorted, circles))
+    assert not cycles, sorted(map(sorted, cycles))
 
 
-def test_each_layer_imports_only_those_above_it() -> None:
-    known = modules()
+def test_each_layer_imports_only_itself_and_earlier_layers() -> None:
+    known = modules_by_name()
     for name, path in known.items():
         parts = name.split(".")
         if parts[0] != "cypressbeam" or len(parts) == 1:
             continue
         allowed = LAYERS[: LAYERS.index(parts[1]) + 1]
-        for imported in imports(path, known):
+        for imported in imported_modules(path, known):
             if imported.startswith("cypressbeam."):
                 assert imported.split(".")[1] in allowed, f"{name} imports {imported}"
 
 
-@pytest.mark.parametrize("package", PURE)
+@pytest.mark.parametrize("package", PURE_PACKAGES)
 def test_a_pure_package_has_no_event_loop_socket_file_or_clock(package: str) -> None:
-    known = modules()
+    known = modules_by_name()
     for path in sorted((ROOT / "cypressbeam" / package).rglob("*.py")):
-        outside = {name.partition(".")[0] for name in imports(path, known)}
-        assert not outside & IMPURE_MODULES, path
+        top_level = {name.partition(".")[0] for name in imported_modules(path, known)}
+        assert not top_level & IMPURE_MODULES, path
