--- a/cypressbeam/standalone/__main__.py
+++ b/cypressbeam/standalone/__main__.py
@@ -13,7 +13,7 @@
 
 from cypressbeam.proxy.frontend import Frontend
 from cypressbeam.runtime import GC_THRESHOLDS, LogRateLimiter
-from cypressbeam.standalone.config import OVERFLOW, Config, ConfigError, load_config, reload_config
+from cypressbeam.standalone.config import OVERFLOW_CONNECTIONS, Config, ConfigError, load_config, reload_config
 from cypressbeam.standalone.node import StandaloneNode
 
 log = logging.getLogger(__name__)
@@ -31,10 +31,10 @@
         loop.add_signal_handler(signal_number, stop.set)
     node = StandaloneNode(config)
     loop.add_signal_handler(signal.SIGHUP, reload_node, node)
-    frontend = Frontend(node, config.client_connections, OVERFLOW)
+    frontend = Frontend(node, config.client_connections, OVERFLOW_CONNECTIONS)
     await frontend.listen(*config.listen)
     node.discovery.start()
-    log.info("%s serves at %s:%d, %d servers known", config.name, *config.listen, len(node.live))
+    log.info("%s serves at %s:%d, %d servers known", config.name, *config.listen, len(node.active_servers))
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
--- a/cypressbeam/standalone/config.py
+++ b/cypressbeam/standalone/config.py
@@ -13,7 +13,7 @@
 from cypressbeam.errors import CypressbeamError
 from cypressbeam.protocol.address import Address, read_address
 from cypressbeam.proxy.frontend import CLIENT_CONNECTION_SHARE
-from cypressbeam.standalone.discovery import ServerList, read_list
+from cypressbeam.standalone.discovery import ServerList, parse_server_list
 from cypressbeam.standalone.profile import Profile
 
 log = logging.getLogger(__name__)
@@ -22,7 +22,7 @@
 #: listening socket and discovery.
 RESERVED_DESCRIPTORS = 20
 #: Client connections beyond the limit that are accepted only to be answered with 503.
-OVERFLOW = 12
+OVERFLOW_CONNECTIONS = 12
 DEFAULT_CONNECT_TIMEOUT_US = 250_000
 DEFAULT_IDLE_US = 15_000_000
 
@@ -39,7 +39,7 @@
     seed: int
     settings: Settings
     known: ServerList
-    pushed: bool
+    has_local_agent: bool
     """Whether a local agent provides the server list; otherwise it comes from the discovery service."""
     connect_timeout_us: int
     idle_us: int
@@ -48,15 +48,15 @@
     server_connections: int
 
 
-def flatten(value: object, path: str = "") -> Iterator[tuple[str, str]]:
+def flatten_settings(value: object, path: str = "") -> Iterator[tuple[str, str]]:
     """Flatten settings to paths and text values, as in the PROVISION message of the simulator."""
     if isinstance(value, dict):
         for name, nested in value.items():
-            yield from flatten(nested, f"{path}.{name}" if path else str(name))
+            yield from flatten_settings(nested, f"{path}.{name}" if path else str(name))
     elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
         yield f"{path}.count", str(len(value))
         for number, item in enumerate(value):
-            yield from flatten(item, f"{path}.{number}")
+            yield from flatten_settings(item, f"{path}.{number}")
     elif isinstance(value, list):
         yield path, ",".join(map(str, value))
     elif isinstance(value, bool):
@@ -96,7 +96,7 @@
         raise ConfigError(f"EDGE_CONFIG: {path}: invalid JSON: {err}") from None
     if not isinstance(document, dict):
         raise ConfigError(f"EDGE_CONFIG: {path}: an object is needed")
-    return read_config(document, environ)
+    return parse_config(document, environ)
 
 
 def reload_config(old: Config, environ: Mapping[str, str]) -> Config:
@@ -111,7 +111,7 @@
     return reloaded
 
 
-def read_config(document: Mapping[str, object], environ: Mapping[str, str]) -> Config:
+def parse_config(document: Mapping[str, object], environ: Mapping[str, str]) -> Config:
     key = ""
     try:
         key = "listen"
@@ -121,15 +121,15 @@
         key = "seed"
         seed = parse_seed(document.get("seed", 0))
         key = "known"
-        known = read_list(document.get("known", {"generation": 0, "reset": True, "instances": []}))
+        known = parse_server_list(document.get("known", {"generation": 0, "reset": True, "instances": []}))
         key = "limits"
-        usable = max_descriptors(document.get("limits")) - RESERVED_DESCRIPTORS - OVERFLOW
+        usable = max_descriptors(document.get("limits")) - RESERVED_DESCRIPTORS - OVERFLOW_CONNECTIONS
         if usable < 2:
-            raise ValueError(f"sockets: at least {RESERVED_DESCRIPTORS + OVERFLOW + 2} are needed")
+            raise ValueError(f"sockets: at least {RESERVED_DESCRIPTORS + OVERFLOW_CONNECTIONS + 2} are needed")
         key = "settings"
         if not isinstance(document.get("settings"), dict):
             raise ValueError("an object is needed")
-        profile = Profile(dict(flatten(document["settings"])))
+        profile = Profile(dict(flatten_settings(document["settings"])))
         settings = profile.settings()
         clients = max(1, int(usable * CLIENT_CONNECTION_SHARE))
         return Config(
@@ -139,7 +139,7 @@
             seed=seed,
             settings=settings,
             known=known,
-            pushed=not settings.must_subscribe,
+            has_local_agent=not settings.must_subscribe,
             connect_timeout_us=profile.integer("bounds.connectTimeoutUs", DEFAULT_CONNECT_TIMEOUT_US),
             idle_us=profile.integer("bounds.connIdleUs", DEFAULT_IDLE_US),
             client_connections=min(clients, profile.integer("bounds.maxOpen", usable)),
--- a/cypressbeam/standalone/discovery.py
+++ b/cypressbeam/standalone/discovery.py
@@ -71,7 +71,7 @@
     return ListedServer(entry, None if has_no_address else read_address(row.get("hostPort")))
 
 
-def read_list(document: object) -> ServerList:
+def parse_server_list(document: object) -> ServerList:
     """Parse a list in the JSON format of discovery. Raises ValueError for an invalid one."""
     if not isinstance(document, dict):
         raise ValueError("the list is not an object")
@@ -94,13 +94,13 @@
         self,
         address: Address,
         version: int,
-        pushed: bool,
+        has_local_agent: bool,
         on_update: Callable[[ServerList], None],
         on_failure: Callable[[], None],
     ) -> None:
         self.address = address
         self.version = version
-        self.pushed = pushed
+        self.has_local_agent = has_local_agent
         self.on_update = on_update
         self.on_failure = on_failure
         self.poll_requested = asyncio.Event()
@@ -108,7 +108,7 @@
         self.task: asyncio.Task[None] | None = None
         self.previous_task: asyncio.Task[None] | None = None
         """Polls the previous address until the current one has responded."""
-        if pushed:
+        if has_local_agent:
             self.poll_requested.set()
 
     def start(self) -> None:
@@ -155,22 +155,28 @@
                 if own_task is not self.task:
                     return  # the previous address is not reconnected
                 log.warning("server list: %s: %s", type(err).__name__, err)
-                if not self.pushed:
+                if not self.has_local_agent:
                     self.poll_requested.clear()
                 self.on_failure()
             finally:
                 connection.close()
-            if self.pushed:
+            if self.has_local_agent:
                 await asyncio.sleep(random.uniform(MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S))
 
     async def poll(self, connection: HttpClient) -> None:
-        wait_ms = FIRST_WAIT_MS if self.previous_task is not None else AGENT_WAIT_MS if self.pushed else SERVICE_WAIT_MS
+        wait_ms = (
+            FIRST_WAIT_MS
+            if self.previous_task is not None
+            else AGENT_WAIT_MS
+            if self.has_local_agent
+            else SERVICE_WAIT_MS
+        )
         fetching_snapshot = self.snapshot_requested
         path = ENDPOINTS_PATH if fetching_snapshot else f"{ENDPOINTS_PATH}?after={self.version}&wait_ms={wait_ms}"
         response = await connection.get(path, wait_ms / 1000 + RESPONSE_MARGIN_S)
         if response.status != 200:
             raise ValueError(f"status {response.status}")
-        update = read_list(json.loads(response.body))
+        update = parse_server_list(json.loads(response.body))
         if not update.is_snapshot and (fetching_snapshot or update.version < self.version):
             # The version went backwards, so changes may be missing: fetch a snapshot.
             self.snapshot_requested = True
--- a/cypressbeam/standalone/node.py
+++ b/cypressbeam/standalone/node.py
@@ -26,15 +26,15 @@
         self.classes = {request_class.name: request_class for request_class in config.settings.classes}
         self.balancer = Balancer(config.settings, config.seed)
         self.host = BalancerHost(self, self.balancer)
-        self.live: set[str] = set()
+        self.active_servers: set[str] = set()
         self.discovery = DiscoveryClient(
-            config.discovery, config.known.version, config.pushed, self.take_list, self.on_list_failed
+            config.discovery, config.known.version, config.has_local_agent, self.apply_server_list, self.on_list_failed
         )
-        self.take_list(config.known, saved=True)
+        self.apply_server_list(config.known, saved=True)
         self.start_periodic_tasks()
 
     def can_serve(self) -> bool:
-        return bool(self.live)
+        return bool(self.active_servers)
 
     def serve(self, message: RequestMessage, connection: ClientConnection) -> Response | None:
         if message.target.partition(b"?")[0] == b"/ready":
@@ -44,7 +44,7 @@
             return Response(503)
         arrival, head = read_request(message, self.classes, RESPONSE_MARGIN_US)
         if self.has_request(arrival.request):
-            raise BadRequestError(400, f"Request-Id: {arrival.request} is already in flight")
+            raise BadRequestError(400, f"Request-Id: {arrival.request} is still in hand")
         connection.request = arrival.request
         self.start_request(
             ProxiedRequest(
@@ -58,12 +58,12 @@
         )
         return None
 
-    def take_list(self, update: ServerList, saved: bool = False) -> None:
+    def apply_server_list(self, update: ServerList, saved: bool = False) -> None:
         if update.is_snapshot:
             listed_names = {listed.entry.server for listed in update.servers}
             for server in self.upstream.pools.keys() - listed_names:
                 self.upstream.remove_server(server)
-            self.live &= listed_names
+            self.active_servers &= listed_names
         for listed in update.servers:
             entry = listed.entry
             active = entry.state is it.ServerState.ACTIVE
@@ -71,7 +71,7 @@
                 self.upstream.remove_server(entry.server)
             else:
                 self.upstream.update_server(entry.server, listed.address, entry.started_us, active)
-            (self.live.add if active else self.live.discard)(entry.server)
+            (self.active_servers.add if active else self.active_servers.discard)(entry.server)
         scope = it.ListScope.SAVED if saved else it.ListScope.WHOLE if update.is_snapshot else it.ListScope.CHANGES
         self.host.handle(it.ListChanged(update.version, scope, tuple(listed.entry for listed in update.servers)))
         self.upstream.end_stale()
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -14,7 +14,7 @@
 
 from cypressbeam.proxy.frontend import Frontend
 from cypressbeam.proxy.http_responses import Headers, Response, ResponseReader
-from cypressbeam.standalone.config import Config, read_config
+from cypressbeam.standalone.config import Config, parse_config
 from cypressbeam.standalone.node import StandaloneNode
 
 T = TypeVar("T")
@@ -252,7 +252,7 @@
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "settings": SETTINGS,
     } | document
-    return read_config(full, {})
+    return parse_config(full, {})
 
 
 @asynccontextmanager
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cypressbeam.standalone.discovery import read_list
+from cypressbeam.standalone.discovery import parse_server_list
 from tests.loopback import ReceivedRequest, StubServer, run, running_node, server_list, server_row, within_timeout
 
 
@@ -23,10 +23,10 @@
             assert call.target.startswith("/v1/endpoints?after=1&wait_ms=")
             respond(call, server_list(2, server_row(0, ports[0], lifecycle="leaving"), whole=False))
             call = await node_fixture.agent.next()
-            assert call.target.startswith("/v1/endpoints?after=2&") and node_fixture.node.live == {"s1", "s2"}
+            assert call.target.startswith("/v1/endpoints?after=2&") and node_fixture.node.active_servers == {"s1", "s2"}
             respond(call, server_list(5, server_row(1, ports[1]), server_row(9, ports[2])))
             await node_fixture.agent.next()
-            assert node_fixture.node.live == {"s1", "s9"} and len(node_fixture.agent.peers) == 1
+            assert node_fixture.node.active_servers == {"s1", "s9"} and len(node_fixture.agent.peers) == 1
             assert node_fixture.node.balancer.servers["s2"].is_inactive
             assert not node_fixture.node.balancer.servers["s9"].is_inactive
 
@@ -68,14 +68,14 @@
                 if not answer:
                     call.peer.transport.abort()
             call = await node_fixture.agent.next()
-            assert node_fixture.node.live == {"s0"}
+            assert node_fixture.node.active_servers == {"s0"}
             client = await node_fixture.client()
             client.send()
             (await node_fixture.servers[0].next()).reply()
             assert (await client.answer()).status == 200
             respond(call, server_list(7, server_row(3, 1)))
             await node_fixture.agent.next()
-            assert node_fixture.node.live == {"s3"}
+            assert node_fixture.node.active_servers == {"s3"}
 
     run(scenario())
 
@@ -88,7 +88,7 @@
             assert call.target == "/v1/endpoints"
             respond(call, server_list(0, server_row(4, 1)))
             call = await node_fixture.agent.next()
-            assert call.target.startswith("/v1/endpoints?after=0&") and node_fixture.node.live == {"s4"}
+            assert call.target.startswith("/v1/endpoints?after=0&") and node_fixture.node.active_servers == {"s4"}
 
     run(scenario())
 
@@ -101,7 +101,7 @@
             call = await node_fixture.agent.next()  # and again after a failure
             respond(call, server_list(2, server_row(5, 1)))
             await node_fixture.agent.next()
-            assert node_fixture.node.live == {"s5"} and node_fixture.node.balancer.failed_list_calls == 0
+            assert node_fixture.node.active_servers == {"s5"} and node_fixture.node.balancer.failed_list_calls == 0
 
     run(scenario())
 
@@ -113,7 +113,7 @@
             call.reply(body=json.dumps(server_list(2, whole=False)).encode(), head="Connection: close\r\n")
             await node_fixture.agent.next()
             await within_timeout(call.peer.lost.wait())
-            assert len(node_fixture.agent.peers) == 2 and node_fixture.node.live == {"s0"}
+            assert len(node_fixture.agent.peers) == 2 and node_fixture.node.active_servers == {"s0"}
 
     run(scenario())
 
@@ -124,7 +124,7 @@
             gone = {"instanceId": "s1", "lifecycle": "left"}
             respond(await node_fixture.agent.next(), server_list(2, gone, whole=False))
             await node_fixture.agent.next()
-            assert node_fixture.node.live == {"s0"} and list(node_fixture.node.upstream.pools) == ["s0"]
+            assert node_fixture.node.active_servers == {"s0"} and list(node_fixture.node.upstream.pools) == ["s0"]
 
     run(scenario())
 
@@ -136,10 +136,10 @@
             node_fixture.node.discovery.fetch_snapshot()
             respond(call, server_list(2, server_row(1, 1), whole=False))
             call = await node_fixture.agent.next()
-            assert call.target == "/v1/endpoints" and node_fixture.node.live == {"s0", "s1"}
+            assert call.target == "/v1/endpoints" and node_fixture.node.active_servers == {"s0", "s1"}
             respond(call, server_list(3, server_row(2, 1)))
             call = await node_fixture.agent.next()
-            assert call.target.startswith("/v1/endpoints?after=3&") and node_fixture.node.live == {"s2"}
+            assert call.target.startswith("/v1/endpoints?after=3&") and node_fixture.node.active_servers == {"s2"}
             assert len(node_fixture.agent.peers) == 1
 
     run(scenario())
@@ -162,15 +162,15 @@
             node_fixture.node.discovery.change_address(("127.0.0.1", second.port))
             await within_timeout(unanswered_call.peer.lost.wait())
             next_old_call = await node_fixture.agent.next()
-            assert node_fixture.node.live == {"s0", "s1"} and not next_old_call.peer.lost.is_set()
+            assert node_fixture.node.active_servers == {"s0", "s1"} and not next_old_call.peer.lost.is_set()
             call = await second.next()
             respond(call, server_list(2, whole=False))
             await within_timeout(next_old_call.peer.lost.wait())
             call = await second.next()
-            assert call.target.startswith("/v1/endpoints?after=2&") and node_fixture.node.live == {"s0", "s1"}
+            assert call.target.startswith("/v1/endpoints?after=2&") and node_fixture.node.active_servers == {"s0", "s1"}
             respond(call, server_list(3, server_row(2, 1), whole=False))
             await second.next()
-            assert node_fixture.node.live == {"s0", "s1", "s2"} and node_fixture.agent.received.empty()
+            assert node_fixture.node.active_servers == {"s0", "s1", "s2"} and node_fixture.agent.received.empty()
             first.stop()
             second.stop()
 
@@ -189,12 +189,12 @@
             old_call.peer.transport.abort()
             assert task is not None
             await within_timeout(task)
-            assert len(node_fixture.agent.peers) == 1 and node_fixture.node.live == {"s0"}
+            assert len(node_fixture.agent.peers) == 1 and node_fixture.node.active_servers == {"s0"}
             new_agent.stop()
 
     run(scenario())
 
 
 def test_start_times_are_converted_to_microseconds() -> None:
-    listed = read_list(server_list(1, server_row(0, 1, startedAtMs=1_700_000_000_000))).servers[0]
+    listed = parse_server_list(server_list(1, server_row(0, 1, startedAtMs=1_700_000_000_000))).servers[0]
     assert listed.entry.started_us == 1_700_000_000_000_000 and listed.address == ("127.0.0.1", 1)
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -121,5 +121,5 @@
     asked: set[str] = set()
     environment = RecordedKeys({"EDGE_LISTEN": "127.0.0.1:1", "EDGE_DISCOVERY": "127.0.0.1:2"}, asked)
     with pytest.raises(config.ConfigError, match="settings: an object is needed"):
-        config.read_config(RecordedKeys({}, asked), environment)
+        config.parse_config(RecordedKeys({}, asked), environment)
     assert sorted(asked) == ["EDGE_DISCOVERY", "EDGE_LISTEN", "known", "limits", "seed", "settings"]
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -16,7 +16,7 @@
 
 from cypressbeam.proxy.http_responses import Response
 from cypressbeam.runtime import LogRateLimiter
-from cypressbeam.standalone.config import OVERFLOW, ConfigError, flatten, read_config
+from cypressbeam.standalone.config import OVERFLOW_CONNECTIONS, ConfigError, flatten_settings, parse_config
 from lab.loopback_network import LoopbackNetwork
 from tests.loopback import (
     SETTINGS,
@@ -33,7 +33,7 @@
 
 def test_configuration_as_given() -> None:
     config = configuration({"known": server_list(4, server_row(0, 80)), "name": "n3"})
-    assert (config.name, config.seed, config.pushed, config.known.version) == ("n3", 0x1F, True, 4)
+    assert (config.name, config.seed, config.has_local_agent, config.known.version) == ("n3", 0x1F, True, 4)
     assert (config.connect_timeout_us, config.idle_us) == (5_000_000, 60_000_000)
     assert [kind.name for kind in config.settings.classes] == ["read", "refresh", "order"]
     assert config.settings.classes[1].window_us == 2_500_000 and config.settings.zone == "a"
@@ -44,12 +44,12 @@
     """Half of what was left after a large reserve was less than the third that usual clients may hold."""
     config = configuration({"limits": {"sockets": sockets}})
     assert config.client_connections > sockets / 3 < config.server_connections
-    assert config.client_connections + config.server_connections + OVERFLOW <= sockets - 20
+    assert config.client_connections + config.server_connections + OVERFLOW_CONNECTIONS <= sockets - 20
 
 
 def test_settings_are_flattened_as_on_the_wire() -> None:
     given = {"a": [1, 2], "b": {"c": True, "d": None}, "e": [{"f": "x y"}], "tenants": []}
-    assert dict(flatten(given)) == {"a": "1,2", "b.c": "true", "e.count": "1", "e.0.f": "x y", "tenants": ""}
+    assert dict(flatten_settings(given)) == {"a": "1,2", "b.c": "true", "e.count": "1", "e.0.f": "x y", "tenants": ""}
 
 
 @pytest.mark.parametrize(
@@ -73,7 +73,7 @@
 
 def test_the_environment_goes_first() -> None:
     document = {"listen": "10.0.0.1:1", "discovery": "10.0.0.2:1", "settings": SETTINGS}
-    config = read_config(document, {"EDGE_LISTEN": "127.0.0.1:7", "EDGE_DISCOVERY": "127.0.0.1:8"})
+    config = parse_config(document, {"EDGE_LISTEN": "127.0.0.1:7", "EDGE_DISCOVERY": "127.0.0.1:8"})
     assert config.listen == ("127.0.0.1", 7) and config.discovery == ("127.0.0.1", 8)
 
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -13,7 +13,7 @@
 from cypressbeam.proxy.http_responses import MAX_RESPONSE_BYTES, Response
 from cypressbeam.proxy.protocol_profile import parse_named_load
 from cypressbeam.proxy.upstream import Attempt, Upstream
-from cypressbeam.standalone.discovery import read_list
+from cypressbeam.standalone.discovery import parse_server_list
 from tests.loopback import (
     LONG_AGO_MS,
     NodeFixture,
@@ -29,7 +29,7 @@
 
 
 def report_servers(node_fixture: NodeFixture, version: int, *rows: dict[str, Any], whole: bool = True) -> None:
-    node_fixture.node.take_list(read_list(server_list(version, *rows, whole=whole)))
+    node_fixture.node.apply_server_list(parse_server_list(server_list(version, *rows, whole=whole)))
 
 
 async def next_request(node_fixture: NodeFixture) -> tuple[int, Any]:
@@ -442,7 +442,7 @@
             while len(node_fixture.node.balancer.servers) > 1:
                 await asyncio.sleep(0.01)
             report_servers(node_fixture, 30, server_row(7, port))
-            assert list(node_fixture.node.upstream.pools) == ["s7"] and node_fixture.node.live == {"s7"}
+            assert list(node_fixture.node.upstream.pools) == ["s7"] and node_fixture.node.active_servers == {"s7"}
 
     run(scenario())
 
