--- a/cypressbeam/__init__.py
+++ b/cypressbeam/__init__.py
@@ -1,1 +1,1 @@
-"""cypressbeam: an API gateway whose nodes find each other, keep their configuration and carry the traffic."""
+"""cypressbeam: an API gateway whose nodes discover each other, replicate their configuration and proxy requests."""
--- a/cypressbeam/__main__.py
+++ b/cypressbeam/__main__.py
@@ -1,4 +1,4 @@
-"""The program `cypressbeam`: a node, or the commands for people."""
+"""The `cypressbeam` program: runs a node or an administration command."""
 
 from __future__ import annotations
 
@@ -7,15 +7,18 @@
 
 
 def main() -> int:
-    """The console script. What takes time to load comes after the socket that clients connect to, and a node must not
-    pay for what only people need."""
+    """Entry point of the console script.
+
+    The listening socket for clients is opened before the slow imports, and a node does not import the command-line
+    interface.
+    """
     if sys.argv[1:] == ["node"]:
         from cypressbeam.node.early_listener import open_front
 
-        front = open_front(os.environ)
+        front_socket = open_front(os.environ)
         from cypressbeam.node.run import run_node
 
-        return run_node(front)
+        return run_node(front_socket)
     from cypressbeam.cli.program import main as commands
 
     commands(prog_name="cypressbeam")
--- a/cypressbeam/errors.py
+++ b/cypressbeam/errors.py
@@ -1,7 +1,7 @@
-"""The base of all errors that the program raises itself. Each names what is wrong in one line."""
+"""The base class of all errors that the program raises. Each message is a single line."""
 
 from __future__ import annotations
 
 
 class CypressbeamError(Exception):
-    """An error of this program: the settings, the configuration, a message, the disk, a request."""
+    """An error in the settings, the configuration, a message, the disk state or a request."""
--- a/cypressbeam/node/__init__.py
+++ b/cypressbeam/node/__init__.py
@@ -1,1 +1,1 @@
-"""One process of the gateway: what joins its parts, carries out their effects and answers the operators' calls."""
+"""The gateway process: wires its components together, executes their effects and serves the control API."""
--- a/cypressbeam/node/background_tasks.py
+++ b/cypressbeam/node/background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that run beside the event loop's callbacks, and their owner."""
+"""Ownership of background asyncio tasks."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class BackgroundTasks:
-    """Holds each task until it is done: the loop itself keeps only a weak reference."""
+    """Keeps a strong reference to each task until it is done. The event loop keeps only weak references."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
         self.running: set[asyncio.Task[Any]] = set()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Begin a task."""
+        """Start a task."""
         task = self.loop.create_task(work)
         self.running.add(task)
         task.add_done_callback(self.running.discard)
--- a/cypressbeam/node/control_api.py
+++ b/cypressbeam/node/control_api.py
@@ -1,7 +1,7 @@
-"""Control calls: the operator's configuration, taken by any node and passed on; read back from the tail.
+"""The control API. Any node accepts calls and forwards them: writes to the head of the chain, reads to the tail.
 
-`better_reader` gives the address of a node that answers a read sooner, where this one's link is too thin for it.
-`is_isolated` tells that no machine of the core is in reach: calls are refused at once then, and callers go on to
+`better_reader` returns the address of a core machine for reads if the link of this node is too slow for them.
+`is_isolated` returns whether no core machine is reachable. Calls are then rejected immediately, so that callers try
 another node.
 """
 
@@ -16,7 +16,7 @@
 import msgspec
 
 from cypressbeam.consensus.membership import KINDS
-from cypressbeam.node.state_query import JSON, STATE, StateQuery
+from cypressbeam.node.state_query import JSON_CONTENT_TYPE, STATE, StateQuery
 from cypressbeam.protocol import frames
 from cypressbeam.protocol.address import Address
 from cypressbeam.protocol.configuration import MAX_REVISION
@@ -29,7 +29,7 @@
 
 REPLACE, READ = b"/-/Configuration.Replace", b"/-/Configuration.Read"
 MEMBERS = b"/-/System.Members"
-#: A configuration of many thousand routes fits; more is refused with 413.
+#: Enough for a configuration with many thousand routes. Larger bodies are rejected with 413.
 MAX_BODY_BYTES = 8 * 1024 * 1024
 LIMITS = Limits(
     max_head_bytes=16 * 1024,
@@ -40,17 +40,17 @@
     body_timeout_restarts=True,
 )
 MAX_CONNECTIONS = 64
-#: Callers move on after a second of silence, so by then they hear that they should.
+#: Callers try another node after one second without a response, so the call fails before that.
 CALL_TIMEOUT_S = 0.9
-#: An order or read without an answer is sent again: the link may have broken. The head knows one that it has.
+#: Requests without an answer are resent, because the link may have broken. The head recognizes duplicates.
 RESEND_INTERVAL_S = 0.3
-CBOR = (b"Content-Type", b"application/cbor")
-#: How answers name the body of System.Members; callers may compare them.
+CBOR_CONTENT_TYPE = (b"Content-Type", b"application/cbor")
+#: Name of the body of System.Members in error messages. Callers may match these messages.
 REQUEST_LABEL = "Change"
 
 
 class MembersCall(msgspec.Struct):
-    """The body of System.Members. Addresses; `base` are those of the group that the change was made for."""
+    """The body of System.Members. All values are addresses, except `change`; `base` is the group that it applies to."""
 
     change: str
     base: list[str]
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class PendingCall:
-    """A call that waits for the chain's answer."""
+    """A call that waits for an answer from the chain."""
 
     connection: ClientConnection
     frame: frames.WriteRequest | frames.ReadRequest | frames.MembershipChangeRequest
@@ -68,14 +68,14 @@
 
 
 class ControlApi:
-    """The application behind a control listener. `view` gives the chain's members, head first, as last known."""
+    """The application of the control listener. `view` returns the last known chain, head first."""
 
     def __init__(
         self,
         ip: str,
         view: Callable[[], tuple[str, ...]],
         send: Callable[[str, frames.Frame], None],
-        survey: StateQuery,
+        state_query: StateQuery,
         better_reader: Callable[[], Address | None] = lambda: None,
         is_isolated: Callable[[], bool] = lambda: False,
     ) -> None:
@@ -84,17 +84,17 @@
         self.ip = ip
         self.chain = view
         self.send = send
-        self.state_query = survey
+        self.state_query = state_query
         self.better_reader, self.is_isolated = better_reader, is_isolated
         self.rng = random.SystemRandom()
         self.calls: dict[str, PendingCall] = {}
 
     def can_serve(self) -> bool:
-        """Whether the chain is known here."""
+        """Whether this node knows the chain."""
         return bool(self.chain())
 
     def serve(self, message: RequestMessage, connection: ClientConnection) -> Response | None:
-        """Answer a call, or begin to; raises BadRequestError for one that is wrong."""
+        """Handle a call. Returns None if the response follows later. Raises BadRequestError for an invalid call."""
         path = message.target.partition(b"?")[0]
         if path == REPLACE:
             return self.replace(message, connection)
@@ -109,29 +109,28 @@
         raise BadRequestError(404, "no such call")
 
     def replace(self, message: RequestMessage, connection: ClientConnection) -> Response | None:
-        """Configuration.Replace: a write request to the head."""
+        """Handle Configuration.Replace: send a write request to the head."""
         if message.method != b"POST":
             raise BadRequestError(405, "Configuration.Replace is a POST", b"POST")
-        given = [value for lower, _, value in message.headers if lower == b"base-revision"]
-        if len(given) != 1 or not given[0].isdigit() or len(given[0]) > 19 or int(given[0]) > MAX_REVISION:
+        values = [value for lower, _, value in message.headers if lower == b"base-revision"]
+        if len(values) != 1 or not values[0].isdigit() or len(values[0]) > 19 or int(values[0]) > MAX_REVISION:
             raise BadRequestError(400, "Base-Revision: the number of a version is needed")
-        # The head judges whether it is valid, for it knows whether it was applied: this node's program may be another
-        # one.
+        # The head validates the body: it knows whether it was applied before, and this node may run another version.
         request_id = self.rng.getrandbits(63)
-        return self.submit(frames.WriteRequest(request_id, self.ip, int(given[0]), message.body), connection)
+        return self.submit(frames.WriteRequest(request_id, self.ip, int(values[0]), message.body), connection)
 
     def read(self, message: RequestMessage, connection: ClientConnection) -> Response | None:
-        """Configuration.Read: a read request to the tail, or a redirect to a node that answers sooner."""
+        """Handle Configuration.Read: send a read request to the tail, or redirect to a machine with a faster link."""
         if message.method not in (b"GET", b"HEAD"):
             raise BadRequestError(405, "Configuration.Read is a GET", b"GET, HEAD")
-        better = self.better_reader()
-        if better is not None:
-            where = b"http://%s:%d%s" % (better[0].encode(), better[1], READ)
-            return Response(307, [(b"Location", where)])
+        reader = self.better_reader()
+        if reader is not None:
+            location = b"http://%s:%d%s" % (reader[0].encode(), reader[1], READ)
+            return Response(307, [(b"Location", location)])
         return self.submit(frames.ReadRequest(self.rng.getrandbits(63), self.ip), connection)
 
     def change_members(self, message: RequestMessage, connection: ClientConnection) -> Response | None:
-        """A change of the core's group: sent again and again, as it was, until the answer is no longer 202."""
+        """Handle System.Members: change the core group. Callers repeat the call unchanged while the status is 202."""
         if message.method != b"POST":
             raise BadRequestError(405, "System.Members is a POST", b"POST")
         request_id = self.rng.getrandbits(63)
@@ -153,7 +152,7 @@
         frame: frames.WriteRequest | frames.ReadRequest | frames.MembershipChangeRequest,
         connection: ClientConnection,
     ) -> Response | None:
-        """Send a request to the chain, and answer the call when its result comes."""
+        """Send a request to the chain. The call is answered when the result arrives."""
         if not self.chain():
             return unavailable("the chain is not known here yet")
         if self.is_isolated():
@@ -165,12 +164,12 @@
         return None
 
     def send_pending(self, name: str) -> None:
-        """Send a call that waits, again until it is answered or its caller moves on."""
+        """Send a pending call, and resend it until it is answered or times out."""
         call = self.calls.get(name)
         if call is None:
             return
         if self.loop.time() >= call.deadline_s:
-            log.warning("operator call timed out: no answer from the chain")
+            log.warning("control call timed out: no answer from the chain")
             self.complete(name, unavailable("the chain does not answer"))
             return
         members = self.chain()
@@ -181,31 +180,33 @@
         )
 
     def complete(self, name: str, answer: Response) -> None:
-        """Answer a call that waits."""
+        """Answer a pending call."""
         call = self.calls.pop(name, None)
         if call is not None:
             call.connection.respond(answer)
 
     def on_write_result(self, frame: frames.WriteResult) -> None:
-        """The result of a write."""
+        """Answer a Configuration.Replace call."""
         headers = [(b"Retry-After", b"0.3")] if frame.status == 503 else []
         self.complete(str(frame.request_id), Response(frame.status, headers, f"{frame.text}\n".encode()))
 
     def on_read_result(self, frame: frames.ReadResult) -> None:
-        """The configuration that was read."""
-        self.complete(str(frame.request_id), Response(frame.status, [CBOR] if frame.body else [], frame.body))
+        """Answer a Configuration.Read call."""
+        self.complete(
+            str(frame.request_id), Response(frame.status, [CBOR_CONTENT_TYPE] if frame.body else [], frame.body)
+        )
 
     def on_change_status(self, frame: frames.MembershipChangeStatus) -> None:
-        """How far a change of the members is."""
+        """Answer a System.Members call with the progress of the change."""
         body = msgspec.json.encode({"status": frame.status, "text": frame.text, "group": frame.group})
-        self.complete(str(frame.request_id), Response(frame.status, [JSON], body))
+        self.complete(str(frame.request_id), Response(frame.status, [JSON_CONTENT_TYPE], body))
 
     def client_disconnected(self, name: str) -> None:
-        """A client has left: its call is forgotten."""
+        """Drop the call of a client that disconnected."""
         if not self.state_query.client_disconnected(name):
             self.calls.pop(name, None)
 
 
 def unavailable(why: str) -> Response:
-    """503, and when to come back."""
+    """Return a 503 response with Retry-After."""
     return Response(503, [(b"Retry-After", b"0.3")], f"{why}\n".encode())
--- a/cypressbeam/node/core_machine.py
+++ b/cypressbeam/node/core_machine.py
@@ -1,8 +1,8 @@
-"""A machine with a disk: its part in the consensus, on real sockets and a real disk.
+"""A core machine: runs a consensus replica on real sockets and a real disk.
 
-It reads the disk at the start, gives messages and time to the replica, has the effects carried out
-(effect_executor.py), and takes and leaves the lead (leader_role.py). What it says of the leader is fenced by the epoch
-(docs/design/fencing.md).
+It loads the state on disk at start-up, passes messages and timer ticks to the replica, has the resulting effects
+executed (effect_executor.py), and takes and gives up the lead (leader_role.py). Its messages about the leader are
+fenced by the epoch (docs/design/fencing.md).
 """
 
 from __future__ import annotations
@@ -34,24 +34,24 @@
 log = logging.getLogger(__name__)
 
 TICK_S = 0.1
-#: A tail that leads while nodes have seen a higher epoch than its view's (a restored system's) proposes a view above it
-#: after so long.
-HIGHER_EPOCH_S = 1.0
-#: A start waits so long for the disk, which is read within milliseconds; one that hangs or refuses is read later, while
-#: the node serves on, and is asked again so often.
+#: If nodes have seen a higher epoch than that of the leading tail's view, as in a restored system, the tail proposes a
+#: view above that epoch after this time.
+HIGHER_EPOCH_TIMEOUT_S = 1.0
+#: Start-up waits this long for the disk, which normally takes milliseconds. If the disk hangs or fails, the node starts
+#: without it, and loading is retried at the second interval.
 LOAD_TIMEOUT_S, LOAD_RETRY_S = 0.2, 1.0
-#: What peers have reported, and the incarnation of this process, go to disk with the next write; without one, after so
-#: long.
-SAVE_MARKS_S = 1.0
-#: A draining member asks for its replacement this often.
+#: The marks reported by peers, and the incarnation of this process, are saved with the next disk write, or on their own
+#: after this time.
+SAVE_MARKS_INTERVAL_S = 1.0
+#: How often a draining member requests its replacement.
 HAND_OVER_INTERVAL_S = 0.15
-#: A spare sends the members a heartbeat this often.
+#: How often a spare sends heartbeats to the members.
 SPARE_HEARTBEAT_S = 0.3
 REQUEST_ID_BITS = 63
 
 
 def revision_of(body: bytes) -> int:
-    """The revision of a configuration. Raises ValueError for an invalid one."""
+    """Return the revision of a configuration. Raises ValueError if it is invalid."""
     try:
         return configuration.read(body).revision
     except configuration.InvalidConfigurationError as err:
@@ -59,45 +59,45 @@
 
 
 class CoreMachine:
-    """A machine with a disk. Times in seconds of the event loop's clock."""
+    """A machine with a replica and a disk. Times are in seconds of the event loop's clock."""
 
     def __init__(
-        self, settings: Settings, relay: TreeNode, send: Callable[[str, frames.Frame], None], store: Storage
+        self, settings: Settings, tree: TreeNode, send: Callable[[str, frames.Frame], None], store: Storage
     ) -> None:
         self.settings = settings
-        self.tree = relay
+        self.tree = tree
         self.send = send
         self.store = store
         self.loop = asyncio.get_running_loop()
         self.rng: random.Random = random.SystemRandom()
         self.tasks = BackgroundTasks()
         self.executor = EffectExecutor(self, store, send, self.tasks)
-        self.leader_role = LeaderRole(settings, relay, send, lambda: self.rng, self.vouched_leader)
+        self.leader_role = LeaderRole(settings, tree, send, lambda: self.rng, self.vouched_leader)
         self.replica: Replica | None = None
-        """None while the disk is not read yet."""
+        """None until the disk state is loaded, and while it is being replaced by an empty one."""
         self.membership: MembershipManager | None = None
         self.replacement: ReplacementManager | None = None
         self.dispatcher: Dispatcher | None = None
         self.higher_epoch_since_s: float | None = None
-        """Since when this machine would lead, but for a higher epoch that nodes have seen."""
+        """Time since which only a higher epoch seen by nodes has kept this machine from leading."""
         self.last_turn_s = self.loop.time()
-        """When the replica last had its turn."""
+        """Time of the last timer tick of the replica."""
         self.on_loaded: Callable[[], None] | None = None
-        """Called when the disk has been read, where that took longer than a start may."""
+        """Called once the disk state is loaded, if that took longer than `LOAD_TIMEOUT_S`."""
         self.marks_saved_s = 0.0
-        self.former_group: tuple[str, ...] = ()
-        """Whom a machine that has reset its identity tells of itself."""
-        self.spare_heartbeat_s = 0.0
+        self.previous_group: tuple[str, ...] = ()
+        """Addresses of the group before this machine reset its identity; they receive its spare heartbeats."""
+        self.last_spare_heartbeat_s = 0.0
         self.reported_rejections: set[str] = set()
         self.quorum_monitor = QuorumMonitor()
-        relay.fence.on_epoch = self.on_higher_epoch
-        relay.fence.vouched_leader = self.vouched_leader
+        tree.fence.on_epoch = self.on_higher_epoch
+        tree.fence.vouched_leader = self.vouched_leader
 
     # -- start and stop ------------------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Read what is on disk. Raises UnsupportedFormatError; whatever else is wrong with the disk, the node
-        starts."""
+        """Load the state on disk. Raises UnsupportedFormatError; with any other disk error the node starts without
+        it."""
         task = self.tasks.spawn(self.load())
         await asyncio.wait({task}, timeout=LOAD_TIMEOUT_S)
         if task.done():
@@ -105,27 +105,27 @@
         self.tick()
 
     async def load(self, reset: bool = False) -> None:
-        """Read what is on disk, again and again while it refuses. `reset`: set that aside, and begin with an empty
-        disk. Raises UnsupportedFormatError."""
-        began_s = self.loop.time()
+        """Load the state on disk, retrying until it succeeds. With `reset`, the existing state is set aside and
+        replaced by an empty one. Raises UnsupportedFormatError if the format is rejected within `LOAD_TIMEOUT_S`."""
+        started_s = self.loop.time()
         while True:
             try:
                 loaded = await self.store.load(reset)
                 break
             except UnsupportedFormatError as err:
-                if self.loop.time() < began_s + LOAD_TIMEOUT_S:
+                if self.loop.time() < started_s + LOAD_TIMEOUT_S:
                     raise
-                log.error("disk unusable: %s; this node goes on without it", err)
+                log.error("disk unusable: %s; continuing without it", err)
                 return
             except StoreError as err:
                 log.error("disk read failed: %s", err)
                 await asyncio.sleep(LOAD_RETRY_S)
-        self.adopt(loaded)
-        if self.on_loaded is not None and self.loop.time() > began_s + LOAD_TIMEOUT_S:
+        self.apply_loaded_state(loaded)
+        if self.on_loaded is not None and self.loop.time() > started_s + LOAD_TIMEOUT_S:
             self.on_loaded()
 
-    def adopt(self, loaded: LoadedState) -> None:
-        """Begin as the member whose disk this is."""
+    def apply_loaded_state(self, loaded: LoadedState) -> None:
+        """Create the replica of the member whose state was loaded."""
         settings = self.settings
         name = f"{settings.ip}/{loaded.identity}"
         self.tree.registration.identity = name
@@ -145,13 +145,13 @@
         )
 
     def reset_identity(self, reason: str) -> None:
-        """Go on as another member with an empty disk, in the same process. What is on the disk is kept aside."""
+        """Continue as a new member with an empty disk in the same process. The old state on disk is set aside."""
         replica = self.replica
         if replica is None:
             return
         log.error("resetting identity: %s", reason)
         view = replica.state.view
-        self.former_group = tuple(ip_of(name) for name in view.group) if view is not None else ()
+        self.previous_group = tuple(ip_of(name) for name in view.group) if view is not None else ()
         if self.tree.position.is_root:
             self.set_leadership(False)
         self.replica = None
@@ -160,22 +160,22 @@
         self.tasks.spawn(self.load(reset=True))
 
     async def hand_over(self, until_s: float) -> None:
-        """Ask for a spare to take this member's place, until it has, there is none, or time is up."""
+        """Request that a spare replaces this member, until it has, no spare exists, or `until_s` is reached."""
         if self.replica is not None:
             self.replica.is_draining = True
-        asked = False
+        requested = False
         while self.replica is not None and self.replacement is not None and self.loop.time() < until_s:
             change = self.replacement.departure_change(self.loop.time())
             if change is not None:
                 self.request_change(change)
-                asked = True
-            elif not asked or not self.replacement.successors_lack_view(self.loop.time()):
+                requested = True
+            elif not requested or not self.replacement.successors_lack_view(self.loop.time()):
                 return
             await asyncio.sleep(HAND_OVER_INTERVAL_S)
 
     def request_change(self, change: MembershipChange) -> None:
-        """Send the head a request for a change of the group, as an operator would."""
-        log.info("handing over: group is to be %s", " ".join(sorted(change.steps()[-1])))
+        """Send a membership change request to the head, as an operator would."""
+        log.info("handing over: requesting group %s", " ".join(sorted(change.steps()[-1])))
         self.on_message(
             frames.MembershipChangeRequest(
                 self.rng.getrandbits(REQUEST_ID_BITS),
@@ -188,11 +188,11 @@
         )
 
     def take_settings(self, settings: Settings) -> None:
-        """The settings file has changed."""
+        """Apply the reloaded settings."""
         self.settings = self.leader_role.settings = settings
 
     def close(self) -> None:
-        """Ask the platform no more, and close the disk."""
+        """Stop polling the platform, and close the disk."""
         self.leader_role.close()
         self.store.close()
 
@@ -200,12 +200,12 @@
 
     @property
     def view(self) -> View | None:
-        """The newest view that this machine knows of."""
+        """The newest view that this machine knows."""
         return self.replica.state.view if self.replica is not None else None
 
     def has_quorum_contact(self) -> bool:
-        """Whether a majority of the group is in reach, and none of its members holds a later view. Without that this
-        machine names no leader and sends no updates."""
+        """Return whether a majority of the group is reachable and no member has a later view. Otherwise this machine
+        names no leader and sends no updates."""
         replica, view = self.replica, self.view
         if replica is None or view is None:
             return False
@@ -215,9 +215,11 @@
         )
 
     def vouched_leader(self) -> str:
-        """The leader's address as this machine may name it to others: with a majority in reach, and no later view
-        promised or seen, the tail of the chain, which leads as soon as the view is active; of a machine that is no
-        member, what any node may name; otherwise nobody."""
+        """Return the address of the leader if this machine may name it to others, otherwise an empty text.
+
+        A member names the tail of the chain if it reaches a majority and has neither promised nor seen a later view;
+        the tail leads as soon as the view is active. A machine outside the group follows the rules of other nodes.
+        """
         replica, view = self.replica, self.view
         if replica is None or view is None or replica.name not in view.group:
             return self.tree.position.known_leader()
@@ -230,7 +232,7 @@
         return view.tail if highest_epoch <= view.epoch else ""
 
     def observe_epoch(self) -> None:
-        """An epoch counts as seen once somebody leads in it: one that is only proposed may come to nothing."""
+        """Record the epoch as seen once a machine leads in it. An epoch that is only proposed may never take effect."""
         replica, view = self.replica, self.view
         if replica is not None and view is not None:
             self.tree.fence.learn_group(tuple(ip_of(name) for name in view.group), view.epoch)
@@ -238,7 +240,7 @@
                 self.tree.fence.observe(view.epoch)
 
     def on_higher_epoch(self) -> None:
-        """A higher epoch was seen. The leader passes it on at once, if it is its own view's, or leads no more."""
+        """Handle a higher epoch. A leader whose own view has it sends a heartbeat immediately; any other resigns."""
         epoch, view = self.tree.fence.epoch, self.view
         if not self.tree.position.is_root or view is None:
             return
@@ -249,18 +251,18 @@
             self.set_leadership(False)
 
     def follow_leadership(self, replica: Replica, now_s: float) -> None:
-        """Lead as long as the replica holds the lease, and no higher epoch than its view's was seen."""
+        """Lead while the replica holds the lease and no higher epoch than that of its view was seen."""
         view, epoch = replica.state.view, self.tree.fence.epoch
         if view is None:
             return
         leadership, proposer = replica.leadership, replica.proposer
-        fenced_off = leadership.is_leader and leadership.leads(now_s) and epoch > view.epoch
-        if not fenced_off:
+        is_fenced = leadership.is_leader and leadership.leads(now_s) and epoch > view.epoch
+        if not is_fenced:
             self.higher_epoch_since_s = None
         elif self.higher_epoch_since_s is None:
             self.higher_epoch_since_s = now_s
-        elif now_s - self.higher_epoch_since_s >= HIGHER_EPOCH_S and proposer.proposal is None:
-            log.warning("view %d is below epoch %d that nodes have seen: proposing a higher one", view.epoch, epoch)
+        elif now_s - self.higher_epoch_since_s >= HIGHER_EPOCH_TIMEOUT_S and proposer.proposal is None:
+            log.warning("view %d is below epoch %d seen by nodes: proposing a higher one", view.epoch, epoch)
             self.higher_epoch_since_s = None
             replica.state.observe_epoch(epoch)
             self.executor.execute(proposer.propose(now_s))
@@ -269,7 +271,7 @@
             self.set_leadership(leads)
 
     def set_leadership(self, leads: bool) -> None:
-        """Be the root of the distribution tree, or no more."""
+        """Become the root of the distribution tree, or resign."""
         view = self.view
         assert view is not None
         if leads is self.tree.position.is_root or (leads and self.tree.fence.epoch > view.epoch):
@@ -280,24 +282,26 @@
             self.leader_role.end()
 
     def publish(self, entry: Entry) -> None:
-        """A configuration is committed."""
+        """Distribute a committed configuration."""
         self.tree.configuration.publish(entry.revision, entry.body)
 
-    # -- upkeep --------------------------------------------------------------------------------------------
+    # -- timers --------------------------------------------------------------------------------------------
 
     def tick(self) -> None:
-        """The timer, every `TICK_S`."""
+        """Timer callback, every `TICK_S`."""
         self.loop.call_later(TICK_S, self.tick)
-        self.take_turn()
+        self.advance()
+
+    def advance_after_pause(self) -> None:
+        """Run the overdue timer tick, if the process was paused, before a message or list is handled.
 
-    def catch_up(self) -> None:
-        """Before a message, or a list, is taken: in a process that was paused what its sockets hold is read before its
-        timers run, and it may lead no more."""
+        After a pause the event loop reads sockets before it runs timers, while this machine may have lost the lead.
+        """
         if self.loop.time() - self.last_turn_s > PAUSE_THRESHOLD_S:
-            self.take_turn()
+            self.advance()
 
-    def take_turn(self) -> None:
-        """Let the replica, and the leader's duties, go on with time."""
+    def advance(self) -> None:
+        """Run the timer tick of the replica and of the leader role."""
         now_s = self.last_turn_s = self.loop.time()
         if self.replica is not None and self.replacement is not None:
             self.executor.execute(self.replica.tick(now_s))
@@ -308,23 +312,23 @@
             self.leader_role.tick(now_s)
 
     def tick_replica(self, now_s: float) -> None:
-        """What follows from the state of the replica."""
+        """Act on the state of the replica after its tick."""
         if self.replica is not None:
             self.follow_leadership(self.replica, now_s)
         if self.replica is not None:
             self.save_marks(self.replica, now_s)
-        if now_s > self.spare_heartbeat_s + SPARE_HEARTBEAT_S:
+        if now_s > self.last_spare_heartbeat_s + SPARE_HEARTBEAT_S:
             self.send_spare_heartbeat()
         if self.replica is not None:
             self.watch_quorum(self.replica, now_s)
 
     def save_marks(self, replica: Replica, now_s: float) -> None:
-        """What peers have reported goes to disk with another write, or by itself after a while. Each member that is
-        rejected is logged once."""
+        """Save the marks reported by peers with the next disk write, or on their own after `SAVE_MARKS_INTERVAL_S`.
+        Each rejected member is logged once."""
         rollback = replica.rollback
         if not self.store.stage_marks(rollback.reported):
             self.marks_saved_s = now_s
-        elif now_s > self.marks_saved_s + SAVE_MARKS_S:
+        elif now_s > self.marks_saved_s + SAVE_MARKS_INTERVAL_S:
             self.marks_saved_s = now_s
             self.executor.execute(replica.probe_disk(now_s))
         for name in rollback.rejected - self.reported_rejections:
@@ -332,26 +336,26 @@
         self.reported_rejections = set(rollback.rejected)
 
     def send_spare_heartbeat(self) -> None:
-        """A machine that the group does not count tells its members that it is there, if it may be one. Those of the
-        view that it holds hear its heartbeats anyway."""
+        """Announce this machine as a spare to the members, if it is outside the group and may become a member. Members
+        of the view that it holds receive the replica's heartbeats anyway."""
         replica, settings = self.replica, self.settings
         if replica is None or not settings.quorum_member or self.awaits_bootstrap(replica):
             return
-        now_s = self.spare_heartbeat_s = self.loop.time()
+        now_s = self.last_spare_heartbeat_s = self.loop.time()
         view = replica.state.view
         group = {ip_of(name) for name in view.group} if view is not None else set()
         if settings.ip in group:
             return
-        for ip in dict.fromkeys([*self.former_group, *self.tree.fence.group]):
+        for ip in dict.fromkeys([*self.previous_group, *self.tree.fence.group]):
             if ip not in group and ip != settings.ip:
                 self.send(ip, replica.own_heartbeat(now_s))
 
     def awaits_bootstrap(self, replica: Replica) -> bool:
-        """Whether this machine waits for the first view: the machine that proposes it sends it."""
-        return replica.state.view is None and self.settings.bootstrap and not self.former_group
+        """Return whether this machine waits for the first view, which the bootstrapping machine sends."""
+        return replica.state.view is None and self.settings.bootstrap and not self.previous_group
 
     def watch_quorum(self, replica: Replica, now_s: float) -> None:
-        """Log it if a majority of the members is missing for long."""
+        """Log if a majority of the members is missing for long."""
         view, detector = replica.state.view, replica.failure_detector
         group = view.group if view is not None and replica.name in view.group else ()
         alive = {ip: peer.name for ip, peer in detector.peers.items() if detector.is_alive(ip, now_s)}
@@ -362,19 +366,19 @@
     # -- messages ------------------------------------------------------------------------------------------
 
     def on_message(self, frame: frames.Frame) -> None:
-        """A message from another machine with a disk, or a request from any node. Raises FrameError."""
+        """Handle a message from another core machine, or a request from any node. Raises FrameError."""
         replica, dispatcher, now_s = self.replica, self.dispatcher, self.loop.time()
         if replica is None or dispatcher is None or self.replacement is None:
-            return  # the disk is not read yet
+            return  # the disk state is not loaded yet
         if isinstance(frame, frames.StatusQuery):
-            self.executor.execute(self.describe(frame, replica, self.replacement, now_s))
+            self.executor.execute(self.status_messages(frame, replica, self.replacement, now_s))
         else:
             self.executor.execute(dispatcher.dispatch(frame, now_s))
 
-    def describe(
+    def status_messages(
         self, frame: frames.StatusQuery, replica: Replica, replacement: ReplacementManager, now_s: float
     ) -> Sequence[Effect]:
-        """What this machine holds and whom it hears, for an operator."""
+        """Return the messages that answer a status query: the spares and the status of this replica."""
         spares = replacement.describe(frame.request_id, now_s)
         silent = self.quorum_monitor.missing_durations() or spares.silent_members
         return [
@@ -383,7 +387,7 @@
         ]
 
     def on_bootstrap_request(self, link: Link, frame: frames.BootstrapRequest) -> None:
-        """The first view is proposed. Only the first one is ever accepted, and it is on disk before it counts."""
+        """Handle a proposal of the first view. Only the first is ever accepted, and it counts once it is on disk."""
         replica = self.replica
         if replica is None:
             return
@@ -394,15 +398,15 @@
             link.send(frames.BootstrapAck(replica.name, chain.view.epoch, chain.view.chain))
 
     def on_early_join(self, link: Link, frame: frames.JoinRequest) -> None:
-        """The tail leads as soon as its view is active: who has registered by then is not left to ask again."""
+        """Store a registration at the tail until it leads in its active view, so that the node need not resend it."""
         if self.view is not None and self.view.members[-1:] == (self.settings.ip,):
-            self.leader_role.keep_early(link, frame)
+            self.leader_role.hold_registration(link, frame)
 
     def on_join(self, link: Link, frame: frames.JoinRequest) -> None:
-        """A node registers at the leader."""
+        """Handle the registration of a node at the leader."""
         self.leader_role.on_join(link, frame, self.view)
 
     def take_list(self, servers: list[Endpoint]) -> None:
-        """The platform's list, at the leader."""
-        self.catch_up()
+        """Handle the platform's endpoint list at the leader."""
+        self.advance_after_pause()
         self.leader_role.take_list(servers)
--- a/cypressbeam/node/early_listener.py
+++ b/cypressbeam/node/early_listener.py
@@ -1,6 +1,7 @@
-"""Listening before all else: until a node's parts are loaded, clients that connect wait a little and are not refused.
+"""Opens the client listener before the rest of the program is imported.
 
-What this module needs is loaded before everything that takes time, so it imports next to nothing.
+Clients that connect while the node starts wait in the listen backlog instead of being refused. This module imports
+almost nothing, because it is loaded before the modules that take long to import.
 """
 
 from __future__ import annotations
@@ -8,33 +9,38 @@
 import socket
 from collections.abc import Mapping
 
-#: As many as a frontend lets wait.
-BACKLOG = 1024
+#: The same backlog as that of a frontend.
+LISTEN_BACKLOG = 1024
 
 
 def open_front(environ: Mapping[str, str]) -> socket.socket | None:
-    """A socket that listens where the settings file says that clients come. None where there is no such line, or it
-    can't be done: what is wrong then is told by those who read the settings in full and listen in the usual way."""
+    """Open a socket that listens at `listeners.front` of the settings file.
+
+    Returns None if the file has no such line or the socket can't be opened. The error is reported later, when the
+    settings are fully parsed or the node opens its listener.
+    """
     try:
-        with open(environ["CYPRESSBEAM_BOOT"], encoding="utf-8") as lines:
-            (place,) = [
-                line.partition("=")[2].strip() for line in lines if line.partition("=")[0].strip() == "listeners.front"
+        with open(environ["CYPRESSBEAM_BOOT"], encoding="utf-8") as settings_file:
+            (address,) = [
+                line.partition("=")[2].strip()
+                for line in settings_file
+                if line.partition("=")[0].strip() == "listeners.front"
             ]
-        host, _, port = place.rpartition(":")
+        host, _, port = address.rpartition(":")
         return listen(host, int(port))
     except (KeyError, OSError, ValueError, OverflowError):
         return None
 
 
 def listen(host: str, port: int) -> socket.socket:
-    """Raises OSError."""
-    front = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    """Open a non-blocking listening socket. Raises OSError."""
+    listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        front.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        front.bind((host, port))
-        front.listen(BACKLOG)
-        front.setblocking(False)
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.bind((host, port))
+        listener.listen(LISTEN_BACKLOG)
+        listener.setblocking(False)
     except BaseException:
-        front.close()
+        listener.close()
         raise
-    return front
+    return listener
--- a/cypressbeam/node/effect_executor.py
+++ b/cypressbeam/node/effect_executor.py
@@ -1,4 +1,4 @@
-"""Carries out what the consensus asks for: messages are sent, writes go to the disk, the rest goes to the node."""
+"""Executes the effects of the consensus: sends messages, writes to disk and calls the core machine."""
 
 from __future__ import annotations
 
@@ -28,23 +28,23 @@
 
 
 class EffectTarget(Protocol):
-    """The machine on which effects are carried out."""
+    """The machine on which effects are executed."""
 
     replica: Replica | None
-    """None while the disk is not read yet, or is being set aside."""
+    """None until the disk state is loaded, and while it is being replaced by an empty one."""
 
     def publish(self, entry: Entry) -> None:
-        """A configuration is committed."""
+        """Distribute a committed configuration."""
 
     def set_leadership(self, leads: bool) -> None:
-        """Be the root of the distribution tree, or no more."""
+        """Become the root of the distribution tree, or resign."""
 
     def reset_identity(self, reason: str) -> None:
-        """Go on as another member with an empty disk."""
+        """Continue as a new member with an empty disk."""
 
 
 class EffectExecutor:
-    """Carries out effects in their order; writes run beside each other and call the replica back when they are done."""
+    """Executes effects in order. Disk writes run concurrently, and the replica is notified when each one is done."""
 
     def __init__(
         self, target: EffectTarget, store: Storage, send: Callable[[str, frames.Frame], None], tasks: BackgroundTasks
@@ -56,7 +56,7 @@
         self.loop = asyncio.get_running_loop()
 
     def execute(self, effects: Sequence[Effect]) -> None:
-        """Carry out all of them."""
+        """Execute all effects."""
         for effect in effects:
             if isinstance(effect, SendMessage):
                 self.send(effect.ip, effect.frame)
@@ -70,10 +70,10 @@
                 self.tasks.spawn(self.write(effect))
 
     async def write(self, effect: DiskWrite) -> None:
-        """Put something on disk, and carry out what the replica asks for then."""
+        """Write to disk, then execute the effects that follow from it."""
         replica = self.target.replica
         if replica is None:
-            return  # what was to be written belongs to a disk that was set aside
+            return  # the write belongs to disk state that was set aside
         self.store.stage_marks(replica.rollback.reported)
         try:
             effects = await self.persist(replica, effect)
@@ -88,7 +88,7 @@
             self.execute(effects)
 
     async def persist(self, replica: Replica, effect: DiskWrite) -> list[Effect]:
-        """Write to the disk; gives what the replica asks for once that is done. Raises StoreError."""
+        """Write to disk and return the resulting effects of the replica. Raises StoreError."""
         if isinstance(effect, PersistEntry):
             await self.store.save_entry(effect.entry)
             return replica.entry_persisted(effect.entry, self.loop.time())
--- a/cypressbeam/node/endpoint_poller.py
+++ b/cypressbeam/node/endpoint_poller.py
@@ -1,4 +1,4 @@
-"""Asking the platform for the list of servers."""
+"""Polls the platform for the endpoint list."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 log = logging.getLogger(__name__)
 
-#: The list is asked for this often; on trouble sooner or later, with full jitter.
+#: Interval between polls. After a failure the delay is drawn uniformly from `POLL_RETRY_S`.
 POLL_INTERVAL_S = 0.9
 POLL_TIMEOUT_S = 1.0
 POLL_RETRY_S = (0.1, 0.3)
 
 
 class EndpointPoller:
-    """Asks the platform for the whole list, page by page, over one kept connection."""
+    """Fetches the whole endpoint list from the platform, page by page, over a persistent connection."""
 
     def __init__(self, address: Address, on_list: Callable[[list[Endpoint]], None], rng: random.Random) -> None:
         self.address = address
@@ -29,7 +29,7 @@
         self.rng = rng
 
     async def run(self) -> None:
-        """Ask for ever, over a new connection after each failure."""
+        """Poll forever. A new connection is opened after each failure."""
         while True:
             connection = HttpClient(self.address)
             try:
@@ -37,23 +37,25 @@
                 while True:
                     await self.poll(connection)
                     await asyncio.sleep(POLL_INTERVAL_S)
-            except Exception as err:  # noqa: BLE001 (whatever comes, the list stays and is asked for again)
+            except Exception as err:  # noqa: BLE001 (on any error the current list stays in use and polling continues)
                 log.warning("endpoint list poll failed: %s: %s", type(err).__name__, err)
             finally:
                 connection.close()
             await asyncio.sleep(self.rng.uniform(*POLL_RETRY_S))
 
     async def poll(self, connection: HttpClient) -> None:
-        """One whole list. A page that is refused over the rate is asked for again, later."""
+        """Fetch the whole list once. A page rejected with 429 is requested again after a delay."""
         servers: list[Endpoint] = []
-        token: str | None = ""
-        while token is not None:
-            answer = await connection.get("/servers" + (f"?pageToken={quote(token)}" if token else ""), POLL_TIMEOUT_S)
+        page_token: str | None = ""
+        while page_token is not None:
+            answer = await connection.get(
+                "/servers" + (f"?pageToken={quote(page_token)}" if page_token else ""), POLL_TIMEOUT_S
+            )
             if answer.status == 429:
                 await asyncio.sleep(self.rng.uniform(*POLL_RETRY_S))
                 continue
             if answer.status != 200:
                 raise ValueError(f"status {answer.status}")
-            page, token = read_page(answer.body)
+            page, page_token = read_page(answer.body)
             servers += page
         self.on_list(servers)
--- a/cypressbeam/node/leader_role.py
+++ b/cypressbeam/node/leader_role.py
@@ -1,7 +1,7 @@
-"""The duties of the leader, the root of the distribution tree: the registry of all nodes, and the endpoint list.
+"""The duties of the leader, which is the root of the distribution tree: the node registry and the endpoint list.
 
-The registry is soft state: a new leader begins with an empty one, and nodes register again within seconds.
-Invariant: each statement of the leader is made only while `vouched_leader` says that it leads.
+The registry is soft state: a new leader starts with an empty one, and nodes register again within seconds.
+Invariant: the leader sends messages in this role only while `vouched_leader` returns its address.
 """
 
 from __future__ import annotations
@@ -23,67 +23,68 @@
 
 log = logging.getLogger(__name__)
 
-#: A new leader knows only the nodes that have registered since; it reports no number of them before.
-COUNTING_S = 5.0
-#: The leader tells seeds that have not registered of itself this often.
+#: A new leader knows only the nodes that have registered since it took the lead. It reports no node count before this
+#: delay.
+NODE_COUNT_DELAY_S = 5.0
+#: How often the leader announces itself to seeds that have not registered.
 INTRODUCTION_INTERVAL_S = 0.5
-#: A node that is late with its registration by so much, and does not answer those that probe it, is gone.
-SUSPICION_S = 1.0
-#: Registrations that came so long before this machine leads are answered then; whoever sent an older one has sent
-#: another.
-EARLY_REGISTRATION_S = 2.0
-#: Terms have random numbers below this one; 0 means none.
+#: A node is removed if its registration is this late and it does not answer its probes.
+SUSPECT_TIMEOUT_S = 1.0
+#: When this machine takes the lead it answers registrations that it received up to this long before. Senders of older
+#: ones have registered again since.
+EARLY_REGISTRATION_MAX_AGE_S = 2.0
+#: Terms are random numbers of this many bits. 0 means no term.
 TERM_BITS = 63
 
 
 class LeaderRole:
-    """What a machine with a disk does while it leads. Times in seconds of the event loop's clock."""
+    """The state and duties of a core machine while it leads. Times are in seconds of the event loop's clock."""
 
     def __init__(
         self,
         settings: Settings,
-        relay: TreeNode,
+        tree: TreeNode,
         send: Callable[[str, frames.Frame], None],
         random_source: Callable[[], random.Random],
         vouched_leader: Callable[[], str],
     ) -> None:
         """
-        :param vouched_leader: the leader's address as this machine may name it now, or nothing.
+        :param vouched_leader: returns the address of the leader if this machine may name it now, otherwise "".
         """
         self.settings = settings
-        self.tree = relay
+        self.tree = tree
         self.send = send
         self.random_source = random_source
         self.vouched_leader = vouched_leader
         self.loop = asyncio.get_running_loop()
         self.registry = NodeRegistry(settings.node)
-        self.since_s = 0.0
-        """When this machine took the lead."""
-        self.introduced_s = 0.0
+        self.leading_since_s = 0.0
+        """Time when this machine took the lead."""
+        self.last_introduction_s = 0.0
         self.poller: asyncio.Task[None] | None = None
-        self.early: dict[str, tuple[Link, frames.JoinRequest, float]] = {}
-        """Registrations that came while this machine was about to lead, by node, and when."""
+        self.early_registrations: dict[str, tuple[Link, frames.JoinRequest, float]] = {}
+        """Registrations received before this machine took the lead, by node, with the time of receipt."""
 
     # -- taking and leaving the lead -----------------------------------------------------------------------
 
     def begin(self, view: View, take_list: Callable[[list[Endpoint]], None]) -> None:
-        """This machine leads from now on. `take_list` gets the platform's list, again and again."""
+        """Take the lead. `take_list` is called with each endpoint list polled from the platform."""
         settings = self.settings
         log.info("became root: epoch %d", view.epoch)
-        self.since_s = self.loop.time()
+        self.leading_since_s = self.loop.time()
         self.tree.become_root(self.random_source().getrandbits(TERM_BITS) | 1, view.epoch)
         self.registry = NodeRegistry(settings.node)
-        self.registry.register(self.own_registration(), self.since_s)
+        self.registry.register(self.own_registration(), self.leading_since_s)
         if settings.platform is not None:
             poller = EndpointPoller(settings.platform, take_list, self.random_source())
             self.poller = self.loop.create_task(poller.run())
-        early, self.early = self.early, {}
-        for link, request, came_s in early.values():
-            if not link.closed and self.since_s - came_s <= EARLY_REGISTRATION_S:
+        early_registrations, self.early_registrations = self.early_registrations, {}
+        for link, request, received_s in early_registrations.values():
+            if not link.closed and self.leading_since_s - received_s <= EARLY_REGISTRATION_MAX_AGE_S:
                 self.on_join(link, request, view)
 
     def own_registration(self) -> frames.JoinRequest:
-        """The leader is a node as well."""
+        """Return the registration of the leader itself, which is a node as well."""
         settings = self.settings
         return frames.JoinRequest(
             settings.node,
@@ -96,30 +97,33 @@
         )
 
     def end(self) -> None:
-        """Another machine leads, or none."""
+        """Give up the lead."""
         log.warning("lost root role")
         self.tree.resign()
         self.close()
 
     def close(self) -> None:
-        """Ask the platform no more."""
+        """Stop polling the platform."""
         if self.poller is not None:
             self.poller.cancel()
             self.poller = None
 
     def tick(self, now_s: float) -> None:
-        """Drop nodes that have not registered for long, and introduce this machine to the seeds."""
+        """Remove nodes whose registration has expired, and announce this machine to the seeds."""
         self.registry.nodes[self.settings.node].seen_s = now_s
         for name in self.registry.expire(now_s):
             log.warning("node %s expired: no registration", name)
         self.tree.registration.edge_count = self.edge_count()
-        if now_s >= self.introduced_s + INTRODUCTION_INTERVAL_S:
+        if now_s >= self.last_introduction_s + INTRODUCTION_INTERVAL_S:
             self.introduce(now_s)
 
     def introduce(self, now_s: float) -> None:
-        """Tell the seeds who leads, as far as they have not registered. After a loss of all power the seeds may be
-        machines that know nobody, and all others ask them."""
-        self.introduced_s = now_s
+        """Announce the leader to seeds that have not registered.
+
+        After all machines lost power, the seeds may not know any other machine, while all other nodes ask them for the
+        leader.
+        """
+        self.last_introduction_s = now_s
         if not self.vouched_leader():
             return
         known = {node.ip for node in self.registry.nodes.values()}
@@ -128,17 +132,17 @@
                 self.send(ip, self.tree.fence.redirect())
 
     def edge_count(self) -> int:
-        """How many nodes carry traffic; 0 while this is not known yet."""
-        return self.registry.edge_count() if self.loop.time() - self.since_s >= COUNTING_S else 0
+        """Return the number of nodes that carry traffic, or 0 while it is not known yet."""
+        return self.registry.edge_count() if self.loop.time() - self.leading_since_s >= NODE_COUNT_DELAY_S else 0
 
     # -- the registry --------------------------------------------------------------------------------------
 
-    def keep_early(self, link: Link, frame: frames.JoinRequest) -> None:
-        """A registration has come before this machine leads; it is answered then."""
-        self.early[frame.name] = link, frame, self.loop.time()
+    def hold_registration(self, link: Link, frame: frames.JoinRequest) -> None:
+        """Store a registration received before this machine leads, to answer it when it takes the lead."""
+        self.early_registrations[frame.name] = link, frame, self.loop.time()
 
     def on_join(self, link: Link, frame: frames.JoinRequest, view: View | None) -> None:
-        """A node asks for its parents. A machine that leads no more, or can't tell, says so."""
+        """Register a node and assign its parents. A machine that does not lead, or can't be sure of it, redirects."""
         if not self.tree.position.is_root or not self.vouched_leader():
             link.send(self.tree.fence.redirect())
             return
@@ -150,14 +154,16 @@
         link.send(self.registry.assignment(frame.name, epoch, view.members, self.settings.ip, self.edge_count(), group))
 
     def on_suspect(self, name: str) -> None:
-        """A node that probes it does not hear it. Where a link is full its datagrams are lost, so that alone says
-        little: a node that has registered again since it would have been missed is there."""
+        """Handle a report that a node does not answer probes.
+
+        Probes are also lost on a saturated link, so a node whose registration is recent is kept.
+        """
         known = self.registry.nodes.get(name)
-        if known is not None and self.loop.time() - known.seen_s > RENEWAL_INTERVAL_S + SUSPICION_S:
+        if known is not None and self.loop.time() - known.seen_s > RENEWAL_INTERVAL_S + SUSPECT_TIMEOUT_S:
             self.remove(name, "unreachable")
 
     def remove(self, name: str, reason: str) -> None:
-        """A node is gone."""
+        """Remove a node from the registry."""
         if name != self.settings.node and name in self.registry.nodes:
             log.info("node %s removed: %s", name, reason)
             self.registry.remove(name)
@@ -165,11 +171,11 @@
     # -- the endpoint list ---------------------------------------------------------------------------------
 
     def take_list(self, servers: list[Endpoint]) -> None:
-        """The platform's list: what has changed goes down the tree."""
+        """Handle the platform's endpoint list: broadcast the changes down the tree."""
         if not self.vouched_leader():
-            return  # whoever leads by now asks the platform too
-        relay = self.tree
-        changes = relay.endpoints.endpoints.update_from_platform(servers) if relay.position.is_root else None
+            return  # the actual leader polls the platform itself
+        tree = self.tree
+        changes = tree.endpoints.endpoints.update_from_platform(servers) if tree.position.is_root else None
         if changes is not None:
-            relay.children.broadcast(replace(changes, epoch=relay.fence.epoch))
-            relay.endpoints.on_change()
+            tree.children.broadcast(replace(changes, epoch=tree.fence.epoch))
+            tree.endpoints.on_change()
--- a/cypressbeam/node/run.py
+++ b/cypressbeam/node/run.py
@@ -1,4 +1,4 @@
-"""Running a node, from its start to its exit code."""
+"""Runs a node and maps errors to exit codes."""
 
 from __future__ import annotations
 
@@ -17,12 +17,14 @@
 from cypressbeam.storage.store import StoreError
 
 
-def run_node(front: socket.socket | None) -> int:
-    """With a socket that clients already connect to, if there is one.
+def run_node(front_socket: socket.socket | None) -> int:
+    """Run a node until it is stopped, and return its exit code.
 
-    Exit codes: 0 stopped in order, 1 an address or the state can't be used, 2 wrong settings.
+    Exit codes: 0 clean shutdown, 1 an address or the state on disk is unusable, 2 invalid settings.
+
+    :param front_socket: the client listener if it is already open.
     """
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop runs
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the event loop handles it
     logging.basicConfig(level=logging.INFO, format="%(levelname)s %(name)s: %(message)s", stream=sys.stderr)
     for handler in logging.getLogger().handlers:
         handler.addFilter(LogRateLimiter())
@@ -31,7 +33,7 @@
         gc.collect()
         gc.freeze()
         gc.set_threshold(*GC_THRESHOLDS)
-        uvloop.run(serve(settings, front))
+        uvloop.run(serve(settings, front_socket))
     except SettingsError as err:
         print(f"cypressbeam: {err}", file=sys.stderr)
         return 2
--- a/cypressbeam/node/state_query.py
+++ b/cypressbeam/node/state_query.py
@@ -1,4 +1,4 @@
-"""The state of chain and view, at any node that takes control calls: it queries each machine of the core."""
+"""System.State: reports the state of the core. Any node with a control listener queries each core machine for it."""
 
 from __future__ import annotations
 
@@ -17,44 +17,44 @@
 from cypressbeam.proxy.http_responses import Response
 
 STATE = b"/-/System.State"
-#: A machine that has not answered by then is shown as silent.
+#: Machines that have not answered by then are reported as not answering.
 QUERY_TIMEOUT_S = 0.5
-JSON = (b"Content-Type", b"application/json")
+JSON_CONTENT_TYPE = (b"Content-Type", b"application/json")
 
 
 @dataclass(slots=True)
 class PendingQuery:
-    """An operator's call that waits for the answers of core machines."""
+    """A System.State call that waits for answers from core machines."""
 
     connection: ClientConnection
     queried: set[str] = field(default_factory=set)
-    """Addresses of machines of the core."""
+    """Addresses of the core machines that were queried."""
     answers: dict[str, frames.ReplicaStatus] = field(default_factory=dict)
     spares: set[str] = field(default_factory=set)
-    """Names of machines that stand by, as any of the core hears them."""
+    """Names of the spares that any core machine hears."""
     silent_members: tuple[str, ...] = ()
     replacement_status: str = ""
-    """What the head tells of members that it does not hear, and of a replacement under way."""
+    """The head's description of members that it does not hear and of a replacement in progress."""
 
 
 class StateQuery:
-    """Calls for the state that wait for the core. `own` tells of this node itself, in what JSON can hold."""
+    """Handles System.State calls. `own_state` returns the state of this node as JSON-compatible values."""
 
     def __init__(
         self,
         ip: str,
         members: Callable[[], tuple[str, ...]],
-        own: Callable[[], dict[str, Any]],
+        own_state: Callable[[], dict[str, Any]],
         send: Callable[[str, frames.Frame], None],
     ) -> None:
         self.loop = asyncio.get_running_loop()
-        self.ip, self.members, self.own_state, self.send = ip, members, own, send
+        self.ip, self.members, self.own_state, self.send = ip, members, own_state, send
         self.rng = random.SystemRandom()
         self.pending: dict[str, PendingQuery] = {}
 
     def begin(self, connection: ClientConnection) -> Response | None:
-        """Ask the core; the answer comes once all have answered, or after a time-out. At once where no core is
-        known."""
+        """Query the core. The response is sent when all machines have answered or the query times out, and immediately
+        if no core machine is known."""
         members = self.members()
         query = PendingQuery(connection)
         if not members:
@@ -63,49 +63,49 @@
         name = connection.request = str(request_id)
         self.pending[name] = query
         self.query(request_id, query, members)
-        self.loop.call_later(QUERY_TIMEOUT_S, self.conclude, name)
+        self.loop.call_later(QUERY_TIMEOUT_S, self.complete, name)
         return None
 
     def query(self, request_id: int, query: PendingQuery, ips: tuple[str, ...]) -> None:
-        """Ask core machines that were not asked yet."""
+        """Query the core machines that were not queried yet."""
         for ip in ips:
             if ip not in query.queried:
                 query.queried.add(ip)
                 self.send(ip, frames.StatusQuery(request_id, self.ip))
 
-    def on_state(self, frame: frames.ReplicaStatus) -> None:
-        """A core machine has answered."""
+    def on_replica_status(self, frame: frames.ReplicaStatus) -> None:
+        """Record the answer of a core machine."""
         query = self.pending.get(str(frame.request_id))
         if query is None:
             return
         query.answers[ip_of(frame.name)] = frame
-        # Those of the group that the chain has left out are asked too: it may be they that are looked for.
+        # Members of the group that are not in the chain are queried too: they may be what the operator is looking for.
         self.query(frame.request_id, query, tuple(ip_of(name) for name in frame.group))
         if query.queried <= query.answers.keys():
-            self.conclude(str(frame.request_id))
+            self.complete(str(frame.request_id))
 
-    def on_spares(self, frame: frames.SpareAnnouncement) -> None:
-        """Each machine of the core sends it before its state."""
+    def on_spare_announcement(self, frame: frames.SpareAnnouncement) -> None:
+        """Record the spares. Each core machine sends this message before its status."""
         query = self.pending.get(str(frame.request_id))
         if query is not None:
             query.spares.update(frame.spares)
             query.silent_members = frame.silent_members or query.silent_members
             query.replacement_status = frame.replacement_status or query.replacement_status
 
-    def conclude(self, name: str) -> None:
-        """Answer with what has come."""
+    def complete(self, name: str) -> None:
+        """Respond with the answers received so far."""
         query = self.pending.pop(name, None)
         if query is not None:
             query.connection.respond(self.build_answer(query))
 
     def client_disconnected(self, name: str) -> bool:
-        """A client has left; returns whether it had called for the state."""
+        """Drop the call of a client that disconnected. Returns whether it was a System.State call."""
         return self.pending.pop(name, None) is not None
 
     def build_answer(self, query: PendingQuery) -> Response:
-        """The state of the core and of this node, as JSON."""
+        """Build the JSON response from the state of the core and of this node."""
         newest = max(query.answers.values(), key=lambda state: state.epoch, default=None)
-        head = max(
+        head_number = max(
             (state.number for state in query.answers.values() if newest and state.epoch == newest.epoch), default=0
         )
         state = {
@@ -117,13 +117,16 @@
             "standingBy": sorted(query.spares),
             "silent": query.silent_members,
             "waits": query.replacement_status,
-            "members": [describe(ip, query.answers.get(ip), head) for ip in sorted(query.queried)],
+            "members": [describe_member(ip, query.answers.get(ip), head_number) for ip in sorted(query.queried)],
         }
-        return Response(200, [JSON], msgspec.json.encode(state))
+        return Response(200, [JSON_CONTENT_TYPE], msgspec.json.encode(state))
 
     def quorum_loss(self, query: PendingQuery, newest: frames.ReplicaStatus | None) -> dict[str, Any] | None:
-        """Where no majority of the core answers, or none of it leads and one says that it hears no majority: what that
-        means and what to do. Where nobody answers, of the machines that were asked."""
+        """Describe a quorum loss and what to do about it.
+
+        A quorum is lost if no majority of the core answers, or if no machine leads and one reports that it hears no
+        majority. If no machine answers, the queried machines are taken as the group.
+        """
         group = newest.group if newest is not None else tuple(query.queried)
         alive = {ip: state.name for ip, state in query.answers.items()}
         silent_s = parse_missing_durations(query.silent_members)
@@ -133,8 +136,8 @@
         return {"here": loss.here, "missing": loss.missing, "text": loss.lines()} if loss is not None else None
 
 
-def describe(ip: str, state: frames.ReplicaStatus | None, head: int) -> dict[str, Any]:
-    """One machine of the core. Its lag is how many entries it is behind the newest on any disk of the chain."""
+def describe_member(ip: str, state: frames.ReplicaStatus | None, head_number: int) -> dict[str, Any]:
+    """Describe a core machine. Its lag is how many entries it is behind the newest one on any disk of the chain."""
     if state is None:
         return {"ip": ip, "answers": False}
     return {
@@ -149,5 +152,5 @@
         "revision": state.revision,
         "number": state.number,
         "committed": state.committed,
-        "lag": head - state.number,
+        "lag": head_number - state.number,
     }
--- a/cypressbeam/runtime.py
+++ b/cypressbeam/runtime.py
@@ -1,32 +1,32 @@
-"""What every process of the project sets up: the garbage collector's thresholds and the rate of its log."""
+"""Process-wide setup: garbage collector thresholds and log rate limiting."""
 
 from __future__ import annotations
 
 import logging
 
-#: Most objects here die young or live for ever: full collections are made rare, for each stops the node.
+#: Most objects are either short-lived or permanent. Full collections are rare, because each one pauses the node.
 GC_THRESHOLDS = (20_000, 20, 50)
-#: Lines that one place in the code may log within a while.
-LINES_AT_ONCE = 10
-LINES_WITHIN_S = 10.0
+#: Each logging statement may log this many lines per window.
+MAX_LINES_PER_WINDOW = 10
+WINDOW_S = 10.0
 
 
 class LogRateLimiter(logging.Filter):
-    """Lets only so many lines from one place in the code through at once; the next one tells how many it left
-    out. A peer that fails hundreds of times a second must not cost the node its time."""
+    """Limits the log rate of each logging statement. The first line of the next window states how many lines were
+    suppressed. Without a limit, a peer that fails hundreds of times a second would slow the node down by logging."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.counts: dict[tuple[str, int], list[float]] = {}  # since when, lines in that time
+        self.windows: dict[tuple[str, int], list[float]] = {}  # start of the window, lines in it
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether a line is let through."""
-        place = (record.pathname, record.lineno)
-        since_s, lines = self.counts.get(place, (0.0, 0.0))
-        if record.created - since_s >= LINES_WITHIN_S:
-            if lines > LINES_AT_ONCE:
-                record.msg = f"{record.getMessage()} ({lines - LINES_AT_ONCE:.0f} lines like it left out)"
+        """Return whether the line is logged."""
+        location = (record.pathname, record.lineno)
+        window_start_s, lines = self.windows.get(location, (0.0, 0.0))
+        if record.created - window_start_s >= WINDOW_S:
+            if lines > MAX_LINES_PER_WINDOW:
+                record.msg = f"{record.getMessage()} ({lines - MAX_LINES_PER_WINDOW:.0f} similar lines suppressed)"
                 record.args = None
-            since_s, lines = record.created, 0.0
-        self.counts[place] = [since_s, lines + 1]
-        return lines < LINES_AT_ONCE
+            window_start_s, lines = record.created, 0.0
+        self.windows[location] = [window_start_s, lines + 1]
+        return lines < MAX_LINES_PER_WINDOW
--- a/lab/rules_fencing.py
+++ b/lab/rules_fencing.py
@@ -259,7 +259,7 @@
     fencing(
         "changes of the server list carry the root's epoch",
         LEADER_ROLE,
-        "replace(changes, epoch=relay.fence.epoch)",
+        "replace(changes, epoch=tree.fence.epoch)",
         "changes",
     ),
     fencing(
@@ -314,7 +314,7 @@
     fencing(
         "a root without a majority accepts no server list",
         LEADER_ROLE,
-        "        if not self.vouched_leader():\n            return  # whoever leads by now asks the platform too\n",
+        "        if not self.vouched_leader():\n            return  # the actual leader polls the platform itself\n",
         "",
     ),
     fencing(
@@ -392,7 +392,7 @@
     fencing(
         "it waits a second before it proposes the view",
         MACHINE,
-        "elif now_s - self.higher_epoch_since_s >= HIGHER_EPOCH_S and",
+        "elif now_s - self.higher_epoch_since_s >= HIGHER_EPOCH_TIMEOUT_S and",
         "elif",
     ),
     fencing(
--- a/lab/rules_orders.py
+++ b/lab/rules_orders.py
@@ -277,23 +277,23 @@
     orders(
         "an edge node forwards a body that it can't read",
         CONTROL,
-        "        # The head judges whether it is valid",
+        "        # The head validates the body",
         '        if not message.body.startswith(b"\\xa4"):\n'
         '            raise BadRequestError(400, "no configuration")\n'
-        "        # The head judges whether it is valid",
+        "        # The head validates the body",
     ),
-    orders("an edge node rejects a base that is not a number", CONTROL, "or not given[0].isdigit()", ""),
+    orders("an edge node rejects a base that is not a number", CONTROL, "or not values[0].isdigit()", ""),
     orders(
         "an edge node rejects a base above the highest revision",
         CONTROL,
-        "len(given[0]) > 19 or int(given[0]) > MAX_REVISION:",
-        "len(given[0]) > 19:",
+        "len(values[0]) > 19 or int(values[0]) > MAX_REVISION:",
+        "len(values[0]) > 19:",
     ),
     orders(
         "an edge node forwards any base up to the highest revision",
         CONTROL,
-        "len(given[0]) > 19 or int(given[0]) > MAX_REVISION:",
-        "len(given[0]) > 18:",
+        "len(values[0]) > 19 or int(values[0]) > MAX_REVISION:",
+        "len(values[0]) > 18:",
     ),
     orders(
         "a call is resent until its timeout",
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -114,7 +114,7 @@
     assert [passes(1, 100.0) for _ in range(15)] == ["server s1"] * 10 + [None] * 5
     assert passes(2, 100.0) == "server s1"
     assert passes(1, 109.0) is None
-    assert passes(1, 111.0) == "server s1 (6 lines like it left out)" and passes(1, 111.0) == "server s1"
+    assert passes(1, 111.0) == "server s1 (6 similar lines suppressed)" and passes(1, 111.0) == "server s1"
 
 
 #: Of a node in a process of its own, at an address that nothing else has.
--- a/tests/test_word_rules.py
+++ b/tests/test_word_rules.py
@@ -14,7 +14,7 @@
 from cypressbeam.consensus.views import View
 from cypressbeam.distribution.outlier_reports import OutlierReports
 from cypressbeam.node.control_api import ControlApi
-from cypressbeam.node.core_machine import HIGHER_EPOCH_S, CoreMachine
+from cypressbeam.node.core_machine import HIGHER_EPOCH_TIMEOUT_S, CoreMachine
 from cypressbeam.node.gateway_node import ISOLATED_AFTER_S, GatewayNode
 from cypressbeam.node.leader_role import INTRODUCTION_INTERVAL_S
 from cypressbeam.protocol import configuration, frames
@@ -137,7 +137,7 @@
         machine.tree.fence.observe(EPOCH_3)
         machine.core.follow_leadership(machine.replica, machine.now_s)
         assert not machine.tree.position.is_root
-        machine.now_s += HIGHER_EPOCH_S - 0.1
+        machine.now_s += HIGHER_EPOCH_TIMEOUT_S - 0.1
         machine.core.follow_leadership(machine.replica, machine.now_s)
         assert not machine.proposed
         machine.now_s += 0.1
@@ -230,7 +230,7 @@
 def test_a_machine_judges_by_the_version_of_its_program() -> None:
     async def scenario() -> None:
         machine = Machine()
-        machine.core.adopt(LoadedState("abc", 0, None, None, {}))
+        machine.core.apply_loaded_state(LoadedState("abc", 0, None, None, {}))
         assert (
             machine.core.replica is not None and machine.core.replica.check_version == configuration.CHECK_VERSION > 0
         )
