--- a/cypressbeam/node/control_api.py
+++ b/cypressbeam/node/control_api.py
@@ -1,6 +1,6 @@
 """The control API. Any node accepts calls and forwards them: writes to the head of the chain, reads to the tail.
 
-`better_reader` returns the address of a core machine for reads if the link of this node is too slow for them.
+`faster_reader` returns the address of a core machine for reads if the link of this node is too slow for them.
 `is_isolated` returns whether no core machine is reachable. Calls are then rejected immediately, so that callers try
 another node.
 """
@@ -76,7 +76,7 @@
         view: Callable[[], tuple[str, ...]],
         send: Callable[[str, frames.Frame], None],
         state_query: StateQuery,
-        better_reader: Callable[[], Address | None] = lambda: None,
+        faster_reader: Callable[[], Address | None] = lambda: None,
         is_isolated: Callable[[], bool] = lambda: False,
     ) -> None:
         self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
@@ -85,7 +85,7 @@
         self.chain = view
         self.send = send
         self.state_query = state_query
-        self.better_reader, self.is_isolated = better_reader, is_isolated
+        self.faster_reader, self.is_isolated = faster_reader, is_isolated
         self.rng = random.SystemRandom()
         self.calls: dict[str, PendingCall] = {}
 
@@ -123,9 +123,9 @@
         """Handle Configuration.Read: send a read request to the tail, or redirect to a machine with a faster link."""
         if message.method not in (b"GET", b"HEAD"):
             raise BadRequestError(405, "Configuration.Read is a GET", b"GET, HEAD")
-        reader = self.better_reader()
-        if reader is not None:
-            location = b"http://%s:%d%s" % (reader[0].encode(), reader[1], READ)
+        target = self.faster_reader()
+        if target is not None:
+            location = b"http://%s:%d%s" % (target[0].encode(), target[1], READ)
             return Response(307, [(b"Location", location)])
         return self.submit(frames.ReadRequest(self.rng.getrandbits(63), self.ip), connection)
 
--- a/cypressbeam/node/gateway_node.py
+++ b/cypressbeam/node/gateway_node.py
@@ -113,7 +113,7 @@
             self.core = CoreMachine(settings, self.tree, self.peers.send, store or SqliteStore(settings.state_dir))
         self.state_query = StateQuery(settings.ip, self.members, self.describe, self.peers.send)
         self.control = ControlApi(
-            settings.ip, self.members, self.peers.send, self.state_query, self.better_reader, self.is_isolated
+            settings.ip, self.members, self.peers.send, self.state_query, self.faster_reader, self.is_isolated
         )
         self.bootstrap: Bootstrap | None = None
         self.outliers = OutlierReports(self.tree.context, self.tree, self.eject_outliers)
@@ -274,7 +274,7 @@
             return self.core.view.members
         return self.tree.registration.chain()
 
-    def better_reader(self) -> Address | None:
+    def faster_reader(self) -> Address | None:
         """Return a core machine for reads if the link of this node is too slow for the whole configuration.
 
         The machine is chosen at random: one may be down, and the caller retries.
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The same cases each time, and no verdict by the clock: a run of the tests says the same twice."""
+"""Makes test runs reproducible: Hypothesis draws the same cases each time and has no deadline."""
 
 import importlib
 import logging
@@ -12,12 +12,13 @@
 import lab
 from lab.simulation import Net
 
-settings.register_profile("same", derandomize=True, deadline=None, database=None)
-settings.load_profile("same")
+settings.register_profile("deterministic", derandomize=True, deadline=None, database=None)
+settings.load_profile("deterministic")
 
 
 def load_every_module() -> None:
-    """Load all before the first test: Hypothesis draws from constants of loaded modules, the same in each worker."""
+    """Import all modules before the first test. Hypothesis draws from the constants of imported modules, and all
+    workers must draw the same cases."""
     for package in (cypressbeam, lab):
         for module in pkgutil.walk_packages(package.__path__, f"{package.__name__}."):
             if not module.name.endswith("__main__"):
@@ -29,7 +30,7 @@
 
 @pytest.fixture
 def quiet() -> Iterator[None]:
-    """Simulated nodes tell of simulated trouble."""
+    """Disable logging, since simulated nodes log simulated failures."""
     logging.disable(logging.CRITICAL)
     yield
     logging.disable(logging.NOTSET)
@@ -37,15 +38,15 @@
 
 @pytest.fixture(autouse=True)
 def _close_simulated_networks(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    """Each simulated network that a test has made is closed with it."""
+    """Close each simulated network that a test created."""
     opened: list[Net] = []
     init = Net.__init__
 
-    def remember(self: Net, seed: int) -> None:
+    def record_network(self: Net, seed: int) -> None:
         opened.append(self)
         init(self, seed)
 
-    monkeypatch.setattr(Net, "__init__", remember)
+    monkeypatch.setattr(Net, "__init__", record_network)
     yield
     for net in opened:
         if not net.loop.is_closed():
--- a/tests/test_word_rules.py
+++ b/tests/test_word_rules.py
@@ -1,4 +1,4 @@
-"""Each rule of docs/design/fencing.md by itself, at a machine of the core: whose word counts, and for how long."""
+"""Unit tests of the rules of docs/design/fencing.md at a core machine: who may act as the root, and for how long."""
 
 from __future__ import annotations
 
@@ -26,66 +26,66 @@
 VIEW = View(EPOCH_2, (f"{OTHER_IP}/b", f"{OWN_IP}/a"), (f"{OWN_IP}/a", f"{OTHER_IP}/b", f"{ROOT_IP}/c"))
 
 
-class Machine(TreeNodeHarness):
-    """A machine with a disk, the tail of its chain, whose replica says what a test wants it to say."""
+class CoreMachineHarness(TreeNodeHarness):
+    """A core machine, the tail of its chain, whose replica state is set by the test."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.contact_s, self.leads, self.proposed = self.now_s, True, 0
-        self.told: list[tuple[str, frames.Frame]] = []
-        self.core = CoreMachine(SETTINGS, self.tree, lambda ip, frame: self.told.append((ip, frame)), Mock())
+        self.last_contact_s, self.holds_lease, self.proposed_epoch = self.now_s, True, 0
+        self.sent_frames: list[tuple[str, frames.Frame]] = []
+        self.core = CoreMachine(SETTINGS, self.tree, lambda ip, frame: self.sent_frames.append((ip, frame)), Mock())
         self.core.loop = self.core.leader_role.loop = self.tree.context.loop
-        self.heard = {OTHER_IP: SimpleNamespace(epoch=EPOCH_2), ROOT_IP: SimpleNamespace(epoch=EPOCH_2)}
+        self.core_peers = {OTHER_IP: SimpleNamespace(epoch=EPOCH_2), ROOT_IP: SimpleNamespace(epoch=EPOCH_2)}
         self.state = ReplicaState(f"{OWN_IP}/a", 1, len, bytes)
         self.state.view, self.state.highest_epoch = VIEW, EPOCH_2
         detector = SimpleNamespace(
-            peers=self.heard, has_quorum_contact=lambda now_s: now_s - self.contact_s <= FAILURE_TIMEOUT_S
+            peers=self.core_peers, has_quorum_contact=lambda now_s: now_s - self.last_contact_s <= FAILURE_TIMEOUT_S
         )
         self.replica: Any = SimpleNamespace(
             name=f"{OWN_IP}/a",
             state=self.state,
             voter=SimpleNamespace(promised=EPOCH_2),
-            leadership=SimpleNamespace(is_leader=True, leads=lambda now_s: self.leads),
+            leadership=SimpleNamespace(is_leader=True, leads=lambda now_s: self.holds_lease),
             failure_detector=detector,
             proposer=SimpleNamespace(proposal=None, propose=self.propose),
         )
         self.core.replica = cast(Any, self.replica)
 
     def propose(self, now_s: float) -> list[Any]:
-        self.proposed = self.state.highest_epoch
+        self.proposed_epoch = self.state.highest_epoch
         return []
 
-    def as_root(self) -> Machine:
+    def take_lead(self) -> CoreMachineHarness:
         self.core.set_leadership(True)
         assert self.tree.position.is_root
-        self.told.clear()
+        self.sent_frames.clear()
         return self
 
 
 @pytest.mark.parametrize(
-    ("why", "named"),
+    ("condition", "expected"),
     [("", OWN_IP), ("no majority", ""), ("a later view", ""), ("a later promise", ""), ("a higher epoch", "")],
 )
-def test_a_machine_names_the_root_only_with_a_majority_and_without_a_later_epoch(why: str, named: str) -> None:
+def test_a_machine_names_the_root_only_with_a_majority_and_without_a_later_epoch(condition: str, expected: str) -> None:
     async def scenario() -> None:
-        machine = Machine()
-        machine.leads = False
-        if why == "no majority":
+        machine = CoreMachineHarness()
+        machine.holds_lease = False
+        if condition == "no majority":
             machine.now_s += FAILURE_TIMEOUT_S + 0.01
-        elif why == "a later view":
-            machine.heard[ROOT_IP].epoch = EPOCH_3
-        elif why == "a later promise":
+        elif condition == "a later view":
+            machine.core_peers[ROOT_IP].epoch = EPOCH_3
+        elif condition == "a later promise":
             machine.replica.voter.promised = EPOCH_3
-        elif why == "a higher epoch":
+        elif condition == "a higher epoch":
             machine.tree.fence.observe(EPOCH_3)
-        assert machine.core.vouched_leader() == named
+        assert machine.core.vouched_leader() == expected
 
     run(scenario())
 
 
-def test_a_machine_that_is_no_member_names_the_root_as_any_other_node() -> None:
+def test_a_machine_outside_the_group_names_the_root_like_other_nodes() -> None:
     async def scenario() -> None:
-        machine = Machine()
+        machine = CoreMachineHarness()
         machine.state.view = replace(VIEW, group=VIEW.group[1:])
         assert machine.core.vouched_leader() == ""
         machine.join_root(EPOCH_2)
@@ -94,22 +94,22 @@
     run(scenario())
 
 
-def test_an_epoch_counts_as_seen_once_somebody_leads_in_it() -> None:
+def test_an_epoch_counts_as_seen_once_a_machine_leads_in_it() -> None:
     async def scenario() -> None:
-        machine = Machine()
-        machine.leads = False
+        machine = CoreMachineHarness()
+        machine.holds_lease = False
         machine.core.observe_epoch()
         assert machine.tree.fence.epoch == 0 and machine.tree.fence.group == (OWN_IP, OTHER_IP, ROOT_IP)
-        machine.leads = True
+        machine.holds_lease = True
         machine.core.observe_epoch()
         assert machine.tree.fence.epoch == EPOCH_2
 
     run(scenario())
 
 
-def test_a_root_that_is_over_resigns_as_it_sees_a_higher_epoch() -> None:
+def test_a_root_resigns_when_it_sees_a_higher_epoch() -> None:
     async def scenario() -> None:
-        machine = Machine().as_root()
+        machine = CoreMachineHarness().take_lead()
         link = machine.child(EPOCH_2)
         machine.tree.fence.observe(EPOCH_3)
         assert not machine.tree.position.is_root and link.kinds()[-1] == "Unsubscribed"
@@ -119,9 +119,9 @@
     run(scenario())
 
 
-def test_a_root_whose_own_view_is_the_higher_one_stays_it_and_tells_so_at_once() -> None:
+def test_a_root_whose_own_view_has_the_higher_epoch_stays_root_and_sends_a_heartbeat() -> None:
     async def scenario() -> None:
-        machine = Machine().as_root()
+        machine = CoreMachineHarness().take_lead()
         link = machine.child(EPOCH_2)
         machine.state.view = replace(VIEW, epoch=EPOCH_3)
         machine.tree.fence.observe(EPOCH_3)
@@ -131,25 +131,25 @@
     run(scenario())
 
 
-def test_a_tail_below_what_nodes_have_seen_is_no_root_and_proposes_a_view_above_that() -> None:
+def test_a_tail_below_the_highest_epoch_seen_proposes_a_higher_view() -> None:
     async def scenario() -> None:
-        machine = Machine()
+        machine = CoreMachineHarness()
         machine.tree.fence.observe(EPOCH_3)
         machine.core.follow_leadership(machine.replica, machine.now_s)
         assert not machine.tree.position.is_root
         machine.now_s += HIGHER_EPOCH_TIMEOUT_S - 0.1
         machine.core.follow_leadership(machine.replica, machine.now_s)
-        assert not machine.proposed
+        assert not machine.proposed_epoch
         machine.now_s += 0.1
         machine.core.follow_leadership(machine.replica, machine.now_s)
-        assert machine.proposed >= EPOCH_3 and not machine.tree.position.is_root
+        assert machine.proposed_epoch >= EPOCH_3 and not machine.tree.position.is_root
 
     run(scenario())
 
 
-def test_a_replica_that_leads_no_more_ends_it_here() -> None:
+def test_a_root_resigns_when_its_replica_loses_the_lead() -> None:
     async def scenario() -> None:
-        machine = Machine().as_root()
+        machine = CoreMachineHarness().take_lead()
         machine.replica.leadership.is_leader = False
         machine.core.follow_leadership(machine.replica, machine.now_s)
         assert not machine.tree.position.is_root
@@ -157,29 +157,31 @@
     run(scenario())
 
 
-@pytest.mark.parametrize("contact", [True, False])
-def test_a_root_places_nodes_takes_up_the_list_and_introduces_itself_only_with_a_majority(contact: bool) -> None:
+@pytest.mark.parametrize("has_majority", [True, False])
+def test_a_root_registers_nodes_updates_endpoints_and_introduces_itself_only_with_a_majority(
+    has_majority: bool,
+) -> None:
     async def scenario() -> None:
-        machine = Machine().as_root()
+        machine = CoreMachineHarness().take_lead()
         child, link = machine.child(EPOCH_2), machine.link("10.0.0.30")
         child.sent.clear()
-        if not contact:
+        if not has_majority:
             machine.now_s += FAILURE_TIMEOUT_S + 0.01
         machine.core.last_turn_s = machine.now_s
         machine.core.on_join(link, frames.JoinRequest("x", link.ip, "a", frames.SERVES_CLIENTS, 0, "", epoch=EPOCH_2))
         machine.core.take_list([])
         machine.core.leader_role.introduce(machine.now_s + INTRODUCTION_INTERVAL_S)
-        assert link.kinds() == (["ParentAssignment"] if contact else ["LeaderRedirect"])
-        assert child.kinds() == (["EndpointUpdate"] if contact else [])
-        assert [type(frame) for _, frame in machine.told] == ([frames.LeaderRedirect] if contact else [])
+        assert link.kinds() == (["ParentAssignment"] if has_majority else ["LeaderRedirect"])
+        assert child.kinds() == (["EndpointUpdate"] if has_majority else [])
+        assert [type(frame) for _, frame in machine.sent_frames] == ([frames.LeaderRedirect] if has_majority else [])
         assert all(cast(Any, frame).epoch == EPOCH_2 for frame in [*link.sent, *child.sent])
 
     run(scenario())
 
 
-def test_servers_that_fail_for_many_are_told_under_the_root_s_epoch() -> None:
+def test_ejections_carry_the_epoch_of_the_root() -> None:
     async def scenario() -> None:
-        machine = Machine().as_root()
+        machine = CoreMachineHarness().take_lead()
         link = machine.child(EPOCH_2)
         reports = OutlierReports(machine.tree.context, machine.tree, lambda servers: None)
         reports.detector = cast(Any, SimpleNamespace(report=lambda *_: ["s"]))
@@ -189,11 +191,11 @@
     run(scenario())
 
 
-def test_a_frame_with_an_epoch_that_cannot_be_closes_its_link() -> None:
+def test_a_frame_with_an_invalid_epoch_closes_its_link() -> None:
     async def scenario() -> None:
-        part = TreeNodeHarness()
+        harness = TreeNodeHarness()
         for epoch, closed in ((0, False), (EPOCH_1, False), (1, True), (255, True), (2**48 + 1, True)):
-            link = Link(part.peers, OTHER_IP)
+            link = Link(harness.peers, OTHER_IP)
             data = frames.LeaderRedirect("", epoch).pack()
             link.data_received(data)
             assert link.closed is closed, epoch
@@ -202,34 +204,34 @@
 
 
 @pytest.mark.parametrize(
-    ("why", "alone"),
+    ("condition", "isolated"),
     [("", True), ("a parent", False), ("heard lately", False), ("a moment only", False), ("of the core", False)],
 )
-def test_a_node_that_reaches_nobody_refuses_control_calls_at_once(why: str, alone: bool) -> None:
+def test_an_isolated_node_rejects_control_calls_immediately(condition: str, isolated: bool) -> None:
     async def scenario() -> None:
-        part = TreeNodeHarness().join_root(EPOCH_2)
-        if why != "a parent":
-            part.tree.subscription.parent = None
-        part.now_s += ISOLATED_AFTER_S + (-0.1 if why == "a moment only" else 0.1)
-        part.peers.last_heard_s = {OTHER_IP: part.now_s - 1.0} if why == "heard lately" else {}
+        harness = TreeNodeHarness().join_root(EPOCH_2)
+        if condition != "a parent":
+            harness.tree.subscription.parent = None
+        harness.now_s += ISOLATED_AFTER_S + (-0.1 if condition == "a moment only" else 0.1)
+        harness.peers.last_heard_s = {OTHER_IP: harness.now_s - 1.0} if condition == "heard lately" else {}
         node = SimpleNamespace(
-            tree=part.tree,
-            core=Mock() if why == "of the core" else None,
-            peers=part.peers,
-            loop=part.tree.context.loop,
+            tree=harness.tree,
+            core=Mock() if condition == "of the core" else None,
+            peers=harness.peers,
+            loop=harness.tree.context.loop,
         )
-        assert GatewayNode.is_isolated(cast(Any, node)) is alone
-        control = ControlApi(OWN_IP, lambda: (ROOT_IP,), lambda ip, frame: None, Mock(), is_isolated=lambda: alone)
+        assert GatewayNode.is_isolated(cast(Any, node)) is isolated
+        control = ControlApi(OWN_IP, lambda: (ROOT_IP,), lambda ip, frame: None, Mock(), is_isolated=lambda: isolated)
         answer = control.submit(frames.ReadRequest(1, OWN_IP), Mock())
-        assert (answer is not None and answer.status == 503) is alone
+        assert (answer is not None and answer.status == 503) is isolated
         control.calls.clear()
 
     run(scenario())
 
 
-def test_a_machine_judges_by_the_version_of_its_program() -> None:
+def test_a_replica_uses_the_check_version_of_the_program() -> None:
     async def scenario() -> None:
-        machine = Machine()
+        machine = CoreMachineHarness()
         machine.core.apply_loaded_state(LoadedState("abc", 0, None, None, {}))
         assert (
             machine.core.replica is not None and machine.core.replica.check_version == configuration.CHECK_VERSION > 0
@@ -238,7 +240,7 @@
     run(scenario())
 
 
-def test_a_wire_keeps_what_it_is_given() -> None:
+def test_a_recording_link_records_packed_frames() -> None:
     async def scenario() -> None:
         link = RecordingLink(TreeNodeHarness().peers, OTHER_IP)
         link.send_packed(frames.KeepAlive().pack())
