--- a/cypressbeam/__main__.py
+++ b/cypressbeam/__main__.py
@@ -13,9 +13,9 @@
     interface.
     """
     if sys.argv[1:] == ["node"]:
-        from cypressbeam.node.early_listener import open_front
+        from cypressbeam.node.early_listener import open_front_listener
 
-        front_socket = open_front(os.environ)
+        front_socket = open_front_listener(os.environ)
         from cypressbeam.node.run import run_node
 
         return run_node(front_socket)
--- a/cypressbeam/admin/config_calls.py
+++ b/cypressbeam/admin/config_calls.py
@@ -9,7 +9,7 @@
 from cypressbeam.admin.calls import call
 from cypressbeam.admin.config_file import flatten, load
 from cypressbeam.admin.errors import RequestRefusedError
-from cypressbeam.node.control_api import READ, REPLACE
+from cypressbeam.node.control_api import READ_PATH, REPLACE_PATH
 from cypressbeam.protocol import configuration
 from cypressbeam.protocol.address import Address, read_address
 from cypressbeam.proxy.http_responses import Response
@@ -29,11 +29,11 @@
 
 async def read(where: Address) -> bytes:
     """The configuration in force. Raises RequestRefusedError; its text begins with 404 where there is none yet."""
-    answer = await call(where, "GET", READ)
+    answer = await call(where, "GET", READ_PATH)
     for _ in range(MOST_HOPS):
         if answer.status != 307:
             break
-        answer = await call(read_location(answer), "GET", READ)
+        answer = await call(read_location(answer), "GET", READ_PATH)
     if answer.status != 200:
         raise RequestRefusedError(
             f"{answer.status}: {answer.body.decode(errors='replace').strip() or 'no configuration'}"
@@ -55,7 +55,9 @@
     """Replace the configuration, that of revision `base` or the one in force. Raises RequestRefusedError."""
     if base is None:
         base = await revision(where)
-    answer = await call(where, "POST", REPLACE, f"Base-Revision: {base}\r\nContent-Type: application/cbor\r\n", body)
+    answer = await call(
+        where, "POST", REPLACE_PATH, f"Base-Revision: {base}\r\nContent-Type: application/cbor\r\n", body
+    )
     text = answer.body.decode(errors="replace").strip()
     if answer.status != 200:
         raise RequestRefusedError(f"{answer.status}: {text}")
--- a/cypressbeam/admin/membership.py
+++ b/cypressbeam/admin/membership.py
@@ -13,7 +13,7 @@
 from cypressbeam.admin.errors import RequestRefusedError
 from cypressbeam.admin.status import describe_quorum_loss, read_state
 from cypressbeam.consensus.views import ip_of, majority
-from cypressbeam.node.control_api import MEMBERS
+from cypressbeam.node.control_api import MEMBERS_PATH
 from cypressbeam.protocol.address import Address
 
 #: A change of members is sent again after so long, and given up after so long: a newcomer on a thin link is brought
@@ -53,7 +53,7 @@
     said = ""
     async with asyncio.timeout(CHANGE_S):
         while True:
-            answer = await call(where, "POST", MEMBERS, "Content-Type: application/json\r\n", body)
+            answer = await call(where, "POST", MEMBERS_PATH, "Content-Type: application/json\r\n", body)
             if answer.status not in (200, 202, 503):
                 raise RequestRefusedError(f"{answer.status}: {reason_of(answer)}")
             if answer.status == 200:
--- a/cypressbeam/admin/status.py
+++ b/cypressbeam/admin/status.py
@@ -8,13 +8,13 @@
 
 from cypressbeam.admin.calls import call
 from cypressbeam.admin.errors import RequestRefusedError
-from cypressbeam.node.state_query import STATE
+from cypressbeam.node.state_query import STATE_PATH
 from cypressbeam.protocol.address import Address
 
 
 async def read_state(where: Address) -> dict[str, Any]:
     """The state as a node tells it. Raises RequestRefusedError."""
-    answer = await call(where, "GET", STATE)
+    answer = await call(where, "GET", STATE_PATH)
     if answer.status != 200:
         raise RequestRefusedError(f"{answer.status}: {answer.body.decode(errors='replace').strip()}")
     state: dict[str, Any] = msgspec.json.decode(answer.body)
--- a/cypressbeam/node/control_api.py
+++ b/cypressbeam/node/control_api.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from cypressbeam.consensus.membership import CHANGE_KINDS
-from cypressbeam.node.state_query import JSON_CONTENT_TYPE, STATE, StateQuery
+from cypressbeam.node.state_query import JSON_CONTENT_TYPE, STATE_PATH, StateQuery
 from cypressbeam.protocol import frames
 from cypressbeam.protocol.address import Address
 from cypressbeam.protocol.configuration import MAX_REVISION
@@ -27,8 +27,8 @@
 
 log = logging.getLogger(__name__)
 
-REPLACE, READ = b"/-/Configuration.Replace", b"/-/Configuration.Read"
-MEMBERS = b"/-/System.Members"
+REPLACE_PATH, READ_PATH = b"/-/Configuration.Replace", b"/-/Configuration.Read"
+MEMBERS_PATH = b"/-/System.Members"
 #: Enough for a configuration with many thousand routes. Larger bodies are rejected with 413.
 MAX_BODY_BYTES = 8 * 1024 * 1024
 LIMITS = Limits(
@@ -87,7 +87,7 @@
         self.state_query = state_query
         self.faster_reader, self.is_isolated = faster_reader, is_isolated
         self.rng = random.SystemRandom()
-        self.calls: dict[str, PendingCall] = {}
+        self.pending_calls: dict[str, PendingCall] = {}
 
     def can_serve(self) -> bool:
         """Whether this node knows the chain."""
@@ -96,13 +96,13 @@
     def serve(self, message: RequestMessage, connection: ClientConnection) -> Response | None:
         """Handle a call. Returns None if the response follows later. Raises BadRequestError for an invalid call."""
         path = message.target.partition(b"?")[0]
-        if path == REPLACE:
+        if path == REPLACE_PATH:
             return self.replace(message, connection)
-        if path == READ:
+        if path == READ_PATH:
             return self.read(message, connection)
-        if path == MEMBERS:
+        if path == MEMBERS_PATH:
             return self.change_members(message, connection)
-        if path == STATE:
+        if path == STATE_PATH:
             if message.method not in (b"GET", b"HEAD"):
                 raise BadRequestError(405, "System.State is a GET", b"GET, HEAD")
             return self.state_query.begin(connection)
@@ -125,7 +125,7 @@
             raise BadRequestError(405, "Configuration.Read is a GET", b"GET, HEAD")
         target = self.faster_reader()
         if target is not None:
-            location = b"http://%s:%d%s" % (target[0].encode(), target[1], READ)
+            location = b"http://%s:%d%s" % (target[0].encode(), target[1], READ_PATH)
             return Response(307, [(b"Location", location)])
         return self.submit(frames.ReadRequest(self.rng.getrandbits(63), self.ip), connection)
 
@@ -159,13 +159,13 @@
             return unavailable("no machine of the core is in reach")
         name = str(frame.request_id)
         connection.request = name
-        self.calls[name] = PendingCall(connection, frame, self.loop.time() + CALL_TIMEOUT_S)
+        self.pending_calls[name] = PendingCall(connection, frame, self.loop.time() + CALL_TIMEOUT_S)
         self.send_pending(name)
         return None
 
     def send_pending(self, name: str) -> None:
         """Send a pending call, and resend it until it is answered or times out."""
-        call = self.calls.get(name)
+        call = self.pending_calls.get(name)
         if call is None:
             return
         if self.loop.time() >= call.deadline_s:
@@ -181,7 +181,7 @@
 
     def complete(self, name: str, answer: Response) -> None:
         """Answer a pending call."""
-        call = self.calls.pop(name, None)
+        call = self.pending_calls.pop(name, None)
         if call is not None:
             call.connection.respond(answer)
 
@@ -204,7 +204,7 @@
     def client_disconnected(self, name: str) -> None:
         """Drop the call of a client that disconnected."""
         if not self.state_query.client_disconnected(name):
-            self.calls.pop(name, None)
+            self.pending_calls.pop(name, None)
 
 
 def unavailable(why: str) -> Response:
--- a/cypressbeam/node/core_machine.py
+++ b/cypressbeam/node/core_machine.py
@@ -80,7 +80,7 @@
         self.dispatcher: Dispatcher | None = None
         self.higher_epoch_since_s: float | None = None
         """Time since which only a higher epoch seen by nodes has kept this machine from leading."""
-        self.last_turn_s = self.loop.time()
+        self.last_advance_s = self.loop.time()
         """Time of the last timer tick of the replica."""
         self.on_loaded: Callable[[], None] | None = None
         """Called once the disk state is loaded, if that took longer than `LOAD_TIMEOUT_S`."""
@@ -277,7 +277,7 @@
         if leads is self.tree.position.is_root or (leads and self.tree.fence.epoch > view.epoch):
             return
         if leads:
-            self.leader_role.begin(view, self.take_list)
+            self.leader_role.begin(view, self.update_endpoints)
         else:
             self.leader_role.end()
 
@@ -297,12 +297,12 @@
 
         After a pause the event loop reads sockets before it runs timers, while this machine may have lost the lead.
         """
-        if self.loop.time() - self.last_turn_s > PAUSE_THRESHOLD_S:
+        if self.loop.time() - self.last_advance_s > PAUSE_THRESHOLD_S:
             self.advance()
 
     def advance(self) -> None:
         """Run the timer tick of the replica and of the leader role."""
-        now_s = self.last_turn_s = self.loop.time()
+        now_s = self.last_advance_s = self.loop.time()
         if self.replica is not None and self.replacement is not None:
             self.executor.execute(self.replica.tick(now_s))
             self.executor.execute(self.replacement.tick(now_s))
@@ -406,7 +406,7 @@
         """Handle the registration of a node at the leader."""
         self.leader_role.on_join(link, frame, self.view)
 
-    def take_list(self, servers: list[Endpoint]) -> None:
+    def update_endpoints(self, servers: list[Endpoint]) -> None:
         """Handle the platform's endpoint list at the leader."""
         self.advance_after_pause()
-        self.leader_role.take_list(servers)
+        self.leader_role.update_endpoints(servers)
--- a/cypressbeam/node/early_listener.py
+++ b/cypressbeam/node/early_listener.py
@@ -13,7 +13,7 @@
 LISTEN_BACKLOG = 1024
 
 
-def open_front(environ: Mapping[str, str]) -> socket.socket | None:
+def open_front_listener(environ: Mapping[str, str]) -> socket.socket | None:
     """Open a socket that listens at `listeners.front` of the settings file.
 
     Returns None if the file has no such line or the socket can't be opened. The error is reported later, when the
--- a/cypressbeam/node/leader_role.py
+++ b/cypressbeam/node/leader_role.py
@@ -67,8 +67,8 @@
 
     # -- taking and leaving the lead -----------------------------------------------------------------------
 
-    def begin(self, view: View, take_list: Callable[[list[Endpoint]], None]) -> None:
-        """Take the lead. `take_list` is called with each endpoint list polled from the platform."""
+    def begin(self, view: View, update_endpoints: Callable[[list[Endpoint]], None]) -> None:
+        """Take the lead. `update_endpoints` is called with each endpoint list polled from the platform."""
         settings = self.settings
         log.info("became root: epoch %d", view.epoch)
         self.leading_since_s = self.loop.time()
@@ -76,7 +76,7 @@
         self.registry = NodeRegistry(settings.node)
         self.registry.register(self.own_registration(), self.leading_since_s)
         if settings.platform is not None:
-            poller = EndpointPoller(settings.platform, take_list, self.random_source())
+            poller = EndpointPoller(settings.platform, update_endpoints, self.random_source())
             self.poller = self.loop.create_task(poller.run())
         early_registrations, self.early_registrations = self.early_registrations, {}
         for link, request, received_s in early_registrations.values():
@@ -170,7 +170,7 @@
 
     # -- the endpoint list ---------------------------------------------------------------------------------
 
-    def take_list(self, servers: list[Endpoint]) -> None:
+    def update_endpoints(self, servers: list[Endpoint]) -> None:
         """Handle the platform's endpoint list: broadcast the changes down the tree."""
         if not self.vouched_leader():
             return  # the actual leader polls the platform itself
--- a/cypressbeam/node/state_query.py
+++ b/cypressbeam/node/state_query.py
@@ -16,7 +16,7 @@
 from cypressbeam.proxy.frontend import ClientConnection
 from cypressbeam.proxy.http_responses import Response
 
-STATE = b"/-/System.State"
+STATE_PATH = b"/-/System.State"
 #: Machines that have not answered by then are reported as not answering.
 QUERY_TIMEOUT_S = 0.5
 JSON_CONTENT_TYPE = (b"Content-Type", b"application/json")
--- a/lab/membership.py
+++ b/lab/membership.py
@@ -187,7 +187,7 @@
         assert root is not None and root.core is not None
         self.at(
             root,
-            root.core.take_list,
+            root.core.update_endpoints,
             [
                 endpoint_list.Endpoint(
                     f"i-{number}",
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -106,12 +106,12 @@
     assert node is not None and node.core is not None and node.core.replica is not None
     core, replica = node.core, node.core.replica
     if paused:  # as if it had been paused for 20 s until now
-        core.last_turn_s -= 20.0
+        core.last_advance_s -= 20.0
         replica.leadership.last_active_tail_s -= 20.0
         for peer in replica.failure_detector.peers.values():
             peer.last_alive_s -= 20.0
     sequence = node.tree.endpoints.endpoints.sequence
-    cluster.at(node, core.take_list, [])
+    cluster.at(node, core.update_endpoints, [])
     assert (node.tree.endpoints.endpoints.sequence != sequence) is not paused
     cluster.at(node, node.on_frame, node.peers.local, frames.JoinRequest("new", "10.9.0.9", "a", 0, 0, ""))
     assert (node.tree.position.is_root, "new" in core.leader_role.registry.nodes) == (
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -26,7 +26,7 @@
 DEMO = cbor2.dumps(demo_configuration())
 
 
-class Rig:
+class SystemFixture:
     def __init__(self, platform: Platform, system: System) -> None:
         self.platform = platform
         self.system = system
@@ -40,9 +40,9 @@
 
 
 @asynccontextmanager
-async def rig(
+async def running_system(
     edges: int = 2, work_s: float = 0.0, configured: bool = True, extra: dict[str, str] | None = None
-) -> AsyncIterator[Rig]:
+) -> AsyncIterator[SystemFixture]:
     platform = Platform(page=2, refuse=1)
     await platform.listen()
     for plant in ("finder", "finder", "booker"):
@@ -50,7 +50,7 @@
         await server.listen()
         platform.servers.append(server)
     async with System(platform.address, edges=edges, extra=extra or {}) as system:
-        fixture = Rig(platform, system)
+        fixture = SystemFixture(platform, system)
         if configured:
             async with asyncio.timeout(20.0):
                 await push_until_taken(system.machines[-1], DEMO, 0)
@@ -71,7 +71,7 @@
         connection.close()
 
 
-async def ask(
+async def make_request(
     machine: Machine,
     path: str = "/find/1",
     ident: str = "r1",
@@ -92,15 +92,15 @@
             await asyncio.sleep(0.01)
 
 
-async def read_back(machine: Machine) -> Response:
+async def read_configuration(machine: Machine) -> Response:
     return await send(machine.control, b"GET /-/Configuration.Read HTTP/1.1\r\nHost: c\r\n\r\n")
 
 
 def test_valid_requests_are_proxied_and_invalid_ones_are_rejected() -> None:
     async def scenario() -> None:
-        async with rig() as fixture:
+        async with running_system() as fixture:
             for machine in fixture.edges:
-                response = await ask(machine, "/find/1?a=b")
+                response = await make_request(machine, "/find/1?a=b")
                 assert response.status == 200 and b"/find/1?a=b" in response.body
                 assert response.header(b"attempt-id") == b"r1" and (response.header(b"server-seal") or b"").endswith(
                     b".r1"
@@ -113,13 +113,13 @@
             )
             assert (await send(fixture.edges[0].front, chunked.encode())).status == 200
             large = b"x" * 300_000
-            assert (await ask(fixture.edges[0], "/book/3", "c2", "PUT", body=large)).status == 200
+            assert (await make_request(fixture.edges[0], "/book/3", "c2", "PUT", body=large)).status == 200
             assert booker.ran == [(b"c1", b"POST", b"/book/2", b"abcde"), (b"c2", b"PUT", b"/book/3", large)]
             ran = sum(len(server.ran) for server in fixture.platform.servers)
             front = fixture.edges[0].front
-            assert (await ask(fixture.edges[0], "/nothing/here")).status == 404
-            assert (await ask(fixture.edges[0], headers="Attempt-Id: r2\r\n")).status == 400
-            assert (await ask(fixture.edges[0], headers=f"Big: {'x' * 20000}\r\n")).status == 431
+            assert (await make_request(fixture.edges[0], "/nothing/here")).status == 404
+            assert (await make_request(fixture.edges[0], headers="Attempt-Id: r2\r\n")).status == 400
+            assert (await make_request(fixture.edges[0], headers=f"Big: {'x' * 20000}\r\n")).status == 431
             for invalid, status in (
                 (b"GET /find/1 HTTP/1.1\r\nAttempt-Id: x\r\n\r\n", 400),
                 (b"GET /find/1 HTTP/1.1\r\nHost: demo.example\r\n\r\n", 400),
@@ -145,7 +145,7 @@
 
 def test_request_bodies_share_a_memory_limit() -> None:
     async def scenario() -> None:
-        async with rig(edges=1, extra={"constraints.memoryMb": "2"}) as fixture:  # 0.6 MB for bodies
+        async with running_system(edges=1, extra={"constraints.memoryMb": "2"}) as fixture:  # 0.6 MB for bodies
             (edge,), body = fixture.edges, b"x" * 400_000
             first = HttpClient(edge.front)
             await first.open()
@@ -155,25 +155,27 @@
             ).encode()
             first_response = asyncio.create_task(first.call(head + body[:-1], 20.0))
             async with asyncio.timeout(20.0):
-                while (response := await ask(edge, "/book/2", "b2", "PUT", body=body)).status == 200:
+                while (response := await make_request(edge, "/book/2", "b2", "PUT", body=body)).status == 200:
                     await asyncio.sleep(0)  # the body of the first request is still in transit
             assert response.status == 503 and response.header(b"retry-after") == b"1"
             assert "request rejected: 503: too many bodies at once" in read_log(edge)
-            assert (await ask(edge, "/book/3", "b3", "PUT", body=body * 2)).status == 413
+            assert (await make_request(edge, "/book/3", "b3", "PUT", body=body * 2)).status == 413
             assert "request rejected: 413: the body is too large" in read_log(edge)
             assert first.writer is not None
             first.writer.write(body[-1:])
             assert (await within_timeout(first_response)).status == 200
             first.close()
             for number in range(4):  # the memory has been released
-                assert (await ask(edge, "/book/4", f"after{number}", "PUT", body=body)).status == 200
+                assert (await make_request(edge, "/book/4", f"after{number}", "PUT", body=body)).status == 200
 
     run(scenario())
 
 
 def test_connections_over_the_limit_are_rejected_and_logged() -> None:
     async def scenario() -> None:
-        async with rig(edges=1, extra={"constraints.fileHandles": "420"}) as fixture:  # 12 of them for clients
+        async with running_system(
+            edges=1, extra={"constraints.fileHandles": "420"}
+        ) as fixture:  # 12 of them for clients
             (edge,) = fixture.edges
             request = (
                 f"PUT /book/1 HTTP/1.1\r\nHost: {HOST}\r\nAttempt-Id: h%d\r\nTime-Left-Ms: 9000\r\n"
@@ -188,14 +190,14 @@
                 connections[-1].writer.write(
                     (request % number)[:-1]
                 )  # a partial second request keeps the connection open
-            refused = await ask(edge, ident="one-too-many")
+            refused = await make_request(edge, ident="one-too-many")
             assert refused.status == 503 and refused.header(b"retry-after") == b"0.5"
             assert "all 12 client connections are in use, rejecting a new one" in read_log(edge)
             for connection in connections:
                 assert (await connection.call(b"b", 20.0)).status == 200
                 connection.close()
             async with asyncio.timeout(20.0):
-                while (await ask(edge, ident="now-there-is")).status != 200:
+                while (await make_request(edge, ident="now-there-is")).status != 200:
                     await asyncio.sleep(0)  # the node has not noticed the closed connections yet
 
     run(scenario())
@@ -203,10 +205,10 @@
 
 def test_any_node_accepts_rejects_and_reads_configurations() -> None:
     async def scenario() -> None:
-        async with rig() as fixture:
+        async with running_system() as fixture:
             core, edge = fixture.system.machines[0], fixture.edges[0]
             for machine in fixture.system.machines:
-                response = await read_back(machine)
+                response = await read_configuration(machine)
                 assert response.status == 200 and response.body == DEMO
             changed = demo_configuration(7)
             changed["channels"][0]["prefix"] = "/look/"
@@ -224,10 +226,10 @@
             assert (await send(edge.control, huge)).status == 413
             for machine in fixture.edges:
                 async with asyncio.timeout(20.0):
-                    while (await ask(machine, "/look/1")).status != 200:
+                    while (await make_request(machine, "/look/1")).status != 200:
                         await asyncio.sleep(0.01)
-                assert (await ask(machine, "/find/1")).status == 404
-            assert (await read_back(edge)).body == winner
+                assert (await make_request(machine, "/find/1")).status == 404
+            assert (await read_configuration(edge)).body == winner
 
     run(scenario())
 
@@ -239,12 +241,12 @@
     ]
 
     async def scenario() -> None:
-        async with rig(edges=1, extra={"constraints.linkMbps": "2.75"}) as fixture:
+        async with running_system(edges=1, extra={"constraints.linkMbps": "2.75"}) as fixture:
             (edge,), cores = fixture.edges, fixture.system.machines[:3]
-            assert (await read_back(edge)).body == DEMO  # a small one is returned directly
+            assert (await read_configuration(edge)).body == DEMO  # a small one is returned directly
             assert (await push(edge, cbor2.dumps(large), 1))[0] == 200
             async with asyncio.timeout(20.0):
-                while (answer := await read_back(edge)).status != 307:
+                while (answer := await read_configuration(edge)).status != 307:
                     assert answer.status == 200
             location = (answer.header(b"location") or b"").decode()
             assert location in [f"http://{core.ip}:{core.control[1]}/-/Configuration.Read" for core in cores]
@@ -261,11 +263,11 @@
     body = cbor2.dumps(large)
 
     async def scenario() -> None:
-        async with rig(edges=1) as fixture:
+        async with running_system(edges=1) as fixture:
             (edge,), cores = fixture.edges, fixture.system.machines[:3]
             assert (await push(edge, body, 1))[0] == 200
             async with asyncio.timeout(20.0):
-                while (await ask(edge, "/more/899/x")).status != 200:
+                while (await make_request(edge, "/more/899/x")).status != 200:
                     await asyncio.sleep(0.01)
             for machine in cores:
                 await fixture.system.kill(machine)
@@ -274,36 +276,38 @@
             async with asyncio.timeout(20.0):
                 while await status_of(cores[0].control, "/-/Configuration.Read") != 200:
                     await asyncio.sleep(0.05)
-            assert (await read_back(cores[0])).body == body
+            assert (await read_configuration(cores[0])).body == body
 
     run(scenario())
 
 
 def test_state_survives_a_restart_of_the_core() -> None:
     async def scenario() -> None:
-        async with rig(edges=1) as fixture:
+        async with running_system(edges=1) as fixture:
             cores = [machine for machine in fixture.system.machines if machine.core]
             for machine in cores:
                 await fixture.system.kill(machine)
-            assert (await ask(fixture.edges[0])).status == 200  # the edge node continues with its current configuration
+            assert (
+                await make_request(fixture.edges[0])
+            ).status == 200  # the edge node continues with its current configuration
             assert (await push(fixture.edges[0], DEMO, 0))[0] == 503
             for machine in cores:
                 await fixture.system.start(machine)
             async with asyncio.timeout(20.0):
                 while await status_of(cores[1].control, "/-/Configuration.Read") != 200:
                     await asyncio.sleep(0.05)
-            assert (await read_back(cores[1])).body == DEMO
+            assert (await read_configuration(cores[1])).body == DEMO
             second = cbor2.dumps(demo_configuration(2))
             async with asyncio.timeout(20.0):
                 await push_until_taken(fixture.edges[0], second, 1)
-            assert (await read_back(fixture.edges[0])).body == second
+            assert (await read_configuration(fixture.edges[0])).body == second
 
     run(scenario())
 
 
 def test_clients_that_connect_during_startup_are_served() -> None:
     async def scenario() -> None:
-        async with rig(edges=1) as fixture:
+        async with running_system(edges=1) as fixture:
             (edge,) = fixture.edges
             for number in range(3):
                 await fixture.system.kill(edge)
@@ -311,7 +315,7 @@
                 async with asyncio.timeout(20.0):
                     while True:
                         try:
-                            response = await ask(edge, "/book/1", f"early{number}", "PUT", body=b"x" * 300_000)
+                            response = await make_request(edge, "/book/1", f"early{number}", "PUT", body=b"x" * 300_000)
                             break
                         except ConnectionRefusedError:
                             await asyncio.sleep(0)
@@ -322,7 +326,7 @@
 
 def test_draining_and_replaced_servers_receive_no_requests() -> None:
     async def scenario() -> None:
-        async with rig() as fixture:
+        async with running_system() as fixture:
             first, second = fixture.servers("finder")
             first.state = "draining"
             calls = fixture.platform.calls
@@ -331,12 +335,12 @@
                 await wait_until_unused(machine, first)
             ran = len(first.ran)
             for number in range(10):
-                assert (await ask(fixture.edges[number % 2], ident=f"d{number}")).status == 200
+                assert (await make_request(fixture.edges[number % 2], ident=f"d{number}")).status == 200
             assert len(first.ran) == ran
             second.ident = (
                 "i-another-life"  # the address belongs to another server: it responds 421, and no other server is left
             )
-            assert (await ask(fixture.edges[0], ident="gone")).status == 503
+            assert (await make_request(fixture.edges[0], ident="gone")).status == 503
 
     run(scenario())
 
@@ -347,19 +351,19 @@
     async with asyncio.timeout(20.0):
         while skipped < 3:
             before = len(server.ran)
-            await ask(machine)
+            await make_request(machine)
             skipped = skipped + 1 if len(server.ran) == before else 0
 
 
 def test_a_stopping_node_answers_pending_requests() -> None:
     async def scenario() -> None:
-        async with rig(edges=1, work_s=0.4) as fixture:
-            pending = asyncio.create_task(ask(fixture.edges[0], "/book/1", method="POST", body=b"x"))
+        async with running_system(edges=1, work_s=0.4) as fixture:
+            pending = asyncio.create_task(make_request(fixture.edges[0], "/book/1", method="POST", body=b"x"))
             await wait_until(lambda: bool(fixture.servers("booker")[0].running))
             stopped = asyncio.create_task(fixture.system.kill(fixture.edges[0], signal.SIGTERM))
             assert (await within_timeout(pending)).status == 200
             assert await status_of((fixture.edges[0].ip, 8640), "/-/ready") == 503
-            late = await ask(fixture.edges[0], ident="late")  # clients still connect until they notice
+            late = await make_request(fixture.edges[0], ident="late")  # clients still connect until they notice
             assert late.status == 200 and late.header(b"connection") == b"close"
             assert await within_timeout(stopped) == 0
 
@@ -370,7 +374,7 @@
     """A body takes seconds on a slow link. A node that exited while receiving one left its client unanswered (LOST)."""
 
     async def scenario() -> None:
-        async with rig(edges=1) as fixture:
+        async with running_system(edges=1) as fixture:
             (edge,) = fixture.edges
             head = (f"POST /book/1 HTTP/1.1\r\nHost: {HOST}\r\nTime-Left-Ms: 9000\r\nContent-Length: 10\r\n").encode()
             completed, abandoned = [await asyncio.open_connection(*edge.front) for _ in range(2)]
@@ -396,7 +400,7 @@
     """A node stopped before it accepted its first connection accepted none, and all were reset when it exited."""
 
     async def scenario() -> None:
-        async with rig(edges=1, configured=False) as fixture:
+        async with running_system(edges=1, configured=False) as fixture:
             (edge,) = fixture.edges
             await fixture.system.kill(edge)
             await fixture.system.start(edge)
@@ -404,7 +408,7 @@
                 while await status_of((edge.ip, 8640), "/-/ready") != 503:
                     await asyncio.sleep(0)
             stopped = asyncio.create_task(fixture.system.kill(edge, signal.SIGTERM))
-            response = await ask(edge)
+            response = await make_request(edge)
             assert response.status == 503 and response.header(b"retry-after") == b"0.5"
             assert await within_timeout(stopped) == 0
 
@@ -413,11 +417,11 @@
 
 def test_a_node_without_a_configuration_responds_503() -> None:
     async def scenario() -> None:
-        async with rig(edges=1, configured=False) as fixture:
+        async with running_system(edges=1, configured=False) as fixture:
             async with asyncio.timeout(20.0):
                 while await status_of((fixture.edges[0].ip, 8640), "/-/ready") != 503:
                     await asyncio.sleep(0.02)
-            response = await ask(fixture.edges[0])
+            response = await make_request(fixture.edges[0])
             assert response.status == 503 and response.header(b"retry-after") == b"0.5"
             fixture.edges[0].process.send_signal(signal.SIGHUP)  # type: ignore[union-attr]
             async with asyncio.timeout(20.0):
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -86,13 +86,13 @@
 def test_the_front_listener_opens_before_the_settings_are_fully_read(tmp_path: Path) -> None:
     boot = tmp_path / "boot.conf"
     environ = {"CYPRESSBEAM_BOOT": str(boot)}
-    assert early_listener.open_front({}) is None and early_listener.open_front(environ) is None
+    assert early_listener.open_front_listener({}) is None and early_listener.open_front_listener(environ) is None
     boot.write_text("node=n\nlisteners.control=127.0.0.1:1\n", encoding="utf-8")
-    assert early_listener.open_front(environ) is None
+    assert early_listener.open_front_listener(environ) is None
     boot.write_text("node=n\nlisteners.front=nowhere\n", encoding="utf-8")
-    assert early_listener.open_front(environ) is None
+    assert early_listener.open_front_listener(environ) is None
     boot.write_text("node=n\nlisteners.front = 127.0.0.1:0\n", encoding="utf-8")
-    front = early_listener.open_front(environ)
+    front = early_listener.open_front_listener(environ)
     assert front is not None
     with front, socket.create_connection(front.getsockname(), 5.0) as client:
         client.sendall(b"waits")
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -22,7 +22,7 @@
 from lab.simulation import Disk
 from lab.system import Machine
 from tests.loopback import run
-from tests.test_gateway import read_back, rig, send
+from tests.test_gateway import read_configuration, running_system, send
 
 ABC = View(512, ("b/0", "c/0", "a/0"), ("a/0", "b/0", "c/0"))
 MANY = View(512, tuple(f"m{i}/0" for i in range(9)), tuple(f"m{i}/0" for i in range(9)))
@@ -410,7 +410,7 @@
 
 def test_an_operator_replaces_a_machine_of_a_running_system() -> None:
     async def scenario() -> None:
-        async with rig(edges=1) as made:
+        async with running_system(edges=1) as made:
             where = made.edges[0].control
             core = [machine for machine in made.system.machines if machine.core]
             victim = core[0]
@@ -442,7 +442,7 @@
             await made.system.kill(victim)
             state = await status.read_state(where)
             assert spare.ip in [ip_of(name) for name in state["chain"]] and len(state["group"]) == 3
-            assert (await read_back(made.edges[0])).status == 200
+            assert (await read_configuration(made.edges[0])).status == 200
             assert membership.describe_members(state).startswith(f"epoch {state['epoch']}: 3 members, 2 are a majority")
 
     run(scenario())
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -16,12 +16,12 @@
 from cypressbeam.protocol import configuration
 from lab.local_cluster import demo_configuration
 from tests.loopback import run
-from tests.test_gateway import DEMO, read_back, rig
+from tests.test_gateway import DEMO, read_configuration, running_system
 
 
 def test_the_state_of_chain_and_view_is_told_by_any_node() -> None:
     async def scenario() -> None:
-        async with rig(edges=1) as made:
+        async with running_system(edges=1) as made:
             for machine in made.system.machines:
                 told = await status.read_state(machine.control)
                 assert told["node"]["name"] == machine.name and told["epoch"] >= 256 and len(told["chain"]) == 3
@@ -42,9 +42,9 @@
 def test_a_saved_state_comes_back_into_a_new_system_and_over_a_newer_one(tmp_path: Path) -> None:
     async def scenario() -> None:
         file = tmp_path / "state"
-        async with rig(edges=1) as made:
+        async with running_system(edges=1) as made:
             assert "revision 1 saved" in await backup.backup(made.edges[0].control, file)
-        async with rig(edges=1, configured=False) as made:
+        async with running_system(edges=1, configured=False) as made:
             edge = made.edges[0]
             async with asyncio.timeout(20.0):
                 while True:
@@ -53,13 +53,13 @@
                         break
                     except (errors.RequestRefusedError, OSError, EOFError):  # the new system has no chain yet
                         await asyncio.sleep(0.05)
-            assert (await read_back(edge)).body == DEMO
+            assert (await read_configuration(edge)).body == DEMO
             assert "in force already" in await backup.restore(edge.control, file, over=False)
             await config_calls.push(edge.control, cbor2.dumps(demo_configuration(5)))
             with pytest.raises(errors.RequestRefusedError, match="--over brings it back as 6"):
                 await backup.restore(edge.control, file, over=False)
             assert "revision 6 is in force" in await backup.restore(edge.control, file, over=True)
-            assert cbor2.loads((await read_back(edge)).body) == demo_configuration(6)
+            assert cbor2.loads((await read_configuration(edge)).body) == demo_configuration(6)
             assert await config_calls.diff(edge.control, written(tmp_path, demo_configuration(7))) == [
                 "- revision = 6",
                 "+ revision = 7",
--- a/tests/test_order_rules.py
+++ b/tests/test_order_rules.py
@@ -184,7 +184,7 @@
             callback()
         assert {ip for ip, _ in sent} == {"head"} and 3 <= len(sent) <= 5
         assert CALL_TIMEOUT_S <= now_s - 5.0 < CALL_TIMEOUT_S + RESEND_INTERVAL_S
-        assert connection.respond.call_args.args[0].status == 503 and not control.calls
+        assert connection.respond.call_args.args[0].status == 503 and not control.pending_calls
 
     run(scenario())
 
@@ -195,7 +195,7 @@
     async def scenario() -> None:
         control = ControlApi("10.0.0.1", lambda: ("head", "tail"), lambda ip, frame: sent.append(ip), Mock())
         control.submit(frames.ReadRequest(1, "10.0.0.1"), Mock())
-        control.calls.clear()
+        control.pending_calls.clear()
 
     run(scenario())
     assert sent == ["tail"]
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -23,7 +23,7 @@
 from lab.histories.world import World
 from lab.local_cluster import demo_configuration, push
 from tests.loopback import run
-from tests.test_gateway import read_back, rig
+from tests.test_gateway import read_configuration, running_system
 
 #: Seeds of histories with many operators.
 CROWDED = [seed for seed in range(400) if shape_of(seed).crowd]
@@ -300,7 +300,7 @@
         return cbor2.dumps(value)
 
     async def scenario() -> None:
-        async with rig() as setup:
+        async with running_system() as setup:
             nodes = setup.system.machines
             both = [configuration("/look/"), configuration("/see/")]
             calls = [(node, change) for node in nodes for change in both]
@@ -310,7 +310,7 @@
             ]
             assert sorted(statuses, key=min) == [{200}, {412}]
             winner = both[0] if statuses[0] == {200} else both[1]
-            assert (await read_back(nodes[0])).body == winner
+            assert (await read_configuration(nodes[0])).body == winner
             assert await push(nodes[-1], both[0] if winner == both[1] else both[1], 1) == (
                 412,
                 b"the current version is 7\n",
--- a/tests/test_quorum_loss.py
+++ b/tests/test_quorum_loss.py
@@ -29,7 +29,7 @@
 from lab.simulation import Disk, Host
 from lab.system import Machine
 from tests.loopback import run
-from tests.test_gateway import Rig, ask, read_back, rig
+from tests.test_gateway import SystemFixture, make_request, read_configuration, running_system
 
 ABC = ("10.0.0.1/a", "10.0.0.2/b", "10.0.0.3/c")
 #: A quorum loss must be reported within this time.
@@ -205,7 +205,7 @@
         await asyncio.sleep(0.05)
 
 
-async def lose_two_disks(setup: Rig) -> tuple[Machine, list[Machine]]:
+async def lose_two_disks(setup: SystemFixture) -> tuple[Machine, list[Machine]]:
     """Kill two members and delete their state; returns the remaining member and the lost ones."""
     left, *gone = [machine for machine in setup.system.machines if machine.core]
     for machine in gone:
@@ -218,7 +218,7 @@
     """Follows docs/operations/recovery.md step by step."""
 
     async def scenario() -> None:
-        async with rig(edges=1) as setup:
+        async with running_system(edges=1) as setup:
             edge, system, copy = setup.edges[0], setup.system, tmp_path / "copy"
             assert (await status.read_state(edge.control))["quorumLoss"] is None
             await backup.backup(edge.control, copy)
@@ -230,7 +230,7 @@
                     assert {member["ip"] for member in state["quorumLoss"]["missing"]} == {lost.ip for lost in gone}
                     for text in (status.describe_state(state), membership.describe_members(state)):
                         assert "! no majority of the core" in text and RUNBOOK in text
-            assert (await ask(edge)).status == 200  # it keeps serving
+            assert (await make_request(edge)).status == 200  # it keeps serving
             with pytest.raises(errors.RequestRefusedError, match="503"):
                 await config_calls.push(edge.control, cbor2.dumps(demo_configuration(2)), 1)
             await system.kill(left)
@@ -253,19 +253,19 @@
                         await asyncio.sleep(0.1)
             async with asyncio.timeout(10.0):
                 await config_calls.push(edge.control, cbor2.dumps(demo_configuration(2)), 1)
-                while cbor2.loads((await read_back(edge)).body)["revision"] != 2:
+                while cbor2.loads((await read_configuration(edge)).body)["revision"] != 2:
                     await asyncio.sleep(0.05)
                 while (await status.read_state(edge.control))["node"]["revision"] != 2:
                     await asyncio.sleep(0.05)
             assert (await status.read_state(edge.control))["quorumLoss"] is None
-            assert (await ask(edge, ident="r2")).status == 200
+            assert (await make_request(edge, ident="r2")).status == 200
 
     run(scenario())
 
 
 def test_members_that_return_with_their_disks_restore_the_quorum() -> None:
     async def scenario() -> None:
-        async with rig(edges=1) as setup:
+        async with running_system(edges=1) as setup:
             left, *away = [machine for machine in setup.system.machines if machine.core]
             for machine in away:
                 await setup.system.kill(machine)
--- a/tests/test_validity.py
+++ b/tests/test_validity.py
@@ -233,7 +233,7 @@
     async def scenario() -> None:
         control = ControlApi("10.0.0.1", lambda: ("10.0.0.2",), lambda ip, frame: passed.append(frame), Mock())
         control.replace(message, Mock())
-        control.client_disconnected(next(iter(control.calls)))
+        control.client_disconnected(next(iter(control.pending_calls)))
 
     if taken:
         run(scenario())
--- a/tests/test_word_rules.py
+++ b/tests/test_word_rules.py
@@ -167,9 +167,9 @@
         child.sent.clear()
         if not has_majority:
             machine.now_s += FAILURE_TIMEOUT_S + 0.01
-        machine.core.last_turn_s = machine.now_s
+        machine.core.last_advance_s = machine.now_s
         machine.core.on_join(link, frames.JoinRequest("x", link.ip, "a", frames.SERVES_CLIENTS, 0, "", epoch=EPOCH_2))
-        machine.core.take_list([])
+        machine.core.update_endpoints([])
         machine.core.leader_role.introduce(machine.now_s + INTRODUCTION_INTERVAL_S)
         assert link.kinds() == (["ParentAssignment"] if has_majority else ["LeaderRedirect"])
         assert child.kinds() == (["EndpointUpdate"] if has_majority else [])
@@ -224,7 +224,7 @@
         control = ControlApi(OWN_IP, lambda: (ROOT_IP,), lambda ip, frame: None, Mock(), is_isolated=lambda: isolated)
         answer = control.submit(frames.ReadRequest(1, OWN_IP), Mock())
         assert (answer is not None and answer.status == 503) is isolated
-        control.calls.clear()
+        control.pending_calls.clear()
 
     run(scenario())
 
