--- a/lab/simulation/__init__.py
+++ b/lab/simulation/__init__.py
@@ -1,9 +1,8 @@
 """A simulated network, clock and disk on which whole nodes run unchanged: one thread, one seed, no real socket or time.
 
-The event loop is asyncio's own with another clock: where it would wait for sockets, time jumps to the next timer.
-Connections and datagrams between hosts are carried by `Net`, with delay, loss, cuts and hosts that lose their power.
-A machine's link carries so many bits a second each way, for all its connections together, in the order in which they
-come.
+The event loop is asyncio's own with a virtual clock: instead of waiting for sockets, it advances to the next timer.
+`Net` carries connections and datagrams between hosts and simulates delay, packet loss, network partitions and power
+loss. A host's link has a fixed bandwidth per direction, which all its connections share in FIFO order.
 """
 
 from lab.simulation.clock import EarlySocket, Loop
--- a/lab/simulation/clock.py
+++ b/lab/simulation/clock.py
@@ -1,4 +1,4 @@
-"""asyncio's event loop on simulated time: where it would wait for sockets, time jumps to the next timer."""
+"""asyncio's event loop on virtual time: instead of waiting for sockets, it advances to the next timer."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 
 class SimulationStuckError(Exception):
-    """Nothing is left that could ever happen."""
+    """The event loop has no callback and no timer left, so it would block forever."""
 
 
-class Jump(selectors.SelectSelector):
-    """In place of waiting, the clock moves on."""
+class TimeSkippingSelector(selectors.SelectSelector):
+    """A selector that advances the virtual clock instead of blocking."""
 
     now_s = 1000.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Move the clock on by the time that would be waited. Raises SimulationStuckError where that is for ever."""
+        """Advance the clock by the timeout. Raises SimulationStuckError if there is no timeout."""
         if timeout is None:
             raise SimulationStuckError
         self.now_s += max(timeout, 0.0)
         return []
 
 
-class Sockets(Protocol):
-    """The network that carries connections and datagrams."""
+class Transports(Protocol):
+    """The network that opens connections and datagram sockets."""
 
     async def connect(self, loop: Loop, here: Host, factory: Callable[[], Any], ip: str, port: int) -> Any: ...
 
@@ -37,7 +37,7 @@
 
 
 class EarlySocket:
-    """In place of a socket that listens before all else: who connects waits until a listener takes it up."""
+    """Stands in for a socket bound before the server starts: connects wait until a listener uses the port."""
 
     def __init__(self, host: Host, port: int) -> None:
         self.port = port
@@ -45,50 +45,50 @@
 
 
 class Listener:
-    """A port at which a machine takes connections."""
+    """A port on which a host accepts connections, with the interface of asyncio's server."""
 
     def __init__(self, host: Host, port: int) -> None:
         self.host, self.port = host, port
         self.sockets = [self]
 
     def getsockname(self) -> tuple[str, int]:
-        """Address and port."""
+        """The address and port of the listener."""
         return self.host.ip, self.port
 
     def close(self) -> None:
-        """Later connections are refused."""
+        """Stop listening: later connections are refused."""
         self.host.listeners.pop(self.port, None)
         self.host.early.discard(self.port)
 
 
 class Loop(asyncio.SelectorEventLoop):
-    """asyncio's loop on a clock that jumps, with the sockets of a simulated network."""
+    """asyncio's loop with a virtual clock and the transports of a simulated network."""
 
-    def __init__(self, sockets: Sockets) -> None:
-        self.jump = Jump()
-        self.sockets = sockets
-        super().__init__(self.jump)
+    def __init__(self, network: Transports) -> None:
+        self.time_selector = TimeSkippingSelector()
+        self.network = network
+        super().__init__(self.time_selector)
 
     def time(self) -> float:
-        """The simulated time."""
-        return self.jump.now_s
+        """The virtual time, in seconds."""
+        return self.time_selector.now_s
 
     def call_at(  # type: ignore[override]
         self, when: float, callback: Callable[..., object], *args: Any, context: contextvars.Context | None = None
     ) -> asyncio.TimerHandle:
-        """As asyncio's, unless the callback's host has ended by then."""
+        """Schedule a callback; it is skipped if its host has been stopped by then."""
         return super().call_at(when, while_alive(callback, context), *args, context=context)
 
     def call_soon(  # type: ignore[override]
         self, callback: Callable[..., object], *args: Any, context: contextvars.Context | None = None
     ) -> asyncio.Handle:
-        """As asyncio's, unless the callback's host has ended by then."""
+        """Schedule a callback; it is skipped if its host has been stopped by then."""
         return super().call_soon(while_alive(callback, context), *args, context=context)
 
     async def create_server(
         self, protocol_factory: Any, host: Any = None, port: Any = None, sock: Any = None, **_: Any
     ) -> Any:
-        """Listen at a port of the host that asks."""
+        """Listen on a port of the calling host."""
         here = HOST.get()
         assert here is not None
         port = sock.port if isinstance(sock, EarlySocket) else port
@@ -96,15 +96,15 @@
         return Listener(here, port)
 
     async def create_connection(self, protocol_factory: Any, host: Any = None, port: Any = None, **_: Any) -> Any:
-        """Connect from the host that asks."""
+        """Open a connection from the calling host."""
         here = HOST.get()
         assert here is not None
-        return await self.sockets.connect(self, here, protocol_factory, host, port)
+        return await self.network.connect(self, here, protocol_factory, host, port)
 
     async def create_datagram_endpoint(  # type: ignore[override]
         self, protocol_factory: Any, local_addr: Any = None, **_: Any
     ) -> Any:
-        """Open a port for datagrams at the host that asks."""
+        """Open a datagram socket on the calling host."""
         here = HOST.get()
         assert here is not None
-        return self.sockets.open_datagrams(here, local_addr[1], protocol_factory())
+        return self.network.open_datagrams(here, local_addr[1], protocol_factory())
--- a/lab/simulation/connections.py
+++ b/lab/simulation/connections.py
@@ -1,7 +1,7 @@
 """Connections and datagram sockets of the simulated network, as asyncio's transports.
 
-A connection keeps the order of its bytes, whatever is lost on the way: loss shows as delay, as it does with TCP. A
-machine with a price for its work reads one thing after another, each as late as what came before it has taken.
+A connection delivers its bytes in order; packet loss shows as delay, as it does with TCP. A host with a processing cost
+(`Host.work_s`) reads one chunk after another, each once the processing of those before it has finished.
 """
 
 from __future__ import annotations
@@ -14,209 +14,220 @@
 from lab.simulation.host import Host
 from lab.simulation.links import Links
 
-#: Timers of one instant come in any order: what must stay in order is set apart.
-LATER_S = 1e-7
-#: Bytes that can't get through are sent again after so long, then after twice that, and so on.
-PROBE_S, MOST_PROBE_S = 0.2, 60.0
+#: Least time between events that must stay in order: timers due at the same time may run in any order.
+ORDERING_GAP_S = 1e-7
+#: Undeliverable bytes are retransmitted after this delay, which doubles up to the maximum.
+RETRANSMIT_S, MAX_RETRANSMIT_S = 0.2, 60.0
 
 
 class NoSocket:
-    """In place of a connection's socket: takes every option."""
+    """Stands in for a connection's socket and accepts every option."""
 
     def setsockopt(self, *_: Any) -> None:
-        """Nothing is behind it."""
+        """Ignore the option."""
 
 
 class End(asyncio.Transport):
     """One end of a connection."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, links: Links, host: Host, peer: Host, port: int) -> None:
-        super().__init__({"peername": (peer.ip, port), "socket": NoSocket(), "unread": self.unread})
+        super().__init__({"peername": (peer.ip, port), "socket": NoSocket(), "unread": self.has_unread})
         self.loop, self.links, self.host, self.peer = loop, links, host, peer
-        self.lives = host.life, peer.life
-        self.other: End | None = None
+        self.host_lives = host.life, peer.life
+        self.remote_end: End | None = None
         self.protocol: Any = None
-        self.shut = False
-        self.arrives_s = 0.0
-        self.held: list[bytes] = []
-        self.probe_s = PROBE_S
-        self.inbox: deque[bytes] = deque()
-        self.written = self.read_so_far = 0
-        """Bytes that this side has sent, and that its reader has been given."""
+        self.closed = False
+        self.last_arrival_s = 0.0
+        self.unsent: list[bytes] = []
+        self.retransmit_s = RETRANSMIT_S
+        self.receive_buffer: deque[bytes] = deque()
+        self.bytes_written = self.bytes_read = 0
+        """Bytes that this end has sent, and bytes that its protocol has received."""
         self.paused = False
-        self.ended: Exception | None = None
-        """How the other side has ended it, once what it sent before has been read."""
-        self.gone = False
+        self.pending_error: Exception | None = None
+        """The error with which the remote end closed; reported once the receive buffer has been read."""
+        self.abandoned = False
 
     def write(self, data: Any) -> None:
-        """Send bytes; they are there after the links' delay."""
-        if self.gone:
-            raise RuntimeError("the handler is closed")  # as uvloop says it
-        if self.shut:
+        """Send bytes; they arrive after the links' delay."""
+        if self.abandoned:
+            raise RuntimeError("the handler is closed")  # uvloop's message
+        if self.closed:
             return
         self.host.messages += 1
         self.host.bytes += len(data)
-        self.written += len(data)
+        self.bytes_written += len(data)
         if self.links.refused(self.host, self.peer):
-            self.end(ConnectionResetError("cut"))
-        elif self.held or not self.links.open(self.host, self.peer):
-            self.hold(bytes(data))
+            self.finish(ConnectionResetError("connection reset by a network partition"))
+        elif self.unsent or not self.links.is_reachable(self.host, self.peer):
+            self.buffer(bytes(data))
         else:
-            self.carry(bytes(data))
-
-    def hold(self, data: bytes) -> None:
-        """Bytes don't get through: they wait, and are sent again."""
-        if not self.held:
-            self.probe_s = PROBE_S
-            self.loop.call_later(PROBE_S, self.probe, context=self.host.context)
-        self.held.append(data)
-
-    def probe(self) -> None:
-        """Bytes that did not get through are sent again."""
-        if self.shut:
+            self.transmit(bytes(data))
+
+    def buffer(self, data: bytes) -> None:
+        """Keep bytes that can't be delivered now, and retransmit them later."""
+        if not self.unsent:
+            self.retransmit_s = RETRANSMIT_S
+            self.loop.call_later(RETRANSMIT_S, self.retransmit, context=self.host.context)
+        self.unsent.append(data)
+
+    def retransmit(self) -> None:
+        """Send the buffered bytes again, or back off if the peer is still unreachable."""
+        if self.closed:
             return
-        if self.links.open(self.host, self.peer):
-            held, self.held = self.held, []
-            for data in held:
-                self.carry(data)
+        if self.links.is_reachable(self.host, self.peer):
+            unsent, self.unsent = self.unsent, []
+            for data in unsent:
+                self.transmit(data)
         else:
-            self.probe_s = min(2 * self.probe_s, MOST_PROBE_S)
-            self.loop.call_later(self.probe_s, self.probe, context=self.host.context)
+            self.retransmit_s = min(2 * self.retransmit_s, MAX_RETRANSMIT_S)
+            self.loop.call_later(self.retransmit_s, self.retransmit, context=self.host.context)
 
-    def carry(self, data: bytes) -> None:
-        """Bytes are on their way."""
-        if (self.peer.life, self.peer.up) != (self.lives[1], True):
-            self.end(ConnectionResetError("another life"))  # it knows nothing of this connection
+    def transmit(self, data: bytes) -> None:
+        """Schedule the arrival of bytes at the remote end."""
+        if (self.peer.life, self.peer.up) != (self.host_lives[1], True):
+            self.finish(ConnectionResetError("peer restarted"))  # the new process has no such connection
             return
-        self.arrives_s = max(self.arrives_s + LATER_S, self.links.through(self.host, self.peer, len(data)))
-        assert self.other is not None
-        self.loop.call_at(self.arrives_s, self.other.take, data, context=self.peer.context)
+        self.last_arrival_s = max(
+            self.last_arrival_s + ORDERING_GAP_S, self.links.arrival_s(self.host, self.peer, len(data))
+        )
+        assert self.remote_end is not None
+        self.loop.call_at(self.last_arrival_s, self.remote_end.receive, data, context=self.peer.context)
 
     def writelines(self, data: Any) -> None:
-        """Send all of them."""
+        """Send several chunks as one."""
         self.write(b"".join(data))
 
     def write_eof(self) -> None:
-        """The other side sees the end once it is closed; a half-closed connection is not told apart."""
+        """Do nothing: half-closed connections are not simulated, the peer sees the end at close."""
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Writers are never held up here: what a link can't carry yet is on its way."""
+        """Do nothing: there is no backpressure, bytes that wait for a link count as sent."""
 
-    def unread(self) -> bool:
-        """Whether something has come that its reader has not seen."""
-        return bool(self.inbox) or self.ended is not None
+    def has_unread(self) -> bool:
+        """Whether received data, or the remote end's close, has not reached the protocol yet."""
+        return bool(self.receive_buffer) or self.pending_error is not None
 
-    def take(self, data: bytes) -> None:
-        """Bytes have come: they are read once the machine gets to it."""
-        if self.shut:
+    def receive(self, data: bytes) -> None:
+        """Accept bytes that have arrived; the protocol receives them once the host has processed what came before."""
+        if self.closed:
             return
         host = self.host
-        if host.work_s is None and not self.paused and not self.inbox:
-            self.give(data)
+        if host.work_s is None and not self.paused and not self.receive_buffer:
+            self.deliver(data)
             return
-        self.inbox.append(data)
+        self.receive_buffer.append(data)
         if host.work_s is None:
             return
         cost_s = host.work_s(len(data))
         host.busy_until_s = max(host.busy_until_s, self.loop.time()) + cost_s
         host.worked_s += cost_s
-        self.loop.call_at(host.busy_until_s, self.read, context=host.context)
+        self.loop.call_at(host.busy_until_s, self.deliver_buffered, context=host.context)
 
-    def give(self, data: bytes) -> None:
-        """Hand bytes to the reader."""
-        self.read_so_far += len(data)
+    def deliver(self, data: bytes) -> None:
+        """Pass bytes to the protocol."""
+        self.bytes_read += len(data)
         self.protocol.data_received(data)
 
     def delivered(self) -> bool:
-        """Whether the other side has read all that this one has sent."""
-        return self.other is not None and self.other.read_so_far >= self.written
+        """Whether the remote end has read everything that this end sent."""
+        return self.remote_end is not None and self.remote_end.bytes_read >= self.bytes_written
 
-    def read(self) -> None:
-        """Give what has come to the protocol."""
-        while self.inbox and not self.shut and not self.paused:
-            self.give(self.inbox.popleft())
+    def deliver_buffered(self) -> None:
+        """Pass buffered bytes to the protocol, then a pending close."""
+        while self.receive_buffer and not self.closed and not self.paused:
+            self.deliver(self.receive_buffer.popleft())
             if self.host.work_s is not None:
-                break  # each piece has a turn of its own
-        if self.ended is not None and not self.inbox and not self.shut:
-            self.end(self.ended)
+                break  # with a processing cost, each chunk has its own callback
+        if self.pending_error is not None and not self.receive_buffer and not self.closed:
+            self.finish(self.pending_error)
 
     def set_protocol(self, protocol: asyncio.BaseProtocol) -> None:
-        """Who is given what comes from now on."""
+        """Set the protocol that receives data from now on."""
         self.protocol = protocol
 
     def pause_reading(self) -> None:
-        """Hold back what comes."""
+        """Buffer received data."""
         self.paused = True
 
     def resume_reading(self) -> None:
-        """Give what was held back, in the next turn."""
+        """Deliver buffered data in the next loop iteration."""
         self.paused = False
-        self.loop.call_soon(self.read, context=self.host.context)
+        self.loop.call_soon(self.deliver_buffered, context=self.host.context)
 
-    def ends(self, err: Exception) -> None:
-        """The other side has ended it: told behind all that it has sent."""
-        if self.inbox and not self.shut:
-            self.ended = err
+    def close_after_buffered(self, err: Exception) -> None:
+        """Handle the remote end's close: the protocol learns of it after all data sent before."""
+        if self.receive_buffer and not self.closed:
+            self.pending_error = err
         else:
-            self.end(err)
+            self.finish(err)
 
-    def end(self, err: Exception | None) -> None:
-        """The connection is over at this end."""
-        if not self.shut:
-            self.shut = True
+    def finish(self, err: Exception | None) -> None:
+        """Close this end and notify the protocol."""
+        if not self.closed:
+            self.closed = True
             self.loop.call_soon(self.protocol.connection_lost, err, context=self.host.context)
 
     def abort(self) -> None:
-        """End the connection; the other side is told, if packets get there."""
-        if self.shut or self.loop.is_closed():
+        """Close the connection; the remote end learns of it if it is reachable."""
+        if self.closed or self.loop.is_closed():
             return
-        self.end(None)
-        if self.links.open(self.host, self.peer) and self.other is not None:
-            late_s = max(self.arrives_s + LATER_S, self.loop.time() + self.links.delay(self.host, self.peer))
-            self.loop.call_at(late_s, self.other.ends, ConnectionResetError("closed"), context=self.peer.context)
+        self.finish(None)
+        if self.links.is_reachable(self.host, self.peer) and self.remote_end is not None:
+            closes_s = max(
+                self.last_arrival_s + ORDERING_GAP_S, self.loop.time() + self.links.transfer_delay(self.host, self.peer)
+            )
+            self.loop.call_at(
+                closes_s,
+                self.remote_end.close_after_buffered,
+                ConnectionResetError("closed by the peer"),
+                context=self.peer.context,
+            )
 
     close = abort
 
-    def vanish(self) -> None:
-        """Closed by the loop, for who connects was cancelled: its protocol is not told."""
-        told, self.protocol = self.protocol, asyncio.Protocol()
+    def abandon(self) -> None:
+        """Close after the connecting task was cancelled: the protocol is not notified, and later writes raise."""
+        protocol, self.protocol = self.protocol, asyncio.Protocol()
         self.abort()
-        self.protocol, self.gone = told, True
+        self.protocol, self.abandoned = protocol, True
 
     def is_closing(self) -> bool:
-        """Whether it is over at this end."""
-        return self.shut
+        """Whether this end is closed."""
+        return self.closed
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that wait to be sent again."""
-        return sum(map(len, self.held))
+        """Bytes that wait for retransmission."""
+        return sum(map(len, self.unsent))
 
 
-#: Carries a datagram from a socket to an address.
-Hand = Callable[["DatagramSocket", tuple[str, int], bytes], None]
+#: Sends a datagram from a socket to an address.
+SendDatagram = Callable[["DatagramSocket", tuple[str, int], bytes], None]
 
 
 class DatagramSocket(asyncio.DatagramTransport):
-    """A port for datagrams at one machine."""
+    """A datagram socket of one host."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, links: Links, hand: Hand, host: Host, port: int) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, links: Links, send_datagram: SendDatagram, host: Host, port: int
+    ) -> None:
         super().__init__()
-        self.loop, self.links, self.hand, self.host, self.port = loop, links, hand, host, port
-        self.shut = False
+        self.loop, self.links, self.send_datagram, self.host, self.port = loop, links, send_datagram, host, port
+        self.closed = False
 
     def sendto(self, data: Any, addr: Any = None) -> None:
-        """Send a datagram: it may be lost."""
+        """Send a datagram, which may be lost."""
         self.host.messages += 1
         self.host.bytes += len(data)
-        self.hand(self, addr, bytes(data))
+        self.send_datagram(self, addr, bytes(data))
 
     def close(self) -> None:
-        """Receive no more."""
-        self.shut = True
+        """Stop receiving."""
+        self.closed = True
         self.host.datagrams.pop(self.port, None)
 
     abort = close
 
     def is_closing(self) -> bool:
-        """Whether it is over at this end."""
-        return self.shut
+        """Whether the socket is closed."""
+        return self.closed
--- a/lab/simulation/disk.py
+++ b/lab/simulation/disk.py
@@ -1,4 +1,4 @@
-"""A simulated disk for whole nodes, in place of a `SqliteStore`."""
+"""A simulated disk for whole nodes, with the interface of `SqliteStore`."""
 
 from __future__ import annotations
 
@@ -12,70 +12,70 @@
 
 
 class Disk:
-    """In place of a `SqliteStore`: what was synced survives a loss of power, what was still on its way does not."""
+    """Stands in for a `SqliteStore`: synced data survives a power loss, writes in progress don't."""
 
     def __init__(self, identity: str, sync_s: float = 0.002) -> None:
         self.kept = LoadedState(identity, 0, None, None, {})
         self.sync_s = sync_s
         self.hangs_s = 0.0
-        """How long the next read takes."""
+        """How long the next load hangs."""
         self.copies: list[LoadedState] = []
-        """What it held at earlier times, for whoever puts an older copy in its place."""
+        """Earlier states, from which a test can restore an older copy."""
         self.starts = 0
-        self.raised = HighWaterMarks()
-        self.noted: dict[str, HighWaterMarks] = {}
+        self.current_marks = HighWaterMarks()
+        self.peer_marks: dict[str, HighWaterMarks] = {}
 
     async def load(self, reset: bool = False) -> LoadedState:
-        """What is on the disk; with `reset` an empty one under another identity."""
+        """Load the durable state; with `reset`, an empty one under a new identity."""
         hangs_s, self.hangs_s = self.hangs_s, 0.0
         if hangs_s:
             await asyncio.sleep(hangs_s)
         self.starts += 1
         if reset:
             self.kept = LoadedState(f"{self.kept.identity}.{self.starts}", 0, None, None, {})
-        self.raised, self.noted = (
+        self.current_marks, self.peer_marks = (
             HighWaterMarks(self.kept.durable_marks.incarnation + 1, self.starts),
             self.kept.reported_marks,
         )
-        return replace(self.kept, applied_digests=dict(self.kept.applied_digests), pending_marks=self.raised)
+        return replace(self.kept, applied_digests=dict(self.kept.applied_digests), pending_marks=self.current_marks)
 
     def stage_marks(self, marks: dict[str, HighWaterMarks]) -> bool:
-        """High-water marks that go onto the disk with the next write; whether there is anything to write."""
-        self.noted = dict(marks)
-        return self.raised != self.kept.durable_marks
+        """Stage the peers' marks for the next write. Returns whether the own marks are still to be written."""
+        self.peer_marks = dict(marks)
+        return self.current_marks != self.kept.durable_marks
 
     async def sync(self) -> None:
-        """Marks are on the disk."""
-        marks = self.noted
+        """Persist the high-water marks."""
+        marks = self.peer_marks
         await asyncio.sleep(self.sync_s)
-        self.kept = replace(self.kept, durable_marks=self.raised, reported_marks=marks)
+        self.kept = replace(self.kept, durable_marks=self.current_marks, reported_marks=marks)
 
     async def save_promise(self, epoch: int) -> None:
-        """A promise is on the disk."""
+        """Persist a promise."""
         await self.sync()
         self.kept = replace(self.kept, promised=max(self.kept.promised, epoch))
 
     async def save_view(self, view: View, entry: Entry | None, taken: dict[int, bytes]) -> None:
-        """A view, and what it begins with, is on the disk."""
+        """Persist a view, its first entry and its digests of applied changes."""
         await self.sync()
         self.kept = replace(
             self.kept, promised=max(self.kept.promised, view.epoch), view=view, entry=entry, applied_digests=dict(taken)
         )
 
     async def save_entry(self, entry: Entry) -> None:
-        """An entry is on the disk."""
+        """Persist an entry and its digest."""
         await self.sync()
         self.kept = replace(
             self.kept, entry=entry, applied_digests=self.kept.applied_digests | {entry.revision: digest(entry.body)}
         )
 
     async def probe(self) -> None:
-        """Whether the disk takes writes."""
+        """Check that the disk accepts writes."""
         await self.sync()
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing: no file is open."""
 
     async def wait_closed(self, wait_s: float) -> bool:
-        """All writes are done."""
+        """Return at once: no write is queued."""
         return True
--- a/lab/simulation/host.py
+++ b/lab/simulation/host.py
@@ -1,4 +1,4 @@
-"""Simulated machines, and callbacks that end with them."""
+"""Simulated hosts, and callbacks that are dropped when their host stops."""
 
 from __future__ import annotations
 
@@ -9,40 +9,42 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-#: The machine on which the code that runs now lives.
+#: The host on which the current code runs.
 HOST: contextvars.ContextVar[Host | None] = contextvars.ContextVar("host", default=None)
 
 
 @dataclass(eq=False)
 class Host:
-    """One machine. What an earlier life of it has set up is never called again."""
+    """One machine. Callbacks scheduled before its last stop are never run."""
 
     ip: str
     zone: str
     up: bool = False
     life: int = 0
+    """How often it was started."""
     listeners: dict[int, Callable[[], asyncio.BaseProtocol]] = field(default_factory=dict)
     datagrams: dict[int, asyncio.DatagramProtocol] = field(default_factory=dict)
-    """What receives the datagrams at each port."""
+    """The protocol that receives datagrams, by port."""
     context: contextvars.Context = field(default_factory=contextvars.copy_context)
     messages: int = 0
     bytes: int = 0
-    """What it has sent."""
+    """Messages and bytes sent."""
     mbps: float = math.inf
-    """What its link carries, each way."""
+    """Link bandwidth in each direction, in Mbit/s."""
     out_free_s: float = 0.0
     in_free_s: float = 0.0
-    """When its link will have carried what waits, each way."""
+    """When the queue of its link is empty, outbound and inbound."""
     work_s: Callable[[int], float] | None = None
-    """The processor time that reading so many bytes takes, with all that follows from it. None: no time at all."""
+    """CPU seconds that reading a chunk of a given size costs, including all processing it causes. None: no cost."""
     busy_until_s: float = 0.0
     worked_s: float = 0.0
+    """CPU seconds used so far."""
     early: set[int] = field(default_factory=set)
-    """Ports where connections wait for a listener that is to come."""
+    """Ports where connections wait until a listener is started."""
 
 
 def while_alive(callback: Callable[..., object], context: contextvars.Context | None) -> Callable[..., object]:
-    """The callback, unless its host has ended by then."""
+    """Wrap a callback so that it does nothing if its host was stopped or restarted in the meantime."""
     host = HOST.get() if context is None else context.get(HOST)
     if host is None:
         return callback
--- a/lab/simulation/links.py
+++ b/lab/simulation/links.py
@@ -1,4 +1,4 @@
-"""The links between simulated machines: delay, loss, cuts, and a rate each way that all connections of one share."""
+"""Links between simulated hosts: delay, loss, partitions, and a bandwidth that all connections of a host share."""
 
 from __future__ import annotations
 
@@ -8,67 +8,67 @@
 
 from lab.simulation.host import Host
 
-#: One way, within a zone and between two; a lost packet comes after so much more.
-NEAR_S, FAR_S, RESEND_S = 0.0005, 0.005, 0.2
-#: Datagrams are dropped where a link has so much waiting already.
-FULL_S = 0.2
-#: The packets of a connect wait at full links like all others.
+#: One-way delay within a zone and between zones, and the added delay of a lost packet.
+SAME_ZONE_S, CROSS_ZONE_S, RETRANSMIT_S = 0.0005, 0.005, 0.2
+#: Datagrams are dropped if the queue of a link is longer than this.
+MAX_BACKLOG_S = 0.2
+#: Size of a handshake packet, which queues at busy links like any other.
 SYN_BYTES = 60
 
 
 class Links:
-    """What happens to a packet between two machines."""
+    """Decides delay and loss of packets between two hosts."""
 
     def __init__(self, rng: random.Random, now_s: Callable[[], float]) -> None:
         self.rng = rng
         self.now_s = now_s
         self.loss = 0.0
-        """The share of packets that are lost."""
-        self.cut: Callable[[Host, Host], bool] = lambda one, other: False
-        """Whether what the one sends to the other is lost; it may hold one way only."""
+        """The probability that a packet is lost."""
+        self.cut: Callable[[Host, Host], bool] = lambda sender, receiver: False
+        """Whether packets from the first host to the second are dropped; a partition may be one-way."""
         self.refuses = False
-        """Whether cuts end connections and refuse new ones, and are not silent."""
+        """Whether a partition resets connections and refuses new ones, instead of dropping packets silently."""
 
-    def open(self, one: Host, other: Host) -> bool:
-        """Whether packets get from one to the other now. One whose process ended still answers for it."""
-        return one.up and other.up and not self.cut(one, other)
+    def is_reachable(self, sender: Host, receiver: Host) -> bool:
+        """Whether packets now get from the sender to the receiver. A machine whose process has ended still answers."""
+        return sender.up and receiver.up and not self.cut(sender, receiver)
 
-    def refused(self, one: Host, other: Host) -> bool:
-        """Whether a cut between the two ends connections."""
-        return self.refuses and one.up and other.up and self.cut(one, other)
+    def refused(self, sender: Host, receiver: Host) -> bool:
+        """Whether a partition between the two hosts resets connections."""
+        return self.refuses and sender.up and receiver.up and self.cut(sender, receiver)
 
-    def lost(self) -> bool:
-        """Whether the next packet is lost."""
+    def drops_packet(self) -> bool:
+        """Draw whether the next packet is lost."""
         return self.loss > 0.0 and self.rng.random() < self.loss
 
-    def way(self, one: Host, other: Host) -> float:
-        """Of one packet, seconds."""
-        return (NEAR_S if one.zone == other.zone else FAR_S) * self.rng.uniform(0.8, 1.4)
+    def packet_delay(self, sender: Host, receiver: Host) -> float:
+        """The one-way delay of a packet, in seconds."""
+        return (SAME_ZONE_S if sender.zone == receiver.zone else CROSS_ZONE_S) * self.rng.uniform(0.8, 1.4)
 
-    def delay(self, one: Host, other: Host) -> float:
-        """Of bytes on a connection, seconds: those that are lost come later."""
-        delay_s = self.way(one, other)
-        while self.lost():
-            delay_s += RESEND_S
+    def transfer_delay(self, sender: Host, receiver: Host) -> float:
+        """The delay of bytes on a connection, in seconds, including retransmissions of lost packets."""
+        delay_s = self.packet_delay(sender, receiver)
+        while self.drops_packet():
+            delay_s += RETRANSMIT_S
         return delay_s
 
-    def through(self, one: Host, other: Host, size: int) -> float:
-        """When bytes that are sent now on a connection are there: the links at both ends carry them one after
-        another, behind what waits there. What is late by its sender's link holds up nobody else's at the receiver."""
+    def arrival_s(self, sender: Host, receiver: Host, size: int) -> float:
+        """When bytes sent now on a connection arrive. They queue at the links of both hosts; a queue at the sender's
+        link doesn't delay other senders' bytes at the receiver."""
         now_s = self.now_s()
-        one.out_free_s = max(one.out_free_s, now_s) + size * 8e-6 / one.mbps
-        arrives_s = one.out_free_s + self.delay(one, other) + size * 8e-6 / other.mbps
-        if math.isinf(other.mbps):
+        sender.out_free_s = max(sender.out_free_s, now_s) + size * 8e-6 / sender.mbps
+        arrives_s = sender.out_free_s + self.transfer_delay(sender, receiver) + size * 8e-6 / receiver.mbps
+        if math.isinf(receiver.mbps):
             return arrives_s
-        other.in_free_s = max(other.in_free_s, now_s) + size * 8e-6 / other.mbps
-        return max(arrives_s, other.in_free_s)
+        receiver.in_free_s = max(receiver.in_free_s, now_s) + size * 8e-6 / receiver.mbps
+        return max(arrives_s, receiver.in_free_s)
 
-    def full(self, one: Host, other: Host) -> bool:
-        """Whether so much waits at a link between the two that datagrams are dropped."""
-        return max(one.out_free_s, other.in_free_s) > self.now_s() + FULL_S
+    def is_congested(self, sender: Host, receiver: Host) -> bool:
+        """Whether a link between the two hosts has so long a queue that datagrams are dropped."""
+        return max(sender.out_free_s, receiver.in_free_s) > self.now_s() + MAX_BACKLOG_S
 
-    def trip(self, one: Host, other: Host) -> float:
-        """How long a packet of a connect is on its way, behind what waits at the links."""
-        if math.isinf(one.mbps) and math.isinf(other.mbps):
-            return self.delay(one, other)
-        return self.through(one, other, SYN_BYTES) - self.now_s()
+    def syn_delay(self, sender: Host, receiver: Host) -> float:
+        """The one-way delay of a handshake packet, including queueing at the links."""
+        if math.isinf(sender.mbps) and math.isinf(receiver.mbps):
+            return self.transfer_delay(sender, receiver)
+        return self.arrival_s(sender, receiver, SYN_BYTES) - self.now_s()
--- a/tests/simulated.py
+++ b/tests/simulated.py
@@ -1,4 +1,4 @@
-"""Scenarios on simulated nodes."""
+"""Runs test scenarios on simulated nodes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def run_nodes(cluster: Cluster, scenario: Coroutine[Any, Any, Any]) -> None:
-    """Run a scenario to its end; nothing may go wrong in any callback of any node."""
+    """Run a scenario to its end; fails if a callback of any node raised an error."""
     try:
         cluster.run(scenario)
         assert not cluster.net.faults
