--- a/lab/histories/callers.py
+++ b/lab/histories/callers.py
@@ -1,4 +1,4 @@
-"""Two operators who read and replace the configuration, a call at a time each, sent again until it is answered."""
+"""Two operators who read and replace the configuration, one call at a time each, retried until it is answered."""
 
 from __future__ import annotations
 
@@ -8,15 +8,16 @@
 from lab.histories.plans import OPERATORS
 from lab.histories.simulated_core import SimulatedCore
 
-#: An operator sends a call again after so long, and gives it up after its patience. One in a hurry calls again so soon.
+#: An operator retries a call at this interval, and gives it up after the timeout.
 AGAIN_S, PATIENCE_S = 0.3, 4.0
-HURRY_S = (0.001, 0.01)
-#: The share of replacements among the calls of one in a hurry.
-HURRIED_REPLACEMENTS = 0.95
+#: Pause between the calls of an operator in a burst of changes.
+BURST_GAP_S = (0.001, 0.01)
+#: The share of replacements among the calls of a burst.
+BURST_WRITE_SHARE = 0.95
 
 
 class Callers:
-    """The operators' calls, by `press` and `hurry` events of the core that they call."""
+    """The operators' calls, by `send_call` and `start_next_call` events of the core that they call."""
 
     def __init__(self, core: SimulatedCore) -> None:
         self.core = core
@@ -24,13 +25,13 @@
         self.known: dict[str, int] = {}
         """The newest revision that each operator has seen."""
         self.open: dict[str, int] = {}
-        """The number of each operator's call that is under way."""
-        self.hurried: dict[str, float] = {}
-        """Until when an operator calls again at once."""
-        core.handlers |= {"press": self.press, "hurry": self.hurry}
+        """The number of each operator's call in progress."""
+        self.burst_until_s: dict[str, float] = {}
+        """When the burst of an operator ends."""
+        core.handlers |= {"send_call": self.send_call, "start_next_call": self.start_next_call}
 
     def call(self, operator: str, kind: str) -> None:
-        """Begin a call, unless the operator is still at the one before."""
+        """Start a call, unless the operator's previous one is still in progress."""
         if operator in self.open:
             return
         ident = next(self.core.numbers) + 1
@@ -39,20 +40,20 @@
         if kind == "replace":
             call.body = b"%d:%s%d" % ((known // 10 + 1) * 10 + OPERATORS.index(operator), operator.encode(), ident)
         self.open[operator] = ident
-        self.press(ident)
+        self.send_call(ident)
 
     def close(self, operator: str) -> None:
-        """A call has ended. One in a hurry makes the next at once."""
+        """End a call. In a burst the next one follows at once."""
         del self.open[operator]
-        if self.core.now_s < self.hurried.get(operator, 0.0):
-            self.core.at(self.core.rng.uniform(*HURRY_S), "hurry", operator)
+        if self.core.now_s < self.burst_until_s.get(operator, 0.0):
+            self.core.at(self.core.rng.uniform(*BURST_GAP_S), "start_next_call", operator)
 
-    def hurry(self, operator: str) -> None:
-        """The next call of one in a hurry."""
-        self.call(operator, "replace" if self.core.rng.random() < HURRIED_REPLACEMENTS else "read")
+    def start_next_call(self, operator: str) -> None:
+        """Start the next call of a burst."""
+        self.call(operator, "replace" if self.core.rng.random() < BURST_WRITE_SHARE else "read")
 
-    def press(self, ident: int) -> None:
-        """Send a call, again until it is answered or given up, each time to any machine."""
+    def send_call(self, ident: int) -> None:
+        """Send a call to a random machine, and again until it is answered or given up."""
         call, core = self.calls[ident], self.core
         if self.open.get(call.operator) != ident:
             return
@@ -66,10 +67,10 @@
                 else frames.ReadRequest(ident, CLIENT)
             )
             core.send(CLIENT, core.rng.choice(sorted(core.replicas)), frame)
-        core.at(AGAIN_S, "press", ident)
+        core.at(AGAIN_S, "send_call", ident)
 
     def answer(self, frame: frames.WriteResult | frames.ReadResult) -> None:
-        """A reply; 503 asks for the call to be sent again."""
+        """Handle a reply; after a 503 the call is retried."""
         call = self.calls[frame.request_id]
         if self.open.get(call.operator) != frame.request_id or frame.status == 503:
             return
@@ -87,7 +88,7 @@
             self.known[call.operator] = call.seen
 
     def finish(self, operator: str, kind: str) -> int:
-        """One more call, to its end; what it ends with, or 0."""
+        """Make one more call and run until it ends. Returns its status, or 0 without an answer."""
         self.open.pop(operator, None)
         self.call(operator, kind)
         ident = self.open[operator]
--- a/lab/histories/events.py
+++ b/lab/histories/events.py
@@ -9,18 +9,17 @@
 
 
 class EventLoop:
-    """Handles events in the order of their times. An event is its kind, whom it concerns, and what its handler is
-    given besides."""
+    """Handles events in time order. An event has a kind, a target (such as a machine), and further arguments."""
 
     def __init__(self) -> None:
         self.now_s = 0.0
         self.events: list[tuple[float, int, tuple[Any, ...]]] = []
         self.numbers = itertools.count()
         self.handlers: dict[str, Callable[..., None]] = {}
-        """By the event's kind. A handler is given whom the event concerns, and the rest."""
+        """By event kind. A handler receives the target and the further arguments."""
 
     def at(self, delay_s: float, *what: Any) -> None:
-        """Put an event into the queue: its kind, whom it concerns, and the rest."""
+        """Schedule an event: its kind, its target, and further arguments."""
         heapq.heappush(self.events, (self.now_s + delay_s, next(self.numbers), what))
 
     def step(self) -> None:
@@ -30,7 +29,7 @@
         self.handlers[kind](where, *rest)
 
     def skip(self) -> None:
-        """Take the next event from the queue, and don't handle it."""
+        """Advance to the next event and drop it without handling it."""
         self.now_s, _, _ = heapq.heappop(self.events)
 
     def run(self, until_s: float) -> None:
--- a/lab/histories/faults.py
+++ b/lab/histories/faults.py
@@ -1,6 +1,6 @@
-"""Rules of the core that are left out on purpose, one at a time: some history must show each (runner.py).
+"""Rules of the core that are disabled on purpose, one at a time: some history must detect each (runner.py).
 
-To add one: a function that patches, and a line in FAULTS.
+To add one, write a function that patches the rule, and list it in FAULTS.
 """
 
 from __future__ import annotations
@@ -22,20 +22,19 @@
 from cypressbeam.protocol import frames
 from lab.histories.downstream import DownstreamNode
 
-#: Puts something new in the place of an attribute.
+#: Replaces an attribute of a class or module.
 Patch = Callable[[Any, str, Any], None]
 
 
-def trust_every_disk(patch: Patch) -> None:
-    """Nobody compares what a member tells with what it told before, or with what it must have."""
+def disable_rollback_detection(patch: Patch) -> None:
+    """No machine compares a member's reported marks with earlier ones, or with those that it must have."""
     patch(RollbackDetector, "rejects", lambda self, name, marks: False)
     patch(RollbackDetector, "shows_rollback", lambda self, frame: False)
 
 
-def forget_promises(patch: Patch) -> None:
-    """A machine that comes back accepts epochs below the one that it had promised, and nobody compares that with
-    what it told."""
-    trust_every_disk(patch)
+def ignore_persisted_promises(patch: Patch) -> None:
+    """A restarted machine accepts epochs below the one that it had promised, and rollback detection is disabled."""
+    disable_rollback_detection(patch)
     real = Replica.load
 
     def load(
@@ -46,19 +45,19 @@
     patch(Replica, "load", load)
 
 
-def promise_with_an_empty_disk(patch: Patch) -> None:
-    """A machine promises though no view on its disk counts it in a group."""
+def promise_without_a_view(patch: Patch) -> None:
+    """A machine promises although no view on its disk has it in the group."""
     patch(Voter, "can_vote", lambda self: True)
 
 
-def count_as_the_old_one(patch: Patch) -> None:
-    """A machine that lost its disk promises under its old name, and nobody compares that with what it told."""
-    trust_every_disk(patch)
-    promise_with_an_empty_disk(patch)
+def promise_after_disk_loss(patch: Patch) -> None:
+    """A machine that lost its disk promises under its old name, and rollback detection is disabled."""
+    disable_rollback_detection(patch)
+    promise_without_a_view(patch)
 
 
 def acknowledge_at_the_head(patch: Patch) -> None:
-    """An order is answered once its first copy is on disk."""
+    """A write is acknowledged once its first copy is on disk."""
     real = ChainReplica.entry_persisted
 
     def synced(self: ChainReplica, entry: Entry, now_s: float) -> list[Any]:
@@ -72,8 +71,8 @@
     patch(ChainReplica, "entry_persisted", synced)
 
 
-def begin_with_the_oldest(patch: Patch) -> None:
-    """A new chain begins with the oldest entry that a majority tells."""
+def start_with_oldest_entry(patch: Patch) -> None:
+    """A new chain starts with the oldest entry that a majority reports."""
     patch(
         repair,
         "newest_of",
@@ -81,13 +80,13 @@
     )
 
 
-def decide_alone(patch: Patch) -> None:
-    """One machine is a majority, and a chain of one will do."""
+def accept_quorum_of_one(patch: Patch) -> None:
+    """One machine is a quorum, and a chain of one is enough."""
     patch(ReplicaState, "quorum_size", lambda self, group: 1)
 
 
 def acknowledge_while_cut_off(patch: Patch) -> None:
-    """A head that can't pass an entry on takes it for committed after a while: two sides of a cut have one each."""
+    """A head that can't forward an entry treats it as committed after a while: both sides of a partition commit one."""
     real = ChainReplica.tick
 
     def tick(self: ChainReplica, now_s: float) -> list[Any]:
@@ -106,23 +105,23 @@
     patch(ChainReplica, "tick", tick)
 
 
-def count_old_pulses(patch: Patch) -> None:
-    """A member counts as heard when a pulse of it is read, however long that was in a socket."""
+def count_stale_heartbeats(patch: Patch) -> None:
+    """A member counts as alive when its heartbeat is read, however long that waited in a socket buffer."""
     patch(FailureDetector, "echoed_s", lambda self, frame, now_s: now_s)
 
 
-def stay_the_root(patch: Patch) -> None:
-    """A root that is in contact with no majority stays it."""
+def keep_leadership_without_quorum(patch: Patch) -> None:
+    """A root without contact to a majority stays root."""
     patch(failure_detection, "LEADER_CONTACT_GRACE_S", 60.0)
 
 
-def lead_alone(patch: Patch) -> None:
-    """Whoever holds an active view leads, whether it is in contact with a majority or not."""
+def lead_without_quorum_contact(patch: Patch) -> None:
+    """Any machine with an active view leads, with or without contact to a majority."""
     patch(FailureDetector, "last_quorum_contact_s", lambda self, now_s: now_s)
 
 
-def answer_by_old_words(patch: Patch) -> None:
-    """A majority's confirmation counts for a read, or a refusal, however long ago it was asked for."""
+def accept_late_confirmations(patch: Patch) -> None:
+    """A majority's confirmation of a read or rejection counts however long ago it was requested."""
     real = QuorumReads.on_ack
 
     def on_ack(self: QuorumReads, frame: frames.QuorumReadAck, now_s: float) -> list[Any]:
@@ -132,54 +131,54 @@
     patch(QuorumReads, "on_ack", on_ack)
 
 
-def believe_any_epoch(patch: Patch) -> None:
-    """A downstream node accepts any root's announcement."""
+def accept_any_epoch(patch: Patch) -> None:
+    """A downstream node accepts announcements of any epoch."""
     patch(DownstreamNode, "accepts", lambda self, announced: True)
 
 
-def refuse_what_is_forgotten(patch: Patch) -> None:
-    """What is not known as taken is taken for never taken, however long ago it may have been."""
+def reject_forgotten_writes(patch: Patch) -> None:
+    """A write without a known digest counts as never applied, even if its digest may have been discarded."""
     patch(ChainReplica, "may_have_been_applied", lambda self, base, revision: False)
 
 
-def refuse_a_later_base(patch: Patch) -> None:
-    """An order is refused because its base is not in force yet; a late copy of it is taken then."""
+def reject_future_bases(patch: Patch) -> None:
+    """A write is rejected because its base is not current yet; a late copy of it is then applied."""
     patch(ChainReplica, "base_may_become_current", lambda self, base, revision: False)
 
 
-def keep_a_refused_write(patch: Patch) -> None:
-    """What a disk refused and kept all the same counts as taken after the next start."""
+def count_failed_write_as_applied(patch: Patch) -> None:
+    """A write that the disk reported as failed but kept counts as applied after the next start."""
     real = deduplication.record
     patch(deduplication, "record", lambda kept, revision, base, mark: real(kept, revision, revision, mark))
 
 
-def join_by_number(patch: Patch) -> None:
-    """An order gets the answer of another one under the same number: two operators are confirmed."""
+def coalesce_by_revision(patch: Patch) -> None:
+    """A write gets the answer of another one with the same revision: two operators are acknowledged."""
 
-    def join_same(self: ChainReplica) -> None:
+    def coalesce(self: ChainReplica) -> None:
         entry = self.persisting or self.last
         for order in list(self.queue):
             if entry is not None and self.check(order.body) == entry.revision:
                 self.queue.remove(order)
                 self.pending_callers.append((order.request_id, order.origin))
 
-    patch(ChainReplica, "coalesce_duplicates", join_same)
+    patch(ChainReplica, "coalesce_duplicates", coalesce)
 
 
-def know_by_number(patch: Patch) -> None:
-    """What was taken is known by its number, and not by its digest."""
+def recognise_by_revision(patch: Patch) -> None:
+    """An applied write is recognised by its revision instead of its digest."""
     real = ChainReplica.decide
 
     def decide(self: ChainReplica, order: frames.WriteRequest, now_s: float) -> list[ChainEffect]:
         if self.check(order.body) in self.applied_digests:
-            return [write_result(order, 200, "a number taken before")]
+            return [write_result(order, 200, "a revision number applied before")]
         return real(self, order, now_s)
 
     patch(ChainReplica, "decide", decide)
 
 
-def count_the_newest_as_committed(patch: Patch) -> None:
-    """A proposer holds the digest of its newest entry for one of all: that may be lost with the view."""
+def count_newest_entry_as_committed(patch: Patch) -> None:
+    """A proposer reports its digests as complete up to its newest entry, which may be lost with the view."""
 
     def digests_complete_up_to(self: ReplicaState) -> int:
         entry = self.newest_entry()
@@ -188,38 +187,38 @@
     patch(ReplicaState, "digests_complete_up_to", digests_complete_up_to)
 
 
-#: By name: what patches the rules, and the options of the world that it is played in.
+#: By name: the function that patches the rule, and options for the world.
 FAULTS: dict[str, tuple[Callable[[Patch], None] | None, dict[str, Any]]] = {
-    "skip-a-sync": (trust_every_disk, {"lying": True}),
-    "keep-an-older-copy": (trust_every_disk, {}),
-    "count-a-wiped-machine": (count_as_the_old_one, {"same_name": True}),
-    "count-a-newcomer": (promise_with_an_empty_disk, {}),
-    "accept-a-lower-epoch": (forget_promises, {}),
+    "skip-a-sync": (disable_rollback_detection, {"lying": True}),
+    "keep-an-older-copy": (disable_rollback_detection, {}),
+    "count-a-wiped-machine": (promise_after_disk_loss, {"same_name": True}),
+    "count-a-newcomer": (promise_without_a_view, {}),
+    "accept-a-lower-epoch": (ignore_persisted_promises, {}),
     "acknowledge-at-the-head": (acknowledge_at_the_head, {}),
-    "begin-with-the-oldest": (begin_with_the_oldest, {}),
-    "decide-alone": (decide_alone, {"copies": 1}),
+    "begin-with-the-oldest": (start_with_oldest_entry, {}),
+    "decide-alone": (accept_quorum_of_one, {"copies": 1}),
     "acknowledge-while-cut-off": (acknowledge_while_cut_off, {}),
-    "count-old-pulses": (count_old_pulses, {}),
-    "stay-the-root": (stay_the_root, {}),
-    "lead-alone": (lead_alone, {}),
-    "answer-by-old-words": (answer_by_old_words, {}),
-    "believe-any-epoch": (believe_any_epoch, {}),
-    "refuse-what-is-forgotten": (refuse_what_is_forgotten, {}),
-    "refuse-a-later-base": (refuse_a_later_base, {}),
-    "keep-a-refused-write": (keep_a_refused_write, {}),
-    "join-by-number": (join_by_number, {}),
-    "know-by-number": (know_by_number, {}),
-    "count-the-newest-as-committed": (count_the_newest_as_committed, {}),
+    "count-old-pulses": (count_stale_heartbeats, {}),
+    "stay-the-root": (keep_leadership_without_quorum, {}),
+    "lead-alone": (lead_without_quorum_contact, {}),
+    "answer-by-old-words": (accept_late_confirmations, {}),
+    "believe-any-epoch": (accept_any_epoch, {}),
+    "refuse-what-is-forgotten": (reject_forgotten_writes, {}),
+    "refuse-a-later-base": (reject_future_bases, {}),
+    "keep-a-refused-write": (count_failed_write_as_applied, {}),
+    "join-by-number": (coalesce_by_revision, {}),
+    "know-by-number": (recognise_by_revision, {}),
+    "count-the-newest-as-committed": (count_newest_entry_as_committed, {}),
 }
 
 
 @contextmanager
 def patched(apply: Callable[[Patch], None] | None) -> Iterator[None]:
-    """While a rule is left out."""
-    done: list[tuple[Any, str, Any]] = []
+    """Disable a rule while the context is open."""
+    replaced: list[tuple[Any, str, Any]] = []
 
     def patch(where: Any, what: str, new: Any) -> None:
-        done.append((where, what, getattr(where, what)))
+        replaced.append((where, what, getattr(where, what)))
         setattr(where, what, new)
 
     if apply is not None:
@@ -227,13 +226,13 @@
     try:
         yield
     finally:
-        for where, what, old in reversed(done):
+        for where, what, old in reversed(replaced):
             setattr(where, what, old)
 
 
 @contextmanager
 def fault(name: str) -> Iterator[dict[str, Any]]:
-    """While a rule is left out; gives the options for the world."""
+    """Disable a rule, by name, while the context is open. Yields the options for the world."""
     apply, options = FAULTS[name]
     with patched(apply):
         yield options
--- a/lab/histories/invariants.py
+++ b/lab/histories/invariants.py
@@ -1,4 +1,4 @@
-"""What must hold of a history, and the operators' calls that it is checked by.
+"""Invariants of a history, and the operators' calls on which they are checked.
 
 Calls and committed entries must be linearizable: one register with compare-and-set, whose values are the committed
 configurations (Herlihy and Wing, 1990).
@@ -11,12 +11,12 @@
 
 from cypressbeam.consensus.views import Entry
 
-#: A body of the histories, padded, stands for its own digest.
+#: Size of a digest: in histories it is the padded body itself.
 DIGEST_BYTES = 32
 
 
 class InvariantViolationError(Exception):
-    """An invariant does not hold, or what operators saw can't have happened in any order."""
+    """An invariant does not hold, or the operators' calls are not linearizable."""
 
 
 def demand(holds: bool, what: str) -> None:
@@ -26,19 +26,19 @@
 
 
 def revision(body: bytes) -> int:
-    """The revision of a body of the histories: its text up to the first colon."""
+    """The revision of a body: its text up to the first colon."""
     return int(body.split(b":")[0])
 
 
 def digest(body: bytes) -> bytes:
-    """A digest that is read at a glance: the body itself, padded."""
+    """A readable digest: the body itself, padded."""
     assert len(body) <= DIGEST_BYTES
     return body.ljust(DIGEST_BYTES)
 
 
 @dataclass
 class Call:
-    """One call of an operator, from its first sending to its answer."""
+    """One call of an operator, from its first request to its answer."""
 
     ident: int
     operator: str
@@ -52,61 +52,65 @@
     status: int = 0
     """An HTTP status; 0: no answer."""
     seen: int | None = None
-    """The revision that the answer speaks of as the current one; of a replacement that was taken, its own."""
+    """The revision that the answer reports as current; for an applied replacement, its own."""
     text: str = ""
 
 
-def one_change_a_base(calls: Iterable[Call]) -> None:
-    """Of two different changes on top of the same version at most one is acknowledged."""
+def at_most_one_write_per_base(calls: Iterable[Call]) -> None:
+    """Check that of two different changes based on the same version at most one is acknowledged."""
     taken: dict[int, bytes] = {}
     for call in calls:
         if call.kind == "replace" and call.status == 200:
             same = taken.setdefault(call.base, call.body) == call.body
-            demand(same, f"two changes on {call.base} were acknowledged: {taken[call.base]!r} and {call.body!r}")
+            demand(same, f"two changes based on {call.base} were acknowledged: {taken[call.base]!r} and {call.body!r}")
 
 
 def linearizable(calls: Iterable[Call], committed: dict[int, Entry]) -> None:
-    """Whether there is an order in which the calls could have happened one by one, each between its sending and its
-    answer. Raises InvariantViolationError.
+    """Check that the calls could have happened one by one in some order, each between its request and its answer.
+    Raises InvariantViolationError.
 
-    The values are the committed entries in their order. The earliest time at which each can have come into force is
-    found one after another; a call that saw a value must have an instant while it was in force.
+    The values are the committed entries in order. For each in turn the earliest time is computed at which it can have
+    become current; a call that saw a value must overlap with the time in which that value was current.
     """
     values = [0] + [revision(entry.body) for _, entry in sorted(committed.items())]
-    place = {value: at for at, value in enumerate(values)}
-    demand(len(place) == len(values), f"a revision was committed twice: {values}")
+    position = {value: index for index, value in enumerate(values)}
+    demand(len(position) == len(values), f"a revision was committed twice: {values}")
     demand(values == sorted(values), f"revisions go back: {values}")
-    writes, seen = _by_value(calls, committed, values, place)
-    force_s = 0.0
-    for at, value in enumerate(values):
-        if at:
-            write = writes.get(at)
-            demand(write is not None, f"revision {value} was committed and never sent")
+    writers, seen = _by_value(calls, committed, values, position)
+    effective_s = 0.0
+    for index, value in enumerate(values):
+        if index:
+            write = writers.get(index)
+            demand(write is not None, f"revision {value} was committed but never sent")
             assert write is not None
-            force_s = max([force_s, write.began_s, *(call.began_s for call in seen[at - 1])])
-            demand(force_s <= write.ended_s, f"{write.body!r} was acknowledged before it can have been in force")
-        for call in seen[at]:
-            demand(force_s <= call.ended_s, f"{call.kind} {call.ident} saw {value} before it was in force")
-    # A call that began after another had ended must not see an older value: the last value has no end to check by.
+            effective_s = max([effective_s, write.began_s, *(call.began_s for call in seen[index - 1])])
+            demand(effective_s <= write.ended_s, f"{write.body!r} was acknowledged before it can have been in force")
+        for call in seen[index]:
+            demand(effective_s <= call.ended_s, f"{call.kind} {call.ident} saw {value} before it was in force")
+    # A call that began after another had ended must not see an older value: the bounds above cover that for every
+    # value but the last, which stays current.
 
 
 def _by_value(
-    calls: Iterable[Call], committed: dict[int, Entry], values: list[int], place: dict[int, int]
+    calls: Iterable[Call], committed: dict[int, Entry], values: list[int], position: dict[int, int]
 ) -> tuple[dict[int, Call], dict[int, list[Call]]]:
-    """The call that wrote each value, and the calls that saw it, by the value's place in the order."""
+    """The call that wrote each value, and the calls that saw it, by the value's position in the order."""
     entries = {entry.body: entry for entry in committed.values()}
-    seen: dict[int, list[Call]] = {at: [] for at in place.values()}
-    writes: dict[int, Call] = {}
+    seen: dict[int, list[Call]] = {index: [] for index in position.values()}
+    writers: dict[int, Call] = {}
     for call in calls:
         if call.kind == "replace" and call.body in entries:
             entry = entries[call.body]
-            writes[place[entry.revision]] = call
-            demand(values[place[entry.revision] - 1] == call.base, f"{call.body!r} was taken on another base")
-            demand(call.status in (0, 200), f"{call.body!r} was taken, and its sender told {call.status}")
+            writers[position[entry.revision]] = call
+            demand(values[position[entry.revision] - 1] == call.base, f"{call.body!r} was applied on another base")
+            demand(call.status in (0, 200), f"{call.body!r} was applied, but answered with {call.status}")
         elif call.kind == "replace" and call.status == 200:
-            raise InvariantViolationError(f"{call.body!r} was acknowledged and never committed")
+            raise InvariantViolationError(f"{call.body!r} was acknowledged but never committed")
         elif call.seen is not None:
-            demand(call.seen in place, f"{call.kind} {call.ident} saw {call.seen}, which was never committed")
-            demand(call.status != 412 or call.seen != call.base, f"{call.ident} was refused though its base was right")
-            seen[place[call.seen]].append(call)
-    return writes, seen
+            demand(call.seen in position, f"{call.kind} {call.ident} saw {call.seen}, which was never committed")
+            demand(
+                call.status != 412 or call.seen != call.base,
+                f"{call.ident} was rejected although its base was in force",
+            )
+            seen[position[call.seen]].append(call)
+    return writers, seen
--- a/lab/histories/plans.py
+++ b/lab/histories/plans.py
@@ -1,7 +1,7 @@
-"""What happens in a history of the core, from its seed: its shape, its troubles, and the operators' calls.
+"""The plan of a history of the core, from its seed: its shape, its faults, and the operators' calls.
 
-Other modules may add kinds of fault: a class of its own with `begin` and `end`, put into `fault_injection.KINDS` by
-name, and steps of that kind in a plan.
+Other modules may add a kind of fault: a class with `begin` and `end`, registered by name in `fault_injection.KINDS`,
+and steps of that kind in a plan.
 """
 
 from __future__ import annotations
@@ -11,30 +11,30 @@
 
 MACHINES = ("a", "b", "c", "d", "e")
 IPS = MACHINES[:3]
-#: Nodes downstream of the core.
+#: Downstream nodes.
 DOWNSTREAM = ("n1", "n2", "n3")
 OPERATORS = ("x", "y")
-#: Seconds: one history's troubles and orders, and those of one with long freezes and cuts.
+#: How long faults and calls go on in a history, and in one with long pauses and partitions.
 LASTS_S, LONG_LASTS_S = 20.0, 50.0
-#: Seconds: how long a trouble lasts at most, and the long ones.
-TROUBLE_S, LONG_S = 3.0, (5.0, 25.0)
-LONG_KINDS = ("freeze", "cut", "one-way", "lead", "deaf", "freeze-cut")
-#: Seconds for which operators change the configuration one after another.
-HUNDREDS_S, THOUSANDS_S = 10.0, 90.0
-
-OLDER = "older"
-#: All power is lost, and one disk comes back as an older copy.
-POWER_OLDER = "power-older"
-#: What takes the place of a trouble where a disk comes back as an older copy (disks.py).
-INSTEAD = {"wipe": OLDER, "power": POWER_OLDER}
-TROUBLES = ("kill", "kill", "wipe", "power", "cut", "one-way", "lead", "freeze", "refuse", "stall")
-#: With five machines, and in long histories, these too.
-MORE_TROUBLES = (*TROUBLES, "freeze", "freeze-cut", "deaf", "tail")
+#: The longest duration of a usual fault, and the range for long ones.
+MAX_FAULT_S, LONG_FAULT_S = 3.0, (5.0, 25.0)
+LONG_FAULT_KINDS = ("freeze", "cut", "one-way", "lead", "deaf", "freeze-cut")
+#: How long an operator makes changes in a burst: several hundred, or 2,000.
+BURST_S, LONG_BURST_S = 10.0, 90.0
+
+OLDER_COPY = "older"
+#: All power is lost, and one disk is rolled back to an older copy.
+POWER_AND_OLDER_COPY = "power-older"
+#: The variant of a fault in which a disk is rolled back to an older copy (disks.py).
+OLDER_COPY_VARIANTS = {"wipe": OLDER_COPY, "power": POWER_AND_OLDER_COPY}
+FAULT_KINDS = ("kill", "kill", "wipe", "power", "cut", "one-way", "lead", "freeze", "refuse", "stall")
+#: The kinds with five machines and in long histories.
+MORE_FAULT_KINDS = (*FAULT_KINDS, "freeze", "freeze-cut", "deaf", "tail")
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """What happens at a time: a trouble for so long, or an operator's call."""
+    """A fault and its duration, or an operator's call."""
 
     at_s: float
     kind: str
@@ -44,93 +44,97 @@
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """What kind of history a seed is. `machines`: three or five; `wild`: troubles overlap as they like; `large`: bodies
-    are; `long`: freezes and cuts of up to 25 s; `hurry_s`: operators change one after another for so long;
-    `aimed`: all its troubles are rows that lead to a view with a newcomer on one disk alone; `crowd`: operators come in
-    crowds (operators.py)."""
+    """The properties of a history. `machines`: three or five; `wild`: faults overlap without restriction; `large`:
+    bodies are large; `long`: pauses and partitions of up to 25 s; `hurry_s`: how long an operator makes changes in a
+    burst; `newcomer_only`: all faults are sequences that leave a view with a new identity on one disk alone; `crowd`:
+    many operators at once (operators.py)."""
 
     machines: int = 3
     wild: bool = False
     large: bool = False
     long: bool = False
     hurry_s: float = 0.0
-    aimed: bool = False
+    newcomer_only: bool = False
     crowd: bool = False
 
 
 def shape_of(seed: int) -> Shape:
-    """Ratios that keep the time for one history bounded: two of five have five machines, one of seven is long, and
-    another one has crowds of operators; one of twenty has several hundred changes, one of two hundred 2,000."""
-    hurry_s = THOUSANDS_S if seed % 200 == 50 else HUNDREDS_S if seed % 20 == 10 else 0.0
+    """Derive the shape of a history. The ratios bound the time that histories take: two of five have five machines,
+    one of seven is long, another one of seven has many operators, one of twenty has several hundred changes, and one
+    of two hundred has 2,000."""
+    hurry_s = LONG_BURST_S if seed % 200 == 50 else BURST_S if seed % 20 == 10 else 0.0
     return Shape(
         machines=5 if seed % 5 in (2, 4) else 3,
         wild=seed % 3 == 0,
         large=seed % 4 == 1,
         long=seed % 7 == 3 and not hurry_s,
         hurry_s=hurry_s,
-        aimed=seed % 20 == 13,
+        newcomer_only=seed % 20 == 13,
         crowd=seed % 7 == 0 and not hurry_s,
     )
 
 
 def make_plan(seed: int) -> list[Step]:
-    """Troubles, with calls of two operators all along. In every third plan troubles overlap as they like, but no more
-    disks are lost than may be; in the others as many machines are in trouble at once as may be lost, or all lose their
+    """Faults, with calls of two operators throughout. In every third plan faults overlap without restriction, but no
+    more disks are lost than tolerated; in the others no more machines than tolerated fail at once, or all lose
     power."""
     shape = shape_of(seed)
     rng = random.Random(f"plan {seed}")
-    lasts_s = LONG_LASTS_S if shape.long else max(LASTS_S, shape.hurry_s + 2.0)
-    plan = troubles(shape, rng, lasts_s)
-    # Two changes on one version at the same time, as a rule while somebody is in trouble.
+    duration_s = LONG_LASTS_S if shape.long else max(LASTS_S, shape.hurry_s + 2.0)
+    plan = troubles(shape, rng, duration_s)
+    # Two changes based on one version at the same time, usually during a fault.
     for _ in range(3):
         at_s = rng.choice(plan).at_s + rng.uniform(0.0, 1.5)
         plan += [Step(at_s, "replace", "x"), Step(at_s + rng.uniform(0.0, 0.3), "replace", "y")]
     for operator in OPERATORS:
         at_s = rng.uniform(0.1, 1.0)
-        while at_s < lasts_s:
+        while at_s < duration_s:
             plan.append(Step(at_s, rng.choice(("read", "replace", "replace")), operator))
             at_s += rng.expovariate(1.0)
     if shape.hurry_s:
-        plan.append(Step(rng.uniform(0.0, 1.0), "hurry", rng.choice(OPERATORS), shape.hurry_s))
+        plan.append(Step(rng.uniform(0.0, 1.0), "burst", rng.choice(OPERATORS), shape.hurry_s))
     plan.sort(key=lambda step: step.at_s)
-    return plan if shape.wild or shape.aimed else with_older_copies(seed, plan)
+    return plan if shape.wild or shape.newcomer_only else with_older_copies(seed, plan)
 
 
 def with_older_copies(seed: int, plan: list[Step]) -> list[Step]:
-    """Half of the lost disks are older copies instead, and half of the losses of all power have one besides."""
+    """Turn half of the lost disks into rollbacks, and add a rollback to half of the losses of all power."""
     rng = random.Random(f"older {seed}")
     return [
-        replace(step, kind=INSTEAD[step.kind]) if step.kind in INSTEAD and rng.random() < 0.5 else step for step in plan
+        replace(step, kind=OLDER_COPY_VARIANTS[step.kind])
+        if step.kind in OLDER_COPY_VARIANTS and rng.random() < 0.5
+        else step
+        for step in plan
     ]
 
 
-def troubles(shape: Shape, rng: random.Random, lasts_s: float) -> list[Step]:
-    """The troubles of a plan of that shape."""
-    kinds = MORE_TROUBLES if shape.long or shape.machines > 3 else TROUBLES
+def troubles(shape: Shape, rng: random.Random, duration_s: float) -> list[Step]:
+    """The faults of a plan."""
+    kinds = MORE_FAULT_KINDS if shape.long or shape.machines > 3 else FAULT_KINDS
     names, losses = MACHINES[: shape.machines], shape.machines // 2
     plan: list[Step] = []
     at_s = rng.uniform(0.5, 2.0)
-    while shape.aimed and at_s < lasts_s:
-        plan += orphaned(at_s, rng, list(names))
+    while shape.newcomer_only and at_s < duration_s:
+        plan += newcomer_faults(at_s, rng, list(names))
         at_s += rng.uniform(9.0, 11.0)
-    while at_s < lasts_s:
+    while at_s < duration_s:
         wiped = shape.wild and sum(step.kind == "wipe" for step in plan) >= losses
         kind = rng.choice([kind for kind in kinds if kind != "wipe" or not wiped])
-        for_s = rng.uniform(*LONG_S) if shape.long and kind in LONG_KINDS else rng.uniform(0.1, TROUBLE_S)
+        for_s = rng.uniform(*LONG_FAULT_S) if shape.long and kind in LONG_FAULT_KINDS else rng.uniform(0.1, MAX_FAULT_S)
         step = Step(at_s, kind, rng.choice(names), for_s)
         plan.append(step)
         if shape.wild:
             at_s += rng.uniform(0.1, 2.5)
             continue
         for _ in range(losses - 1):
-            plan.append(second(step, rng, [name for name in names if name != step.where]))
-        # A machine that was away is lost to the others until they have mended the chain: no more than may be.
+            plan.append(second_fault(step, rng, [name for name in names if name != step.where]))
+        # A machine that was down counts as lost until the others have repaired the chain, so the next fault waits.
         at_s += for_s + (4.0 if kind in ("wipe", "power") else rng.uniform(3.0, 5.0)) + (losses - 1)
     return plan
 
 
-def orphaned(at_s: float, rng: random.Random, names: list[str]) -> list[Step]:
-    """One machine is away while a second loses its disk; whoever first has a view with the new one loses its power."""
+def newcomer_faults(at_s: float, rng: random.Random, names: list[str]) -> list[Step]:
+    """One machine is down while a second loses its disk; the first to persist a view with the new identity crashes."""
     rng.shuffle(names)
     wipe_s, back_s = at_s + rng.uniform(1.4, 2.2), at_s + rng.uniform(1.6, 3.0)
     return [
@@ -140,13 +144,13 @@
     ]
 
 
-#: Troubles that take a machine by its place in the chain, or all of them: with these no second one goes.
-PLACED = ("lead", "tail", "power")
+#: Faults that hit a machine by its position in the chain, or all machines: with these the second fault has no duration.
+POSITIONAL_KINDS = ("lead", "tail", "power")
 
 
-def second(step: Step, rng: random.Random, others: list[str]) -> Step:
-    """A second loss at once with the first one."""
-    if step.kind in PLACED:
+def second_fault(step: Step, rng: random.Random, others: list[str]) -> Step:
+    """A second loss at the same time as the first one."""
+    if step.kind in POSITIONAL_KINDS:
         return replace(step, kind="kill", where=rng.choice(others), for_s=0.0)
     kind = rng.choice(("kill", "wipe", "freeze", "refuse", "stall"))
     return Step(step.at_s + rng.uniform(0.0, step.for_s / 2), kind, rng.choice(others), step.for_s / 2)
--- a/lab/histories/simulated_core.py
+++ b/lab/histories/simulated_core.py
@@ -1,6 +1,6 @@
-"""The simulated core: machines that run the real rules of chain and view on a simulated network, clock and disk.
+"""The simulated core: machines that run the real chain and view code on a simulated network, clock and disk.
 
-Large bodies: a machine that lacks one which a message names has the message only once the body has come, seconds later.
+With large bodies, a machine handles a message only once it has fetched the body that the message refers to.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from cypressbeam.consensus.replica import REJECTION_STATUSES, Replica
 from cypressbeam.consensus.views import Entry, View, ip_of, majority
 from cypressbeam.protocol import frames
-from lab.histories.disks import Copies, Disk
+from lab.histories.disks import Disk, DiskSnapshots
 from lab.histories.downstream import Announcement
 from lab.histories.events import EventLoop
 from lab.histories.invariants import demand, digest, revision
@@ -36,26 +36,26 @@
 from lab.histories.vector_clocks import VectorTime
 
 TICK_S = 0.1
-#: Seconds that a frame is on its way, and a write takes; in histories of many changes, where also less is lost.
-WAY_S, WRITE_S = (0.001, 0.02), (0.002, 0.03)
-QUICK_WAY_S, QUICK_WRITE_S = (0.0005, 0.004), (0.001, 0.004)
-#: Seconds after which a write that hangs is looked at again.
-STALLED_S = 0.2
-#: A root speaks only so long after it was in contact with a majority; who reads, or is refused, is told only so long
-#: after one was asked.
-ROOT_BOUND_S = FAILURE_TIMEOUT_S + LEADER_CONTACT_GRACE_S
+#: Ranges of message delay and write time; shorter in histories with many changes.
+DELAY_S, WRITE_S = (0.001, 0.02), (0.002, 0.03)
+QUICK_DELAY_S, QUICK_WRITE_S = (0.0005, 0.004), (0.001, 0.004)
+#: How often a stalled write is checked again.
+STALL_POLL_S = 0.2
+#: A root may announce versions, and a machine may answer reads or reject writes, only this long after its last contact
+#: with a majority.
+ANNOUNCEMENT_BOUND_S = FAILURE_TIMEOUT_S + LEADER_CONTACT_GRACE_S
 ANSWER_BOUND_S = CONFIRMATION_TIMEOUT_S
-#: For sums of times that are compared.
-LEEWAY_S = 1e-6
-#: The view that all machines of the group begin with.
+#: Rounding tolerance when times are compared.
+TOLERANCE_S = 1e-6
+#: The epoch of the view that the group starts with.
 FIRST_EPOCH = 256
 
-#: Events of a machine, which wait while it stands still.
+#: Events of a machine, which wait while it is paused.
 MACHINE_EVENTS = ("tick", "written", "frame", "held")
 
 
 class SimulatedCore(EventLoop):
-    """The machines, their disks and what they do. Subclasses say what disturbs them, and who calls them."""
+    """The machines and their disks. Subclasses add faults and callers."""
 
     def __init__(
         self,
@@ -69,47 +69,47 @@
         quick: bool = False,
         standing_by: int = 0,
     ) -> None:
-        """`lying`: disks keep no entry over a stop; `same_name`: a disk that was lost keeps its identity; `copies`:
-        how many the rules are told that a chain must have; the last of the machines may stand by: the group is the
-        others."""
+        """`lying`: disks don't persist entries; `same_name`: a lost disk is replaced under its old identity;
+        `copies`: the least chain length that replicas are configured with (0: a majority); `standing_by`: how many of
+        the machines, the last ones, are not in the group at first."""
         super().__init__()
         self.ips = MACHINES[:machines]
         self.rng = random.Random(f"world {seed}")
-        self.network = Network(self, self.rng, self.ips, QUICK_WAY_S if quick else WAY_S, loss, large)
+        self.network = Network(self, self.rng, self.ips, QUICK_DELAY_S if quick else DELAY_S, loss, large)
         self.write_s = QUICK_WRITE_S if quick else WRITE_S
         self.lying, self.same_name = lying, same_name
         group = self.ips[: machines - standing_by]
-        enough = majority(len(group))
-        self.observer = Observer(DOWNSTREAM, enough)
-        self.copies = copies or enough
+        min_copies = majority(len(group))
+        self.observer = Observer(DOWNSTREAM, min_copies)
+        self.copies = copies or min_copies
         self.disks = {ip: Disk(f"{ip}/0") for ip in self.ips}
-        self.copies_of_disks = Copies(seed)
-        self.lives = dict.fromkeys(self.ips, 0)
+        self.disk_snapshots = DiskSnapshots(seed)
+        self.incarnations = dict.fromkeys(self.ips, 0)
         self.replicas: dict[str, Replica] = {}
         self.dispatchers: dict[str, Dispatcher] = {}
         self.pending: dict[str, list[Any]] = {ip: [] for ip in self.ips}
-        """Writes that are under way."""
+        """Writes in progress, by machine."""
         self.frozen: dict[str, list[tuple[Any, ...]]] = {}
-        """What waits in the sockets of a machine that stands still, and its timer and finished writes."""
-        self.orphans: list[Step] = []
-        self.identities: set[str] = set()
-        """Names that the machines had when views began to be orphaned."""
+        """By paused machine: the events that wait, which are messages in its sockets, its timer and finished writes."""
+        self.pending_crashes: list[Step] = []
+        self.known_identities: set[str] = set()
+        """The identities that were known when the last `orphan` step began."""
         self.refusing: set[str] = set()
         self.stalled: set[str] = set()
-        self.told: dict[str, int] = {}
-        """The version that each machine has published in this life."""
+        self.published_revisions: dict[str, int] = {}
+        """The version that each machine has published since its last start."""
         self.trace: list[str] = []
         self.handlers |= {
             "tick": self.on_tick,
             "written": self.on_written,
             "frame": self.on_frame,
             "held": self.on_held,
-            "announcement": self.hear,
+            "announcement": self.on_announcement,
         }
-        self.found(group)
+        self.bootstrap(group)
 
-    def found(self, group: tuple[str, ...]) -> None:
-        """All of the group hold one view."""
+    def bootstrap(self, group: tuple[str, ...]) -> None:
+        """Give all machines of the group the same view, and start all machines."""
         names = tuple(f"{ip}/0" for ip in group)
         view = View(FIRST_EPOCH, names, names)
         for ip in group:
@@ -120,31 +120,33 @@
     # -- machines ------------------------------------------------------------------------------------------
 
     def start(self, ip: str) -> None:
-        """The process starts, from what is on the machine's disk."""
+        """Start a machine's process from its disk."""
         disk = self.disks[ip]
-        self.lives[ip] += 1
-        self.told[ip] = 0
-        self.network.bodies[ip] = {disk.last.body: 0.0} if disk.last is not None else {}
+        self.incarnations[ip] += 1
+        self.published_revisions[ip] = 0
+        self.network.body_arrivals_s[ip] = {disk.last.body: 0.0} if disk.last is not None else {}
         replica = self.replicas[ip] = Replica(disk.name, self.copies, revision, digest, self.rng.random)
         self.dispatchers[ip] = Dispatcher(replica)
-        replica.restore_marks(disk.own, HighWaterMarks(disk.own.incarnation + 1, self.lives[ip]), dict(disk.marks))
+        replica.restore_marks(
+            disk.own_marks, HighWaterMarks(disk.own_marks.incarnation + 1, self.incarnations[ip]), dict(disk.marks)
+        )
         self.execute(ip, replica.load(disk.view, disk.promised, disk.last, dict(disk.taken), self.now_s))
-        self.at(TICK_S, "tick", ip, self.lives[ip])
+        self.at(TICK_S, "tick", ip, self.incarnations[ip])
 
     def stop(self, ip: str, wipe: bool = False) -> None:
-        """Power is lost. Of the writes that were under way some are on the disk, whole, though nobody was told."""
+        """Cut a machine's power. Some of the writes in progress are completed on disk, but never confirmed."""
         replica = self.replicas.pop(ip, None)
-        self.lives[ip] += 1
+        self.incarnations[ip] += 1
         self.frozen.pop(ip, None)
         pending, self.pending[ip] = self.pending[ip], []
         if not self.lying and ip not in self.refusing and ip not in self.stalled:
             for action in pending[: self.rng.randint(0, len(pending))]:
                 self.disks[ip].write(action, replica)
         if wipe:
-            self.disks[ip] = Disk(f"{ip}/0" if self.same_name else f"{ip}/{self.lives[ip]}")
+            self.disks[ip] = Disk(f"{ip}/0" if self.same_name else f"{ip}/{self.incarnations[ip]}")
 
     def may_lose_disk(self, ip: str) -> bool:
-        """Whether no more disks are lost then than may be: one that was lost is, until a view on it counts it."""
+        """Whether losing this disk is tolerated. A lost disk counts as lost until a view on it has its new identity."""
         lost = [
             other
             for other, disk in self.disks.items()
@@ -152,9 +154,9 @@
         ]
         return len(lost) < len(self.ips) // 2
 
-    def thaw(self, ip: str) -> None:
-        """A machine that stood still goes on. It reads what waits in its sockets, one after another, at once; its timer
-        and what its disk has done meanwhile come before or after that."""
+    def resume(self, ip: str) -> None:
+        """Resume a paused machine. It reads all messages from its sockets, one socket after another; its timer and
+        finished writes come before or after that."""
         held = self.frozen.pop(ip, [])
         rank = {origin: self.rng.random() for origin in (*self.ips, CLIENT)}
         read = sorted((what for what in held if what[0] == "held"), key=lambda what: rank[what[2]])
@@ -163,47 +165,47 @@
             self.at(0.0, *what)
 
     def newest_view(self) -> View | None:
-        """The newest that anybody holds."""
+        """The newest view of any running machine."""
         views = [replica.state.view for replica in self.replicas.values() if replica.state.view is not None]
         return max(views, key=lambda view: view.epoch, default=None)
 
     def leader(self) -> str:
-        """The head of the newest chain that anybody holds."""
+        """The head of the newest view's chain."""
         view = self.newest_view()
         return view.head if view is not None else self.ips[0]
 
-    # -- effects of the rules ------------------------------------------------------------------------------
+    # -- effects of the core -------------------------------------------------------------------------------
 
     def execute(self, ip: str, actions: Iterable[Any]) -> None:
-        """Do what a machine's rules ask for."""
+        """Execute the effects that a machine's replica requests."""
         for action in actions:
             if isinstance(action, SendMessage):
                 if action.ip == CLIENT:
-                    self.may_answer(ip, action.frame)
+                    self.check_answer(ip, action.frame)
                 self.send(ip, action.ip, action.frame)
             elif isinstance(action, Publish):
                 self.publish(ip, action.entry)
             elif isinstance(action, ResetIdentity):
-                self.trace.append(f"{self.now_s:7.3f} {ip} starts anew")
+                self.trace.append(f"{self.now_s:7.3f} {ip} restarts with a new identity")
                 self.stop(ip, wipe=True)
                 self.start(ip)
                 return
             elif not isinstance(action, SetLeadership):
                 self.pending[ip].append(action)
-                self.at(self.rng.uniform(*self.write_s), "written", ip, self.lives[ip])
+                self.at(self.rng.uniform(*self.write_s), "written", ip, self.incarnations[ip])
 
     def publish(self, ip: str, entry: Entry) -> None:
-        """A machine has published an entry as committed."""
+        """Handle that a machine has published an entry as committed."""
         self.observer.on_published(entry)
-        self.told[ip] = max(self.told[ip], entry.revision)
-        self.speak(ip)
+        self.published_revisions[ip] = max(self.published_revisions[ip], entry.revision)
+        self.announce(ip)
 
-    def on_written(self, ip: str, life: int) -> None:
-        """The oldest write of a machine has come to its end, unless the machine was stopped meanwhile."""
-        if self.lives[ip] != life:
+    def on_written(self, ip: str, incarnation: int) -> None:
+        """Finish the oldest write of a machine, unless the machine was stopped in the meantime."""
+        if self.incarnations[ip] != incarnation:
             return
         if ip in self.stalled:
-            self.at(STALLED_S, "written", ip, life)
+            self.at(STALL_POLL_S, "written", ip, incarnation)
             return
         replica, action = self.replicas[ip], self.pending[ip].pop(0)
         if ip in self.refusing:
@@ -216,7 +218,7 @@
         self.execute(ip, self.write_done(ip, replica, action))
 
     def write_done(self, ip: str, replica: Replica, action: Any) -> Iterable[Any]:
-        """Tell the rules that a write is on disk; gives what they ask for then."""
+        """Notify a replica that a write is on disk. Returns the resulting effects."""
         if isinstance(action, PersistEntry):
             self.observer.on_synced(action.entry)
             return replica.entry_persisted(action.entry, self.now_s)
@@ -224,73 +226,83 @@
             return replica.promise_persisted(action.epoch, action.proposer, self.now_s)
         if isinstance(action, PersistView):
             done = replica.view_persisted(action.view, action.entry, dict(action.applied_digests), self.now_s)
-            self.orphan(ip, action.view)
+            self.crash_on_new_identity(ip, action.view)
             return done
         assert isinstance(action, ProbeDisk)
         return replica.disk_probed(self.now_s)
 
     def keeps_refused_write(self) -> bool:
-        """Whether a disk keeps a write that it refuses, since only the sync failed: a later start finds the write."""
+        """Whether a disk keeps a refused write because only its sync failed: a later start then finds it."""
         return False
 
-    def orphan(self, ip: str, view: View) -> None:
-        """While views are to be orphaned: the first machine that has one with a new identity is lost a moment later."""
-        if self.orphans and any(name not in self.identities for name in view.group):
-            step = self.orphans.pop()
+    def crash_on_new_identity(self, ip: str, view: View) -> None:
+        """During an `orphan` step: crash the first machine that has persisted a view with a new identity."""
+        if self.pending_crashes and any(name not in self.known_identities for name in view.group):
+            step = self.pending_crashes.pop()
             self.at(self.rng.uniform(0.0, 0.4), "begin", "", Step(self.now_s, "kill", ip, step.for_s))
 
     # -- contact, and downstream nodes ----------------------------------------------------------------------
 
-    def alone_s(self, ip: str) -> float:
-        """How long ago a machine was last in contact with a majority, by what the frames that it has read prove."""
+    def contact_age_s(self, ip: str) -> float:
+        """Seconds since the last contact with a majority that is proven by the messages which a machine has read."""
         view = self.replicas[ip].state.view
         group = tuple(ip_of(name) for name in view.group) if view is not None else ()
         return self.now_s - self.network.clocks.contact_s(ip, group, self.now_s)
 
-    def may_answer(self, ip: str, frame: frames.Frame) -> None:
-        """What is in force is told only by a machine in contact with a majority."""
+    def check_answer(self, ip: str, frame: frames.Frame) -> None:
+        """Check that a machine that reports the current version is in contact with a majority."""
         if isinstance(frame, frames.ReadResult) or (
             isinstance(frame, frames.WriteResult) and frame.status in REJECTION_STATUSES
         ):
-            demand(self.alone_s(ip) <= ANSWER_BOUND_S + LEEWAY_S, f"{ip} answers after {self.alone_s(ip):.3f} s alone")
+            demand(
+                self.contact_age_s(ip) <= ANSWER_BOUND_S + TOLERANCE_S,
+                f"{ip} answers after {self.contact_age_s(ip):.3f} s without quorum contact",
+            )
 
-    def speak(self, ip: str) -> None:
-        """The root announces to the downstream nodes what it has."""
+    def announce(self, ip: str) -> None:
+        """If the machine is the root, announce its version to the downstream nodes."""
         replica = self.replicas[ip]
-        if not replica.leadership.holds_lease(self.now_s) or replica.state.view is None or not self.told[ip]:
+        if (
+            not replica.leadership.holds_lease(self.now_s)
+            or replica.state.view is None
+            or not self.published_revisions[ip]
+        ):
             return
-        alone_s = self.alone_s(ip)
-        demand(alone_s <= ROOT_BOUND_S + LEEWAY_S, f"{ip} speaks as the root after {alone_s:.3f} s alone")
-        announced = Announcement(replica.state.view.epoch, ip, self.told[ip])
+        contact_age_s = self.contact_age_s(ip)
+        demand(
+            contact_age_s <= ANNOUNCEMENT_BOUND_S + TOLERANCE_S,
+            f"{ip} announces as the root after {contact_age_s:.3f} s without quorum contact",
+        )
+        announced = Announcement(replica.state.view.epoch, ip, self.published_revisions[ip])
         for name in DOWNSTREAM:
-            self.network.try_way("announcement", name, ip, announced)
+            self.network.schedule_delivery("announcement", name, ip, announced)
 
-    def hear(self, name: str, ip: str, announced: Announcement) -> None:
-        """A root's announcement is at a downstream node, unless the way is cut."""
+    def on_announcement(self, name: str, ip: str, announced: Announcement) -> None:
+        """Deliver a root's announcement to a downstream node, unless the direction is cut."""
         if (ip, name) not in self.network.cut:
             self.observer.on_announced(name, announced)
 
     # -- messages ------------------------------------------------------------------------------------------
 
     def send(self, origin: str, ip: str, frame: frames.Frame) -> None:
-        """A machine, or an operator, sends a message."""
+        """Send a message from a machine or an operator."""
         self.network.send(origin, ip, frame)
 
     def on_frame(self, ip: str, origin: str, frame: frames.Frame, time: VectorTime) -> None:
-        """A message is at a machine or at the operators, unless the way is cut."""
+        """Deliver a message to a machine or to the operators, unless the direction is cut."""
         if ip == CLIENT:
             if (origin, ip) not in self.network.cut:
                 self.answer(frame)
         elif ip in self.replicas and self.network.passes(origin, ip, frame):
-            self.take(ip, origin, frame, time)
+            self.receive(ip, origin, frame, time)
 
     def on_held(self, ip: str, origin: str, frame: frames.Frame, time: VectorTime) -> None:
-        """A message that waited in a socket is read, whatever is cut by now."""
+        """Read a message that waited in a socket, whatever directions are cut by now."""
         if ip in self.replicas:
-            self.take(ip, origin, frame, time)
+            self.receive(ip, origin, frame, time)
 
-    def take(self, ip: str, origin: str, frame: frames.Frame, time: VectorTime) -> None:
-        """It is carried out once its body is there too."""
+    def receive(self, ip: str, origin: str, frame: frames.Frame, time: VectorTime) -> None:
+        """Handle a message once its body has been fetched."""
         wait_s = self.network.body_due_s(origin, ip, frame.body_or_digest())
         if wait_s > 0.0:
             self.at(wait_s, "frame", ip, origin, frame, time)
@@ -300,52 +312,52 @@
             self.deliver(ip, frame)
 
     def deliver(self, ip: str, frame: frames.Frame) -> None:
-        """Give a message to a machine's rules."""
+        """Dispatch a message to a machine's replica."""
         self.execute(ip, self.dispatchers[ip].dispatch(frame, self.now_s))
 
     def answer(self, frame: frames.Frame) -> None:
-        """A reply is at the operators; here there are none."""
+        """Handle a reply to the operators; there are none here."""
 
     # -- time ----------------------------------------------------------------------------------------------
 
     def step(self) -> None:
-        """Handle the next event, or let it wait at a machine that stands still; then check that machine."""
+        """Handle the next event, or hold it if its machine is paused; then check that machine."""
         _, _, what = self.events[0]
         kind, where, *rest = what
         if where in self.frozen and kind in MACHINE_EVENTS:
             self.skip()
-            self.hold(where, kind, what, rest)
+            self.hold_event(where, kind, what, rest)
         else:
             super().step()
         self.check(where)
 
-    def hold(self, ip: str, kind: str, what: tuple[Any, ...], rest: list[Any]) -> None:
-        """An event waits until its machine goes on. A message is in the socket, whatever is cut later."""
+    def hold_event(self, ip: str, kind: str, what: tuple[Any, ...], rest: list[Any]) -> None:
+        """Hold an event until its machine resumes. A message is already in the socket: later cuts don't affect it."""
         if kind != "frame":
             self.frozen[ip].append(what)
         elif (rest[0], ip) not in self.network.cut:
             self.frozen[ip].append(("held", ip, *rest))
 
-    def on_tick(self, ip: str, life: int) -> None:
-        """A machine's timer, unless the machine was stopped meanwhile."""
-        if self.lives[ip] == life:
+    def on_tick(self, ip: str, incarnation: int) -> None:
+        """Handle a machine's timer, unless the machine was stopped in the meantime."""
+        if self.incarnations[ip] == incarnation:
             self.tick(ip)
-            self.at(TICK_S, "tick", ip, life)
+            self.at(TICK_S, "tick", ip, incarnation)
 
     def tick(self, ip: str) -> None:
-        """A machine's timer."""
+        """Handle a machine's timer."""
         replica = self.replicas[ip]
         self.execute(ip, replica.tick(self.now_s))
-        if replica.state.view is None:  # as a node does that has learned of the core from the root
+        if replica.state.view is None:  # as a node does that learned the members from the root
             for other in self.ips:
                 if other != ip:
                     self.send(ip, other, replica.own_heartbeat(self.now_s))
         if replica.leadership.is_leader:
-            demand(replica.leadership.holds_lease(self.now_s), f"{ip} is the root and holds it no more")
-        self.speak(ip)
+            demand(replica.leadership.holds_lease(self.now_s), f"{ip} is the root without a lease")
+        self.announce(ip)
 
     def check(self, ip: str) -> None:
-        """After what one machine did: what must hold of it."""
+        """Check the invariants of a machine after it has acted."""
         replica = self.replicas.get(ip)
         if replica is not None:
             self.observer.check(replica)
--- a/lab/histories/vector_clocks.py
+++ b/lab/histories/vector_clocks.py
@@ -1,6 +1,6 @@
 """Vector clocks of the simulated machines (Fidge 1988, Mattern 1989).
 
-They prove up to when a machine was in contact with a majority, whatever its own rules make of the messages. Pure.
+They prove when a machine was last in contact with a majority, independently of its own failure detection. Pure.
 """
 
 from __future__ import annotations
@@ -11,21 +11,21 @@
 
 
 class VectorClocks:
-    """The vector clock of each machine, and what others have echoed of its own time."""
+    """The vector clock of each machine, and the latest of its own times that others have echoed."""
 
     def __init__(self, names: tuple[str, ...]) -> None:
         self.known: dict[str, VectorTime] = {name: {} for name in names}
-        """By machine: the latest time of each other one of which it has read, at any remove."""
+        """By machine: the latest time of each other one that it has learned of, directly or through others."""
         self.echoed: dict[str, VectorTime] = {name: {} for name in names}
-        """By machine: its own latest time that each other one had read when it sent what was read here."""
+        """By machine: the latest of its own times that each other one had read when it sent a message read here."""
 
     def on_send(self, name: str, now_s: float) -> VectorTime:
-        """The vector time that goes with a message."""
+        """The vector time to send with a message."""
         self.known[name][name] = now_s
         return self.known[name].copy()
 
     def on_read(self, name: str, origin: str, received: VectorTime) -> None:
-        """A machine has read a message and merges its vector time."""
+        """Merge the vector time of a message that a machine has read."""
         known, echoed = self.known[name], self.echoed[name]
         echoed[origin] = max(echoed.get(origin, NEVER_S), received.get(name, NEVER_S))
         for other, at_s in received.items():
@@ -33,7 +33,7 @@
                 known[other] = at_s
 
     def contact_s(self, name: str, group: tuple[str, ...], now_s: float) -> float:
-        """Up to when a majority of the group is proven to have been in reach of a machine."""
+        """The latest time at which contact of a machine with a majority of the group is proven."""
         times_s = sorted(
             (now_s if other == name else self.echoed[name].get(other, NEVER_S) for other in group), reverse=True
         )
--- a/lab/histories/world.py
+++ b/lab/histories/world.py
@@ -1,4 +1,4 @@
-"""A simulated core with all that acts on it: the troubles of a plan, two operators, and a crowd if one is set."""
+"""A simulated core with the faults of a plan, two operators, and optionally many more."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from lab.histories.plans import Step
 from lab.histories.simulated_core import SimulatedCore
 
-#: With a crowd: the share of refused writes that are on the disk all the same.
-KEPT_THOUGH_REFUSED = 0.5
+#: With many operators: the share of refused writes that the disk keeps.
+KEPT_FAILED_WRITES = 0.5
 
 
 class LoadGenerator(Protocol):
-    """Operators beside the two (operators.py): their events come to `on`."""
+    """Further operators (operators.py); `on` handles their events."""
 
     rng: random.Random
 
     def on(self, what: str, *given: Any) -> None: ...
 
-    def sent(self, ident: int) -> bool: ...
+    def owns(self, ident: int) -> bool: ...
 
     def answer(self, frame: frames.WriteResult) -> None: ...
 
@@ -33,7 +33,7 @@
 
 
 class World(SimulatedCore):
-    """Takes the steps of a plan by `begin` and `end` events."""
+    """Executes the steps of a plan as `begin` and `end` events."""
 
     def __init__(self, seed: int, **options: Any) -> None:
         """The options are those of `SimulatedCore`."""
@@ -41,46 +41,46 @@
         self.callers = Callers(self)
         self.crowd: LoadGenerator | None = None
         self.handlers |= {
-            "crowd": self.on_crowd,
+            "operators": self.on_operator_event,
             "begin": lambda _, step: self.begin(step),
             "end": lambda _, step: self.end(step),
         }
 
     def begin(self, step: Step) -> None:
-        """A step of the plan: a call, or a trouble and later its end."""
+        """Begin a step of the plan: a call, or a fault that ends later."""
         self.trace.append(f"{step.at_s:7.3f} {step.kind} {step.where} {step.for_s:.3f}")
         if step.kind in ("read", "replace"):
             self.callers.call(step.where, step.kind)
-        elif step.kind == "hurry":
-            self.callers.hurried[step.where] = step.at_s + step.for_s
-            self.callers.hurry(step.where)
+        elif step.kind == "burst":
+            self.callers.burst_until_s[step.where] = step.at_s + step.for_s
+            self.callers.start_next_call(step.where)
         else:
-            self.copies_of_disks.take(self.disks)
+            self.disk_snapshots.take(self.disks)
             KINDS[step.kind].begin(self, step)
             self.at(step.for_s, "end", "", step)
 
     def end(self, step: Step) -> None:
-        """A trouble's end."""
+        """End a fault."""
         KINDS[step.kind].end(self, step)
 
-    def on_crowd(self, what: str, *given: Any) -> None:
-        """An event of the crowd's."""
+    def on_operator_event(self, what: str, *given: Any) -> None:
+        """Pass an event to the further operators."""
         if self.crowd is not None:
             self.crowd.on(what, *given)
 
     def keeps_refused_write(self) -> bool:
-        """Where a crowd calls, half of the time."""
-        return self.crowd is not None and self.crowd.rng.random() < KEPT_THOUGH_REFUSED
+        """With many operators, as drawn; otherwise never."""
+        return self.crowd is not None and self.crowd.rng.random() < KEPT_FAILED_WRITES
 
     def answer(self, frame: frames.Frame) -> None:
-        """A reply, to whoever has called."""
+        """Pass a reply to the operators that made the call."""
         assert isinstance(frame, (frames.WriteResult, frames.ReadResult))
-        if self.crowd is not None and isinstance(frame, frames.WriteResult) and self.crowd.sent(frame.request_id):
+        if self.crowd is not None and isinstance(frame, frames.WriteResult) and self.crowd.owns(frame.request_id):
             self.crowd.answer(frame)
         else:
             self.callers.answer(frame)
 
     def chain(self) -> dict[int, Entry]:
-        """What was committed, by number."""
+        """The committed entries, by number."""
         calls = self.callers.calls.values()
         return self.observer.chain({call.body for call in calls if call.status == 200})
