--- a/lab/histories/plans.py
+++ b/lab/histories/plans.py
@@ -44,10 +44,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """The properties of a history. `machines`: three or five; `wild`: faults overlap without restriction; `large`:
-    bodies are large; `long`: pauses and partitions of up to 25 s; `hurry_s`: how long an operator makes changes in a
-    burst; `newcomer_only`: all faults are sequences that leave a view with a new identity on one disk alone; `crowd`:
-    many operators at once (operators.py)."""
+    """The properties of a history.
+
+    - `machines`: three or five
+    - `wild`: faults overlap without restriction
+    - `large`: bodies are large
+    - `long`: pauses and partitions last up to 25 s
+    - `hurry_s`: how long an operator makes changes in a burst
+    - `newcomer_only`: all faults are sequences that leave a view with a new identity on one disk alone
+    - `crowd`: many operators at once (operators.py)
+    """
 
     machines: int = 3
     wild: bool = False
