--- a/lab/chaos.py
+++ b/lab/chaos.py
@@ -63,7 +63,7 @@
     if kind == "older core" and disk is not None:
         disk.kept = rng.choice([copy for copy in disk.copies if copy.identity == disk.kept.identity])
     if kind == "hanging core" and disk is not None:
-        disk.hangs_s = rng.uniform(0.3, 6.0)
+        disk.load_delay_s = rng.uniform(0.3, 6.0)
     if kind == "wiped core":
         ((host, settings),) = struck
         cluster.disks[settings.node] = Disk(f"{rng.getrandbits(48):012x}")
--- a/lab/emulator.py
+++ b/lab/emulator.py
@@ -127,7 +127,7 @@
     def add(self, name: str, ip: str, zone: str, core: bool) -> None:
         super().add(name, ip, zone, core)
         share = self.day.core_share if core else self.day.edge_share
-        self.machines[-1][0].work_s = lambda size: (READ_S + size * BYTE_S) / share
+        self.machines[-1][0].cpu_cost_s = lambda size: (READ_S + size * BYTE_S) / share
 
     def make_node(self, host: Host, settings: Settings, disk: Disk | None) -> GatewayNode:
         early = EarlySocket(host, FRONT) if settings.front_listener else None
@@ -453,7 +453,7 @@
             "arrivals beyond the first": float(sum(len(ledger.extra(plant)) for plant in ledger.arrivals)),
             "held past the cut-off": float(len(ledger.held())),
             "price of these": ledger.price_of_held(),
-            "edge processor s": sum(host.worked_s * day.edge_share for host in edges),
+            "edge processor s": sum(host.cpu_used_s * day.edge_share for host in edges),
             "busiest edge kB": max(host.bytes for host in edges) / 1000,
         }
         return DayResult(figures, found)
--- a/lab/golden_traces.py
+++ b/lab/golden_traces.py
@@ -100,7 +100,7 @@
     """Record what all simulations of this process send and write while the context is open."""
     send = network.Network.send
     write_history = disks.Disk.write
-    write = connections.End.write
+    write = connections.Endpoint.write
     send_datagram = connections.DatagramSocket.sendto
     sync = disk.Disk.sync
     write_wire = adversarial_servers.Wire.write
@@ -113,7 +113,7 @@
         write_history(self, *given)
         recorder.record("disk", self)
 
-    def on_write(self: connections.End, data: Any) -> None:
+    def on_write(self: connections.Endpoint, data: Any) -> None:
         recorder.record("bytes", self.loop.time(), self.host.ip, self.peer.ip, data)
         write(self, data)
 
@@ -133,7 +133,7 @@
     with (
         mock.patch.object(network.Network, "send", on_send),
         mock.patch.object(disks.Disk, "write", on_write_history),
-        mock.patch.object(connections.End, "write", on_write),
+        mock.patch.object(connections.Endpoint, "write", on_write),
         mock.patch.object(connections.DatagramSocket, "sendto", on_datagram),
         mock.patch.object(disk.Disk, "sync", on_sync),
         mock.patch.object(adversarial_servers.Wire, "write", on_wire),
--- a/lab/growth.py
+++ b/lab/growth.py
@@ -91,7 +91,7 @@
         figures["arrivals beyond the first"] / figures["requests"],
         world.most_connections,
         1000 * figures["edge processor s"] / figures["requests"],
-        1000 * max(host.worked_s for host in cores) * world.day.core_share / played_s,
+        1000 * max(host.cpu_used_s for host in cores) * world.day.core_share / played_s,
         figures["busiest edge kB"] / played_s,
         world.platform.calls / played_s,
     )
--- a/lab/histories/callers.py
+++ b/lab/histories/callers.py
@@ -9,7 +9,7 @@
 from lab.histories.simulated_core import SimulatedCore
 
 #: An operator retries a call at this interval, and gives it up after the timeout.
-AGAIN_S, PATIENCE_S = 0.3, 4.0
+RETRY_S, CALL_TIMEOUT_S = 0.3, 4.0
 #: Pause between the calls of an operator in a burst of changes.
 BURST_GAP_S = (0.001, 0.01)
 #: The share of replacements among the calls of a burst.
@@ -57,7 +57,7 @@
         call, core = self.calls[ident], self.core
         if self.open.get(call.operator) != ident:
             return
-        if core.now_s - call.began_s > PATIENCE_S:
+        if core.now_s - call.began_s > CALL_TIMEOUT_S:
             self.close(call.operator)
             return
         if core.replicas:
@@ -67,7 +67,7 @@
                 else frames.ReadRequest(ident, CLIENT)
             )
             core.send(CLIENT, core.rng.choice(sorted(core.replicas)), frame)
-        core.at(AGAIN_S, "send_call", ident)
+        core.at(RETRY_S, "send_call", ident)
 
     def answer(self, frame: frames.WriteResult | frames.ReadResult) -> None:
         """Handle a reply; after a 503 the call is retried."""
@@ -92,7 +92,7 @@
         self.open.pop(operator, None)
         self.call(operator, kind)
         ident = self.open[operator]
-        until_s = self.core.now_s + PATIENCE_S
+        until_s = self.core.now_s + CALL_TIMEOUT_S
         while self.open.get(operator) == ident and self.core.now_s < until_s:
             self.core.step()
         return self.calls[ident].status
--- a/lab/histories/fault_injection.py
+++ b/lab/histories/fault_injection.py
@@ -59,7 +59,7 @@
 
     def begin(self, core: SimulatedCore, step: Step) -> None:
         if step.where in core.replicas:
-            core.frozen.setdefault(step.where, [])
+            core.paused_events.setdefault(step.where, [])
 
     def end(self, core: SimulatedCore, step: Step) -> None:
         core.resume(step.where)
--- a/lab/histories/invariants.py
+++ b/lab/histories/invariants.py
@@ -19,7 +19,7 @@
     """An invariant does not hold, or the operators' calls are not linearizable."""
 
 
-def demand(holds: bool, what: str) -> None:
+def check_condition(holds: bool, what: str) -> None:
     """Raises InvariantViolationError unless the condition holds."""
     if not holds:
         raise InvariantViolationError(what)
@@ -62,10 +62,12 @@
     for call in calls:
         if call.kind == "replace" and call.status == 200:
             same = taken.setdefault(call.base, call.body) == call.body
-            demand(same, f"two changes based on {call.base} were acknowledged: {taken[call.base]!r} and {call.body!r}")
+            check_condition(
+                same, f"two changes based on {call.base} were acknowledged: {taken[call.base]!r} and {call.body!r}"
+            )
 
 
-def linearizable(calls: Iterable[Call], committed: dict[int, Entry]) -> None:
+def check_linearizable(calls: Iterable[Call], committed: dict[int, Entry]) -> None:
     """Check that the calls could have happened one by one in some order, each between its request and its answer.
     Raises InvariantViolationError.
 
@@ -74,19 +76,21 @@
     """
     values = [0] + [revision(entry.body) for _, entry in sorted(committed.items())]
     position = {value: index for index, value in enumerate(values)}
-    demand(len(position) == len(values), f"a revision was committed twice: {values}")
-    demand(values == sorted(values), f"revisions go back: {values}")
+    check_condition(len(position) == len(values), f"a revision was committed twice: {values}")
+    check_condition(values == sorted(values), f"revisions go back: {values}")
     writers, seen = _by_value(calls, committed, values, position)
     effective_s = 0.0
     for index, value in enumerate(values):
         if index:
             write = writers.get(index)
-            demand(write is not None, f"revision {value} was committed but never sent")
+            check_condition(write is not None, f"revision {value} was committed but never sent")
             assert write is not None
             effective_s = max([effective_s, write.began_s, *(call.began_s for call in seen[index - 1])])
-            demand(effective_s <= write.ended_s, f"{write.body!r} was acknowledged before it can have been in force")
+            check_condition(
+                effective_s <= write.ended_s, f"{write.body!r} was acknowledged before it can have been in force"
+            )
         for call in seen[index]:
-            demand(effective_s <= call.ended_s, f"{call.kind} {call.ident} saw {value} before it was in force")
+            check_condition(effective_s <= call.ended_s, f"{call.kind} {call.ident} saw {value} before it was in force")
     # A call that began after another had ended must not see an older value: the bounds above cover that for every
     # value but the last, which stays current.
 
@@ -102,13 +106,17 @@
         if call.kind == "replace" and call.body in entries:
             entry = entries[call.body]
             writers[position[entry.revision]] = call
-            demand(values[position[entry.revision] - 1] == call.base, f"{call.body!r} was applied on another base")
-            demand(call.status in (0, 200), f"{call.body!r} was applied, but answered with {call.status}")
+            check_condition(
+                values[position[entry.revision] - 1] == call.base, f"{call.body!r} was applied on another base"
+            )
+            check_condition(call.status in (0, 200), f"{call.body!r} was applied, but answered with {call.status}")
         elif call.kind == "replace" and call.status == 200:
             raise InvariantViolationError(f"{call.body!r} was acknowledged but never committed")
         elif call.seen is not None:
-            demand(call.seen in position, f"{call.kind} {call.ident} saw {call.seen}, which was never committed")
-            demand(
+            check_condition(
+                call.seen in position, f"{call.kind} {call.ident} saw {call.seen}, which was never committed"
+            )
+            check_condition(
                 call.status != 412 or call.seen != call.base,
                 f"{call.ident} was rejected although its base was in force",
             )
--- a/lab/histories/observer.py
+++ b/lab/histories/observer.py
@@ -8,7 +8,7 @@
 from cypressbeam.consensus.replica import Replica
 from cypressbeam.consensus.views import Entry
 from lab.histories.downstream import Announcement, DownstreamNode
-from lab.histories.invariants import InvariantViolationError, demand
+from lab.histories.invariants import InvariantViolationError, check_condition
 
 
 class Observer:
@@ -33,12 +33,14 @@
     def on_published(self, entry: Entry) -> None:
         """Record that a machine has published an entry as committed."""
         known = self.committed.setdefault(entry.number, entry)
-        demand(known.body == entry.body, f"entry {entry.number} was committed as {known.body!r} and {entry.body!r}")
+        check_condition(
+            known.body == entry.body, f"entry {entry.number} was committed as {known.body!r} and {entry.body!r}"
+        )
 
     def on_announced(self, name: str, announced: Announcement) -> None:
         """Deliver a root's announcement to a downstream node."""
         wrong = self.downstream[name].take(announced)
-        demand(wrong is None, str(wrong))
+        check_condition(wrong is None, str(wrong))
 
     def check(self, replica: Replica) -> None:
         """Check a machine after it has acted: its promise is never below its view's epoch, and an active chain is the
@@ -46,7 +48,7 @@
         if replica.state.chain is None:
             return
         view, active = replica.state.chain.view, replica.state.chain.active
-        demand(replica.voter.promised >= view.epoch, "a promise below the epoch of the installed view")
+        check_condition(replica.voter.promised >= view.epoch, "a promise below the epoch of the installed view")
         if active and self.chains.setdefault(view.epoch, view.chain) != view.chain:
             raise InvariantViolationError(f"two chains in epoch {view.epoch}")
         if active and len(view.chain) < self.min_copies:
@@ -60,7 +62,7 @@
             entry = self.committed.get(number)
             if entry is None:
                 same = self.synced_entries.get((number, found[number + 1].base), [])
-                demand(bool(same), f"entry {number} is missing below a committed one")
+                check_condition(bool(same), f"entry {number} is missing below a committed one")
                 entry = max(same, key=lambda entry: entry.body in acknowledged)
             found[number] = entry
         return found
--- a/lab/histories/operators.py
+++ b/lab/histories/operators.py
@@ -17,14 +17,14 @@
 
 from cypressbeam.consensus import deduplication
 from cypressbeam.protocol import frames
-from lab.histories.invariants import Call, InvariantViolationError, demand, revision
+from lab.histories.invariants import Call, InvariantViolationError, check_condition, revision
 from lab.histories.network import CLIENT
 from lab.histories.plans import Step, shape_of
 from lab.histories.world import World
 
 MAX_IN_FLIGHT = 8
 #: Digests kept in these histories: so few that repeats arrive after their digest was discarded.
-KEPT = 16
+KEPT_DIGESTS = 16
 #: A node retries at the first interval, a caller tries another node at the second. It gives up after the timeout, and
 #: repeats the write later, as the documentation allows.
 RETRY_S, NEXT_NODE_S = 0.3, 1.0
@@ -76,7 +76,7 @@
         self.sequential = self.rng.random() < 0.5
         """Whether changes follow one another at once, over a hundred in a history, instead of competing."""
         shape = shape_of(seed)
-        self.wild = shape.wild and not shape.newcomer_only
+        self.overlapping = shape.overlapping and not shape.newcomer_only
         """Whether faults overlap in this history (`make_plan`) and no more disks are lost than tolerated, so that a
         further fault is tolerated too. If disks are lost in sequence, a cut keeps the first from catching up."""
 
@@ -84,7 +84,7 @@
         self.until_s = until_s
         self.world.at(self.rng.uniform(0.1, 1.0), "operators", "submit_some")
         for _ in range(3):
-            if self.wild:
+            if self.overlapping:
                 self.world.at(self.rng.uniform(1.0, until_s), "operators", "cut_head")
             self.world.at(self.rng.uniform(1.0, until_s), "operators", "fail_head_disk")
 
@@ -205,7 +205,7 @@
             self.send(write)
         self.world.run(self.world.now_s + 4.0)
         for write in mine:
-            demand(
+            check_condition(
                 200 in write.statuses, f"{write.body!r} is current, but its repeat was answered with {write.statuses}"
             )
         if any(400 in write.statuses or 412 in write.statuses for write in old):
@@ -218,18 +218,18 @@
         for write in self.writes:
             if write.body in in_force:
                 refused = write.statuses - {200, 503}
-                demand(not refused, f"{write.body!r} became current, but was also answered with {refused}")
+                check_condition(not refused, f"{write.body!r} became current, but was also answered with {refused}")
             elif 200 in write.statuses:
                 raise InvariantViolationError(f"{write.body!r} was acknowledged but never committed")
             if 200 in write.statuses:
                 same = numbers.setdefault(revision(write.body), write.body) == write.body
-                demand(same, f"two changes were acknowledged with revision {revision(write.body)}")
+                check_condition(same, f"two changes were acknowledged with revision {revision(write.body)}")
 
 
 @contextmanager
 def keep_few_digests() -> Iterator[None]:
     """Keep only a few digests while the context is open."""
-    before, deduplication.MAX_DIGESTS = deduplication.MAX_DIGESTS, KEPT
+    before, deduplication.MAX_DIGESTS = deduplication.MAX_DIGESTS, KEPT_DIGESTS
     try:
         yield
     finally:
--- a/lab/histories/plans.py
+++ b/lab/histories/plans.py
@@ -15,7 +15,7 @@
 DOWNSTREAM = ("n1", "n2", "n3")
 OPERATORS = ("x", "y")
 #: How long faults and calls go on in a history, and in one with long pauses and partitions.
-LASTS_S, LONG_LASTS_S = 20.0, 50.0
+DURATION_S, LONG_DURATION_S = 20.0, 50.0
 #: The longest duration of a usual fault, and the range for long ones.
 MAX_FAULT_S, LONG_FAULT_S = 3.0, (5.0, 25.0)
 LONG_FAULT_KINDS = ("freeze", "cut", "one-way", "lead", "deaf", "freeze-cut")
@@ -47,36 +47,36 @@
     """The properties of a history.
 
     - `machines`: three or five
-    - `wild`: faults overlap without restriction
+    - `overlapping`: faults overlap without restriction
     - `large`: bodies are large
     - `long`: pauses and partitions last up to 25 s
-    - `hurry_s`: how long an operator makes changes in a burst
+    - `burst_s`: how long an operator makes changes in a burst
     - `newcomer_only`: all faults are sequences that leave a view with a new identity on one disk alone
-    - `crowd`: many operators at once (operators.py)
+    - `many_operators`: many operators at once (operators.py)
     """
 
     machines: int = 3
-    wild: bool = False
+    overlapping: bool = False
     large: bool = False
     long: bool = False
-    hurry_s: float = 0.0
+    burst_s: float = 0.0
     newcomer_only: bool = False
-    crowd: bool = False
+    many_operators: bool = False
 
 
 def shape_of(seed: int) -> Shape:
     """Derive the shape of a history. The ratios bound the time that histories take: two of five have five machines,
     one of seven is long, another one of seven has many operators, one of twenty has several hundred changes, and one
     of two hundred has 2,000."""
-    hurry_s = LONG_BURST_S if seed % 200 == 50 else BURST_S if seed % 20 == 10 else 0.0
+    burst_s = LONG_BURST_S if seed % 200 == 50 else BURST_S if seed % 20 == 10 else 0.0
     return Shape(
         machines=5 if seed % 5 in (2, 4) else 3,
-        wild=seed % 3 == 0,
+        overlapping=seed % 3 == 0,
         large=seed % 4 == 1,
-        long=seed % 7 == 3 and not hurry_s,
-        hurry_s=hurry_s,
+        long=seed % 7 == 3 and not burst_s,
+        burst_s=burst_s,
         newcomer_only=seed % 20 == 13,
-        crowd=seed % 7 == 0 and not hurry_s,
+        many_operators=seed % 7 == 0 and not burst_s,
     )
 
 
@@ -86,8 +86,8 @@
     power."""
     shape = shape_of(seed)
     rng = random.Random(f"plan {seed}")
-    duration_s = LONG_LASTS_S if shape.long else max(LASTS_S, shape.hurry_s + 2.0)
-    plan = troubles(shape, rng, duration_s)
+    duration_s = LONG_DURATION_S if shape.long else max(DURATION_S, shape.burst_s + 2.0)
+    plan = make_faults(shape, rng, duration_s)
     # Two changes based on one version at the same time, usually during a fault.
     for _ in range(3):
         at_s = rng.choice(plan).at_s + rng.uniform(0.0, 1.5)
@@ -97,10 +97,10 @@
         while at_s < duration_s:
             plan.append(Step(at_s, rng.choice(("read", "replace", "replace")), operator))
             at_s += rng.expovariate(1.0)
-    if shape.hurry_s:
-        plan.append(Step(rng.uniform(0.0, 1.0), "burst", rng.choice(OPERATORS), shape.hurry_s))
+    if shape.burst_s:
+        plan.append(Step(rng.uniform(0.0, 1.0), "burst", rng.choice(OPERATORS), shape.burst_s))
     plan.sort(key=lambda step: step.at_s)
-    return plan if shape.wild or shape.newcomer_only else with_older_copies(seed, plan)
+    return plan if shape.overlapping or shape.newcomer_only else with_older_copies(seed, plan)
 
 
 def with_older_copies(seed: int, plan: list[Step]) -> list[Step]:
@@ -114,7 +114,7 @@
     ]
 
 
-def troubles(shape: Shape, rng: random.Random, duration_s: float) -> list[Step]:
+def make_faults(shape: Shape, rng: random.Random, duration_s: float) -> list[Step]:
     """The faults of a plan."""
     kinds = MORE_FAULT_KINDS if shape.long or shape.machines > 3 else FAULT_KINDS
     names, losses = MACHINES[: shape.machines], shape.machines // 2
@@ -124,12 +124,12 @@
         plan += newcomer_faults(at_s, rng, list(names))
         at_s += rng.uniform(9.0, 11.0)
     while at_s < duration_s:
-        wiped = shape.wild and sum(step.kind == "wipe" for step in plan) >= losses
+        wiped = shape.overlapping and sum(step.kind == "wipe" for step in plan) >= losses
         kind = rng.choice([kind for kind in kinds if kind != "wipe" or not wiped])
         for_s = rng.uniform(*LONG_FAULT_S) if shape.long and kind in LONG_FAULT_KINDS else rng.uniform(0.1, MAX_FAULT_S)
         step = Step(at_s, kind, rng.choice(names), for_s)
         plan.append(step)
-        if shape.wild:
+        if shape.overlapping:
             at_s += rng.uniform(0.1, 2.5)
             continue
         for _ in range(losses - 1):
--- a/lab/histories/runner.py
+++ b/lab/histories/runner.py
@@ -7,8 +7,13 @@
 from typing import Any
 
 from lab.histories import faults, operators
-from lab.histories.invariants import InvariantViolationError, at_most_one_write_per_base, demand, linearizable
-from lab.histories.plans import LASTS_S, Step, make_plan, shape_of
+from lab.histories.invariants import (
+    InvariantViolationError,
+    at_most_one_write_per_base,
+    check_condition,
+    check_linearizable,
+)
+from lab.histories.plans import DURATION_S, Step, make_plan, shape_of
 from lab.histories.world import World
 
 #: Time in which the core must recover after the last fault, and the part of it that is left for the final calls.
@@ -24,29 +29,29 @@
 def play(seed: int, plan: list[Step], **options: Any) -> World:
     """Play a history. Raises InvariantViolationError if an invariant fails."""
     shape = shape_of(seed)
-    quick = {"quick": True, "loss": BURST_LOSS} if shape.hurry_s else {}
+    quick = {"quick": True, "loss": BURST_LOSS} if shape.burst_s else {}
     shaped = {"large": shape.large, "machines": shape.machines}
-    with operators.keep_few_digests() if shape.crowd else nullcontext():
+    with operators.keep_few_digests() if shape.many_operators else nullcontext():
         world = World(seed, **shaped | quick | options)
-        if shape.crowd:
-            world.crowd = operators.ManyOperators(world, seed)
-        return play_in(world, plan)
+        if shape.many_operators:
+            world.many_operators = operators.ManyOperators(world, seed)
+        return play_plan(world, plan)
 
 
-def play_in(world: World, plan: list[Step]) -> World:
+def play_plan(world: World, plan: list[Step]) -> World:
     """Play a plan on a world to its end. Raises InvariantViolationError if an invariant fails."""
-    if world.crowd is not None:
-        world.crowd.begin(LASTS_S)
+    if world.many_operators is not None:
+        world.many_operators.begin(DURATION_S)
     for step in plan:
         world.at(step.at_s, "begin", "", step)
     ends_s = [step.at_s + step.for_s * (FREEZE_CUT_FACTOR if step.kind == "freeze-cut" else 1.0) for step in plan]
-    world.run(max([LASTS_S, *ends_s]) + RECOVERY_S - FINAL_CALLS_S)
+    world.run(max([DURATION_S, *ends_s]) + RECOVERY_S - FINAL_CALLS_S)
     world.network.loss = 0.0
     for kind in ("read", "replace", "read"):  # without faults all calls work, and see what was acknowledged last
         status = world.callers.finish("x", kind)
-        demand(status in (200, 404), f"at the end a {kind} was answered with {status}")
-    if world.crowd is not None:
-        world.crowd.finish()
+        check_condition(status in (200, 404), f"at the end a {kind} was answered with {status}")
+    if world.many_operators is not None:
+        world.many_operators.finish()
     world.run(world.now_s + PROPAGATION_S)
     check_final_state(world)
     return world
@@ -56,10 +61,10 @@
     """Check the invariants of a finished history. Raises InvariantViolationError."""
     calls = world.callers.calls.values()
     at_most_one_write_per_base(calls)
-    linearizable(calls, world.chain())
+    check_linearizable(calls, world.chain())
     newest = max(entry.revision for entry in world.observer.committed.values())
     for name, node in world.observer.downstream.items():
-        demand(node.revision == newest, f"at the end {name} has version {node.revision}, not {newest}")
+        check_condition(node.revision == newest, f"at the end {name} has version {node.revision}, not {newest}")
 
 
 def violation_of(history: Callable[[], object]) -> str | None:
--- a/lab/histories/simulated_core.py
+++ b/lab/histories/simulated_core.py
@@ -29,7 +29,7 @@
 from lab.histories.disks import Disk, DiskSnapshots
 from lab.histories.downstream import Announcement
 from lab.histories.events import EventLoop
-from lab.histories.invariants import demand, digest, revision
+from lab.histories.invariants import check_condition, digest, revision
 from lab.histories.network import CLIENT, Network
 from lab.histories.observer import Observer
 from lab.histories.plans import DOWNSTREAM, IPS, MACHINES, Step
@@ -89,7 +89,7 @@
         self.dispatchers: dict[str, Dispatcher] = {}
         self.pending: dict[str, list[Any]] = {ip: [] for ip in self.ips}
         """Writes in progress, by machine."""
-        self.frozen: dict[str, list[tuple[Any, ...]]] = {}
+        self.paused_events: dict[str, list[tuple[Any, ...]]] = {}
         """By paused machine: the events that wait, which are messages in its sockets, its timer and finished writes."""
         self.pending_crashes: list[Step] = []
         self.known_identities: set[str] = set()
@@ -137,7 +137,7 @@
         """Cut a machine's power. Some of the writes in progress are completed on disk, but never confirmed."""
         replica = self.replicas.pop(ip, None)
         self.incarnations[ip] += 1
-        self.frozen.pop(ip, None)
+        self.paused_events.pop(ip, None)
         pending, self.pending[ip] = self.pending[ip], []
         if not self.lying and ip not in self.refusing and ip not in self.stalled:
             for action in pending[: self.rng.randint(0, len(pending))]:
@@ -157,7 +157,7 @@
     def resume(self, ip: str) -> None:
         """Resume a paused machine. It reads all messages from its sockets, one socket after another; its timer and
         finished writes come before or after that."""
-        held = self.frozen.pop(ip, [])
+        held = self.paused_events.pop(ip, [])
         rank = {origin: self.rng.random() for origin in (*self.ips, CLIENT)}
         read = sorted((what for what in held if what[0] == "held"), key=lambda what: rank[what[2]])
         others = [what for what in held if what[0] != "held"]
@@ -254,7 +254,7 @@
         if isinstance(frame, frames.ReadResult) or (
             isinstance(frame, frames.WriteResult) and frame.status in REJECTION_STATUSES
         ):
-            demand(
+            check_condition(
                 self.contact_age_s(ip) <= ANSWER_BOUND_S + TOLERANCE_S,
                 f"{ip} answers after {self.contact_age_s(ip):.3f} s without quorum contact",
             )
@@ -269,7 +269,7 @@
         ):
             return
         contact_age_s = self.contact_age_s(ip)
-        demand(
+        check_condition(
             contact_age_s <= ANNOUNCEMENT_BOUND_S + TOLERANCE_S,
             f"{ip} announces as the root after {contact_age_s:.3f} s without quorum contact",
         )
@@ -324,7 +324,7 @@
         """Handle the next event, or hold it if its machine is paused; then check that machine."""
         _, _, what = self.events[0]
         kind, where, *rest = what
-        if where in self.frozen and kind in MACHINE_EVENTS:
+        if where in self.paused_events and kind in MACHINE_EVENTS:
             self.skip()
             self.hold_event(where, kind, what, rest)
         else:
@@ -334,9 +334,9 @@
     def hold_event(self, ip: str, kind: str, what: tuple[Any, ...], rest: list[Any]) -> None:
         """Hold an event until its machine resumes. A message is already in the socket: later cuts don't affect it."""
         if kind != "frame":
-            self.frozen[ip].append(what)
+            self.paused_events[ip].append(what)
         elif (rest[0], ip) not in self.network.cut:
-            self.frozen[ip].append(("held", ip, *rest))
+            self.paused_events[ip].append(("held", ip, *rest))
 
     def on_tick(self, ip: str, incarnation: int) -> None:
         """Handle a machine's timer, unless the machine was stopped in the meantime."""
@@ -353,7 +353,7 @@
                 if other != ip:
                     self.send(ip, other, replica.own_heartbeat(self.now_s))
         if replica.leadership.is_leader:
-            demand(replica.leadership.holds_lease(self.now_s), f"{ip} is the root without a lease")
+            check_condition(replica.leadership.holds_lease(self.now_s), f"{ip} is the root without a lease")
         self.announce(ip)
 
     def check(self, ip: str) -> None:
--- a/lab/histories/world.py
+++ b/lab/histories/world.py
@@ -39,7 +39,7 @@
         """The options are those of `SimulatedCore`."""
         super().__init__(seed, **options)
         self.callers = Callers(self)
-        self.crowd: LoadGenerator | None = None
+        self.many_operators: LoadGenerator | None = None
         self.handlers |= {
             "operators": self.on_operator_event,
             "begin": lambda _, step: self.begin(step),
@@ -65,18 +65,22 @@
 
     def on_operator_event(self, what: str, *given: Any) -> None:
         """Pass an event to the further operators."""
-        if self.crowd is not None:
-            self.crowd.on(what, *given)
+        if self.many_operators is not None:
+            self.many_operators.on(what, *given)
 
     def keeps_refused_write(self) -> bool:
         """With many operators, as drawn; otherwise never."""
-        return self.crowd is not None and self.crowd.rng.random() < KEPT_FAILED_WRITES
+        return self.many_operators is not None and self.many_operators.rng.random() < KEPT_FAILED_WRITES
 
     def answer(self, frame: frames.Frame) -> None:
         """Pass a reply to the operators that made the call."""
         assert isinstance(frame, (frames.WriteResult, frames.ReadResult))
-        if self.crowd is not None and isinstance(frame, frames.WriteResult) and self.crowd.owns(frame.request_id):
-            self.crowd.answer(frame)
+        if (
+            self.many_operators is not None
+            and isinstance(frame, frames.WriteResult)
+            and self.many_operators.owns(frame.request_id)
+        ):
+            self.many_operators.answer(frame)
         else:
             self.callers.answer(frame)
 
--- a/lab/membership_churn.py
+++ b/lab/membership_churn.py
@@ -24,9 +24,9 @@
 from cypressbeam.consensus.views import View, ip_of
 from cypressbeam.protocol import frames
 from lab.histories import faults, plans, runner
-from lab.histories.callers import AGAIN_S
+from lab.histories.callers import RETRY_S
 from lab.histories.faults import Patch
-from lab.histories.invariants import demand
+from lab.histories.invariants import check_condition
 from lab.histories.network import CLIENT
 from lab.histories.plans import IPS, MACHINES, Shape, Step
 from lab.histories.world import World
@@ -115,7 +115,7 @@
                 self.rng.choice(sorted(self.replicas)),
                 frames.MembershipChangeRequest(ident, CLIENT, asked.kind, asked.old, asked.new, asked.base),
             )
-        self.at(AGAIN_S, "ask", "", ident)
+        self.at(RETRY_S, "ask", "", ident)
 
     def begin(self, step: Step) -> None:
         if step.kind == "change":
@@ -137,20 +137,22 @@
         """Some machine says so. One that stood still may say it long after later views."""
         committed = self.observer.committed.items()
         below = max((number for number, entry in committed if entry.epoch < view.epoch), default=0)
-        demand(
+        check_condition(
             view.initial_number >= below,
             f"epoch {view.epoch} begins with {view.initial_number}, {below} was committed below it",
         )
         for name in view.chain:
             disk = self.disks[ip_of(name)]
             held = disk.view.epoch if disk.view is not None else 0
-            demand(disk.name != name or held >= view.epoch, f"{name} counts in epoch {view.epoch} and holds {held}")
+            check_condition(
+                disk.name != name or held >= view.epoch, f"{name} counts in epoch {view.epoch} and holds {held}"
+            )
         self.active[view.epoch] = view
         epochs = sorted(self.active)
         at = epochs.index(view.epoch)
         for before, after in itertools.pairwise(epochs[max(at - 1, 0) : at + 2]):
             one, other = (frozenset(ip_of(name) for name in self.active[epoch].group) for epoch in (before, after))
-            demand(
+            check_condition(
                 len(one ^ other) <= 1,
                 f"a majority of epoch {before} ({' '.join(sorted(one))}) need not meet one of"
                 f" {after} ({' '.join(sorted(other))})",
@@ -160,10 +162,10 @@
 
 def make_plan(seed: int) -> list[Step]:
     """The troubles and calls of the histories, on all machines, and changes of the group all along."""
-    shape = Shape(wild=seed % 3 == 0, large=seed % 4 == 1, long=seed % 7 == 3)
+    shape = Shape(overlapping=seed % 3 == 0, large=seed % 4 == 1, long=seed % 7 == 3)
     rng = random.Random(f"turnover {seed}")
-    lasts_s = plans.LONG_LASTS_S if shape.long else plans.LASTS_S
-    plan = [replace(step, where=rng.choice(MACHINES)) for step in plans.troubles(shape, rng, lasts_s)]
+    lasts_s = plans.LONG_DURATION_S if shape.long else plans.DURATION_S
+    plan = [replace(step, where=rng.choice(MACHINES)) for step in plans.make_faults(shape, rng, lasts_s)]
     for _ in range(3):  # two changes on one version at the same time, as a rule while somebody is in trouble
         at_s = rng.choice(plan).at_s + rng.uniform(0.0, 1.5)
         plan += [Step(at_s, "replace", "x"), Step(at_s + rng.uniform(0.0, 0.3), "replace", "y")]
@@ -184,8 +186,8 @@
 def play(seed: int, plan: list[Step], **options: Any) -> MembershipChurn:
     """One history. Raises InvariantViolationError with what does not hold."""
     world = MembershipChurn(seed, **{"large": seed % 4 == 1} | options)
-    runner.play_in(world, plan)
-    demand(len(world.group()) >= 2 * LOSSES + 1, f"the group is {world.group()}")
+    runner.play_plan(world, plan)
+    check_condition(len(world.group()) >= 2 * LOSSES + 1, f"the group is {world.group()}")
     return world
 
 
--- a/lab/simulation/connections.py
+++ b/lab/simulation/connections.py
@@ -1,7 +1,7 @@
 """Connections and datagram sockets of the simulated network, as asyncio's transports.
 
 A connection delivers its bytes in order; packet loss shows as delay, as it does with TCP. A host with a processing cost
-(`Host.work_s`) reads one chunk after another, each once the processing of those before it has finished.
+(`Host.cpu_cost_s`) reads one chunk after another, each once the processing of those before it has finished.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
         """Ignore the option."""
 
 
-class End(asyncio.Transport):
+class Endpoint(asyncio.Transport):
     """One end of a connection."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, links: Links, host: Host, peer: Host, port: int) -> None:
         super().__init__({"peername": (peer.ip, port), "socket": NoSocket(), "unread": self.has_unread})
         self.loop, self.links, self.host, self.peer = loop, links, host, peer
         self.host_lives = host.life, peer.life
-        self.remote_end: End | None = None
+        self.remote_end: Endpoint | None = None
         self.protocol: Any = None
         self.closed = False
         self.last_arrival_s = 0.0
@@ -113,15 +113,15 @@
         if self.closed:
             return
         host = self.host
-        if host.work_s is None and not self.paused and not self.receive_buffer:
+        if host.cpu_cost_s is None and not self.paused and not self.receive_buffer:
             self.deliver(data)
             return
         self.receive_buffer.append(data)
-        if host.work_s is None:
+        if host.cpu_cost_s is None:
             return
-        cost_s = host.work_s(len(data))
+        cost_s = host.cpu_cost_s(len(data))
         host.busy_until_s = max(host.busy_until_s, self.loop.time()) + cost_s
-        host.worked_s += cost_s
+        host.cpu_used_s += cost_s
         self.loop.call_at(host.busy_until_s, self.deliver_buffered, context=host.context)
 
     def deliver(self, data: bytes) -> None:
@@ -137,7 +137,7 @@
         """Pass buffered bytes to the protocol, then a pending close."""
         while self.receive_buffer and not self.closed and not self.paused:
             self.deliver(self.receive_buffer.popleft())
-            if self.host.work_s is not None:
+            if self.host.cpu_cost_s is not None:
                 break  # with a processing cost, each chunk has its own callback
         if self.pending_error is not None and not self.receive_buffer and not self.closed:
             self.finish(self.pending_error)
--- a/lab/simulation/disk.py
+++ b/lab/simulation/disk.py
@@ -17,7 +17,7 @@
     def __init__(self, identity: str, sync_s: float = 0.002) -> None:
         self.kept = LoadedState(identity, 0, None, None, {})
         self.sync_s = sync_s
-        self.hangs_s = 0.0
+        self.load_delay_s = 0.0
         """How long the next load hangs."""
         self.copies: list[LoadedState] = []
         """Earlier states, from which a test can restore an older copy."""
@@ -27,9 +27,9 @@
 
     async def load(self, reset: bool = False) -> LoadedState:
         """Load the durable state; with `reset`, an empty one under a new identity."""
-        hangs_s, self.hangs_s = self.hangs_s, 0.0
-        if hangs_s:
-            await asyncio.sleep(hangs_s)
+        load_delay_s, self.load_delay_s = self.load_delay_s, 0.0
+        if load_delay_s:
+            await asyncio.sleep(load_delay_s)
         self.starts += 1
         if reset:
             self.kept = LoadedState(f"{self.kept.identity}.{self.starts}", 0, None, None, {})
--- a/lab/simulation/host.py
+++ b/lab/simulation/host.py
@@ -34,10 +34,10 @@
     out_free_s: float = 0.0
     in_free_s: float = 0.0
     """When the queue of its link is empty, outbound and inbound."""
-    work_s: Callable[[int], float] | None = None
+    cpu_cost_s: Callable[[int], float] | None = None
     """CPU seconds that reading a chunk of a given size costs, including all processing it causes. None: no cost."""
     busy_until_s: float = 0.0
-    worked_s: float = 0.0
+    cpu_used_s: float = 0.0
     """CPU seconds used so far."""
     early: set[int] = field(default_factory=set)
     """Ports where connections wait until a listener is started."""
--- a/lab/simulation/network.py
+++ b/lab/simulation/network.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from lab.simulation.clock import Loop
-from lab.simulation.connections import DatagramSocket, End
+from lab.simulation.connections import DatagramSocket, Endpoint
 from lab.simulation.host import HOST, Host
 from lab.simulation.links import Links
 
@@ -97,7 +97,7 @@
         listener = remote.listeners.get(port)
         if listener is None or not remote.up:
             raise ConnectionRefusedError(f"{ip}:{port}")
-        client_end, server_end = End(loop, self, local, remote, port), End(loop, self, remote, local, port)
+        client_end, server_end = Endpoint(loop, self, local, remote, port), Endpoint(loop, self, remote, local, port)
         client_end.remote_end, server_end.remote_end = server_end, client_end
         server_end.protocol = remote.context.copy().run(listener)
         client_end.protocol = factory()
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -12,7 +12,7 @@
 from cypressbeam.consensus.views import View, ip_of
 from cypressbeam.protocol import frames
 from lab.histories import callers, faults, runner
-from lab.histories.invariants import Call, InvariantViolationError, linearizable
+from lab.histories.invariants import Call, InvariantViolationError, check_linearizable
 from lab.histories.network import CLIENT
 from lab.histories.plans import IPS, Step, make_plan
 from lab.histories.world import World
@@ -22,7 +22,7 @@
     """Run one operator call to completion."""
     world.callers.call("x", kind)
     ident = world.callers.open["x"]
-    world.run(world.now_s + callers.PATIENCE_S + 1.0)
+    world.run(world.now_s + callers.CALL_TIMEOUT_S + 1.0)
     return world.callers.calls[ident]
 
 
@@ -169,11 +169,11 @@
     write_configuration(world)
     write_configuration(world)
     chain, calls = world.chain(), list(world.callers.calls.values())
-    linearizable(calls, chain)
+    check_linearizable(calls, chain)
     first = next(call for call in calls if call.status == 200)
     stale = Call(99, "x", "read", world.now_s, ended_s=world.now_s + 1.0, status=200, seen=first.seen)
     with pytest.raises(InvariantViolationError, match="in force"):
-        linearizable(
+        check_linearizable(
             [
                 *calls,
                 Call(
@@ -190,7 +190,7 @@
             chain,
         )
     with pytest.raises(InvariantViolationError, match="never committed"):
-        linearizable([*calls, Call(97, "y", "replace", 0.0, body=b"990:z", status=200)], chain)
+        check_linearizable([*calls, Call(97, "y", "replace", 0.0, body=b"990:z", status=200)], chain)
 
 
 def test_a_machine_without_a_reachable_majority_neither_leads_nor_answers() -> None:
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -78,10 +78,13 @@
     world.begin(Step(world.now_s, "freeze", "c", 20.0))
     world.at(1.0, "begin", "", Step(world.now_s + 1.0, "tail", "", 30.0))
     world.run(21.0)
-    buffered = len(world.frozen["c"])
+    buffered = len(world.paused_events["c"])
     world.run(21.3)
     assert (
-        buffered > 8 and "c" not in world.frozen and replica.state.view is not None and replica.state.view.epoch == 256
+        buffered > 8
+        and "c" not in world.paused_events
+        and replica.state.view is not None
+        and replica.state.view.epoch == 256
     )
     assert not replica.leadership.leads(world.now_s) and not replica.leadership.is_leader
     assert sum(other.leadership.is_leader for other in world.replicas.values()) == 1
@@ -309,7 +312,7 @@
 
 
 def test_thousands_of_consecutive_changes_are_committed() -> None:
-    assert shape_of(50).hurry_s
+    assert shape_of(50).burst_s
     assert len(runner.play(50, make_plan(50)).observer.committed) >= 2000
 
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -93,7 +93,7 @@
     """Write a configuration, which must succeed; returns its body."""
     world.callers.call("x", "replace")
     ident = world.callers.open["x"]
-    world.run(world.now_s + callers.PATIENCE_S + 1.0)
+    world.run(world.now_s + callers.CALL_TIMEOUT_S + 1.0)
     assert world.callers.calls[ident].status == 200
     return world.callers.calls[ident].body
 
@@ -278,7 +278,7 @@
         world.callers.open.pop("x", None)
         world.callers.call("x", kind)
         ident = world.callers.open["x"]
-        world.run(world.now_s + callers.PATIENCE_S)
+        world.run(world.now_s + callers.CALL_TIMEOUT_S)
         assert world.callers.calls[ident].status == 0
     assert not any(replica.leadership.is_leader for replica in world.replicas.values())
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -26,7 +26,7 @@
 from tests.test_gateway import read_configuration, running_system
 
 #: Seeds of histories with many operators.
-CROWDED = [seed for seed in range(400) if shape_of(seed).crowd]
+CROWDED = [seed for seed in range(400) if shape_of(seed).many_operators]
 ALONE = View(256, ("a/1",), ("a/1",))
 
 
@@ -265,9 +265,9 @@
     most_writes = 0
     for seed in CROWDED[:20]:
         world = runner.play(seed, make_plan(seed))
-        assert world.crowd is not None
+        assert world.many_operators is not None
         most_writes = max(most_writes, len(world.chain()))
-    assert most_writes > 4 * operators.KEPT
+    assert most_writes > 4 * operators.KEPT_DIGESTS
 
 
 @pytest.mark.parametrize(
--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -188,7 +188,7 @@
         cluster.stop(*cluster.machines[1])
 
     async def hang(cluster: Cluster, disk: FaultyDisk) -> None:
-        disk.hangs_s = 3.0
+        disk.load_delay_s = 3.0
         cluster.stop(*cluster.machines[1])
 
     for fault in (fail, hang):
