--- a/lab/histories/simulated_core.py
+++ b/lab/histories/simulated_core.py
@@ -93,7 +93,7 @@
         """By paused machine: the events that wait, which are messages in its sockets, its timer and finished writes."""
         self.pending_crashes: list[Step] = []
         self.known_identities: set[str] = set()
-        """The identities that were known when the last `orphan` step began."""
+        """The identities that were known when the last "orphan" step began."""
         self.refusing: set[str] = set()
         self.stalled: set[str] = set()
         self.published_revisions: dict[str, int] = {}
@@ -236,7 +236,7 @@
         return False
 
     def crash_on_new_identity(self, ip: str, view: View) -> None:
-        """During an `orphan` step: crash the first machine that has persisted a view with a new identity."""
+        """During an "orphan" step: crash the first machine that has persisted a view with a new identity."""
         if self.pending_crashes and any(name not in self.known_identities for name in view.group):
             step = self.pending_crashes.pop()
             self.at(self.rng.uniform(0.0, 0.4), "begin", "", Step(self.now_s, "kill", ip, step.for_s))
--- a/tests/test_fetches.py
+++ b/tests/test_fetches.py
@@ -83,7 +83,7 @@
     received: list[bytes] = []
     network.fetch(0, network.peers[1].blobs.store.put(b"first"), 1, received)
     network.run(0.1)
-    network.peers[0].outbound[network.hosts[1].ip, BULK_LANE].transport.vanish()  # type: ignore[union-attr]
+    network.peers[0].outbound[network.hosts[1].ip, BULK_LANE].transport.abandon()  # type: ignore[union-attr]
     network.fetch(0, network.peers[1].blobs.store.put(b"second"), 1, received)
     network.run(0.7)
     assert received == [b"first", b"second"]
