--- a/cypressbeam/protocol/__init__.py
+++ b/cypressbeam/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""What is exchanged: messages between nodes, the operator's configuration document, a process's settings file."""
+"""External formats: messages between nodes, the operator's configuration document, the settings file of a process."""
--- a/cypressbeam/protocol/delta.py
+++ b/cypressbeam/protocol/delta.py
@@ -1,9 +1,10 @@
-"""How a body goes from one node to another: packed, and where the other has an earlier one, only what changed. Pure.
+"""Delta encoding of configuration bodies. Pure: no I/O and no clock.
 
-A packed body is compressed ranges: each takes some bytes from the base, then some of its own. Without a base there is
-one range, all its own. Where ranges may begin is found by a mark that configurations repeat for each route; a body
-without it is packed whole, so the mark decides the size and never the result.
-Source: rsync (Tridgell and Mackerras, 1996) for sending what changed by ranges of an earlier file.
+A packed body is a zlib stream of ranges. Each range copies bytes from the base, an earlier body that the receiver has,
+and appends new bytes. Without a base there is a single range with new bytes only. Ranges begin at a marker that a
+configuration repeats for each route. A body without markers is packed whole, so markers affect the size and never the
+result.
+Source: rsync (Tridgell and Mackerras, 1996), which encodes changes as ranges of an earlier file.
 """
 
 from __future__ import annotations
@@ -13,74 +14,74 @@
 
 from cypressbeam.errors import CypressbeamError
 
-#: Where routes begin in CBOR: the text "label" with its length.
-MARK = b"\x65label"
-#: Bytes to take from the base: where, how many; then how many new ones follow.
+#: The start of a route in CBOR: the text "label" with its length prefix.
+MARKER = b"\x65label"
+#: The header of a range: offset and length of the bytes copied from the base, and the number of new bytes that follow.
 RANGE = struct.Struct("!III")
-#: Packed once and carried to each node: 1,500 routes come to 22 kB in place of 28 at level 1, for 4 ms more.
-LEVEL = 9
-#: No body is larger.
+#: A body is packed once and sent to every node: 1,500 routes take 22 kB, against 28 kB at level 1, for 4 ms more CPU.
+COMPRESSION_LEVEL = 9
+#: The maximum size of a body.
 MAX_BODY_BYTES = 16 * 1024 * 1024
 
 
 class DeltaError(CypressbeamError, ValueError):
-    """Bytes that are no packed body: one line on why."""
+    """Data that is not a valid packed body. The message is one line with the reason."""
 
 
-def records(body: bytes) -> list[bytes]:
-    """The body cut before each mark."""
-    first, *others = body.split(MARK)
-    return [first, *(MARK + other for other in others)]
+def split_records(body: bytes) -> list[bytes]:
+    """Splits a body before each marker."""
+    first, *others = body.split(MARKER)
+    return [first, *(MARKER + other for other in others)]
 
 
-def ranges(body: bytes, base: bytes) -> list[tuple[int, int, list[bytes]]]:
-    """What to take from the base, in order: where, how many bytes, and the new records that follow."""
-    places: dict[bytes, int] = {}
-    at = 0
-    for record in records(base):
-        places.setdefault(record, at)
-        at += len(record)
-    made: list[tuple[int, int, list[bytes]]] = [(0, 0, [])]
-    for record in records(body):
-        start, length, new = made[-1]
-        place = places.get(record)
-        if place is None:
+def find_ranges(body: bytes, base: bytes) -> list[tuple[int, int, list[bytes]]]:
+    """The ranges that make up a body: offset and length in the base, and the new records that follow."""
+    offsets: dict[bytes, int] = {}
+    position = 0
+    for record in split_records(base):
+        offsets.setdefault(record, position)
+        position += len(record)
+    ranges: list[tuple[int, int, list[bytes]]] = [(0, 0, [])]
+    for record in split_records(body):
+        start, length, new = ranges[-1]
+        offset = offsets.get(record)
+        if offset is None:
             new.append(record)
-        elif not new and place == start + length:
-            made[-1] = (start, length + len(record), new)
+        elif not new and offset == start + length:
+            ranges[-1] = (start, length + len(record), new)
         else:
-            made.append((place, len(record), []))
-    return made
+            ranges.append((offset, len(record), []))
+    return ranges
 
 
 def pack(body: bytes, base: bytes = b"") -> bytes:
-    """A body for one who has the base."""
+    """Packs a body for a receiver that has the base."""
     parts = []
-    for start, length, new in ranges(body, base) if base else [(0, 0, [body])]:
+    for start, length, new in find_ranges(body, base) if base else [(0, 0, [body])]:
         parts += [RANGE.pack(start, length, sum(map(len, new))), *new]
-    return zlib.compress(b"".join(parts), LEVEL)
+    return zlib.compress(b"".join(parts), COMPRESSION_LEVEL)
 
 
 def unpack(data: bytes, base: bytes = b"", most: int = MAX_BODY_BYTES) -> bytes:
-    """The body that was packed. Raises DeltaError, also where it would be larger than `most`."""
+    """Unpacks a body. Raises DeltaError if the data is invalid or the body would exceed `most`."""
     try:
-        reader = zlib.decompressobj()
-        plain = reader.decompress(data, 2 * most)
+        decompressor = zlib.decompressobj()
+        plain = decompressor.decompress(data, 2 * most)
     except zlib.error as err:
         raise DeltaError(str(err)) from None
-    if not reader.eof or reader.unused_data:
-        raise DeltaError("too large, cut off, or with bytes behind it")
-    parts, size, at = [], 0, 0
-    while at < len(plain):
-        if at + RANGE.size > len(plain):
-            raise DeltaError("it ends within a range")
-        start, length, new = RANGE.unpack_from(plain, at)
-        at += RANGE.size
-        if start + length > len(base) or at + new > len(plain):
-            raise DeltaError("a range ends behind the bytes there are")
-        parts += [base[start : start + length], plain[at : at + new]]
-        at += new
+    if not decompressor.eof or decompressor.unused_data:
+        raise DeltaError("too large, truncated, or followed by trailing bytes")
+    parts, size, position = [], 0, 0
+    while position < len(plain):
+        if position + RANGE.size > len(plain):
+            raise DeltaError("the header of a range is truncated")
+        start, length, new = RANGE.unpack_from(plain, position)
+        position += RANGE.size
+        if start + length > len(base) or position + new > len(plain):
+            raise DeltaError("a range extends beyond the available bytes")
+        parts += [base[start : start + length], plain[position : position + new]]
+        position += new
         size += length + new
         if size > most:
-            raise DeltaError(f"over {most} bytes")
+            raise DeltaError(f"the body is over {most} bytes")
     return b"".join(parts)
--- a/cypressbeam/protocol/frames/__init__.py
+++ b/cypressbeam/protocol/frames/__init__.py
@@ -1,20 +1,21 @@
-"""The messages between nodes: the binary codec, and a typed message for all that is said, by subject.
+"""The messages between nodes: the binary codec and the message classes, by subject.
 
-On a stream a frame is its length and code, then fields in the order of its class. Numbers are in network order; a text
-has 2 bytes of length before it, a blob 4, a list of texts 2 bytes of count. A configuration's body goes by its digest:
-a node that lacks it fetches it beside the frame (`cypressbeam.transport.blobs`).
+On a stream, a frame is its length and code, followed by the fields in the order of its class. Numbers are in network
+byte order. A string has a 2-byte length prefix, a blob a 4-byte length prefix, and a list of strings a 2-byte count. A
+configuration is represented by its digest: a node that does not have the body fetches it separately
+(`cypressbeam.transport.blobs`).
 
 | module | messages |
 | --- | --- |
-| `codec`, `validation` | header and fields; checks that messages share |
-| `tree` | joining, the assignment of a parent, subscription, replication down the tree |
-| `health` | suspicion of nodes, outlier detection of servers |
-| `chain` | write and read requests, entries along the chain |
-| `consensus` | founding, heartbeats, ballots, read index, rollback detection |
-| `membership` | changes of the core's group |
-| `blobs` | chunks of bodies |
-| `status` | the state of the core for operators |
-| `registry` | from a frame's code to its class |
+| `codec`, `validation` | header and field encodings; checks shared by messages |
+| `tree` | joining, parent assignment, subscription, replication down the tree |
+| `health` | suspected nodes, outlier detection for servers |
+| `chain` | write and read requests, forwarding of entries along the chain |
+| `consensus` | bootstrap, heartbeats, ballots, read index, rollback detection |
+| `membership` | membership changes of the core |
+| `blobs` | transfer of bodies in chunks |
+| `status` | status of the core for operators |
+| `registry` | message classes by code |
 """
 
 from __future__ import annotations
--- a/cypressbeam/protocol/frames/blobs.py
+++ b/cypressbeam/protocol/frames/blobs.py
@@ -1,4 +1,4 @@
-"""Messages of the blob transfer: bodies in chunks, on a connection of their own (`cypressbeam.transport.blobs`)."""
+"""Messages for the transfer of bodies in chunks, on a separate connection (`cypressbeam.transport.blobs`)."""
 
 from __future__ import annotations
 
@@ -9,42 +9,43 @@
 
 @dataclass(frozen=True, slots=True)
 class ChunkRequest(Frame):
-    """A request for a chunk of a packed body, to any node that may have it. The answer is `Chunk` or `BlobNotFound`."""
+    """Requests a chunk of a packed body from any node that may have it. The reply is `Chunk` or `BlobNotFound`."""
 
     CODE = 27
     FIELDS = "bbii"
     digest: bytes
-    """The body's digest."""
+    """The digest of the body."""
     base_digests: bytes
-    """Digests of bodies that the requesting node has, the newest last; a later request names the one of the first."""
+    """Concatenated digests of bodies that the requesting node has, the newest last. Later requests of a transfer name
+    only the base of the first reply."""
     offset: int
-    """The first byte of the packed body that is wanted."""
+    """The offset of the chunk in the packed body."""
     length: int
-    """How many bytes from there on."""
+    """The length of the chunk in bytes."""
 
 
 @dataclass(frozen=True, slots=True)
 class Chunk(Frame):
-    """A chunk of a body, packed on a base that the receiver has, or on none."""
+    """A chunk of a packed body. The body may be a delta against a base that the receiver has."""
 
     CODE = 28
     FIELDS = "bbiib"
     digest: bytes
-    """The body's digest."""
+    """The digest of the body."""
     base_digest: bytes
-    """The base's digest, or nothing."""
+    """The digest of the base; empty if there is none."""
     total: int
-    """Bytes of the packed body."""
+    """The size of the packed body in bytes."""
     offset: int
-    """Where in it the chunk begins."""
+    """The offset of the chunk in the packed body."""
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class BlobNotFound(Frame):
-    """The body that was requested is not here: the receiver asks another node."""
+    """The sender does not have the requested body. The receiver asks another node."""
 
     CODE = 29
     FIELDS = "b"
     digest: bytes
-    """The body's digest."""
+    """The digest of the body."""
--- a/cypressbeam/protocol/frames/chain.py
+++ b/cypressbeam/protocol/frames/chain.py
@@ -1,6 +1,7 @@
-"""Messages of chain replication: write and read requests with their replies, and entries along the chain (chain.py).
+"""Messages of chain replication (chain.py): write and read requests, their replies, and the forwarding of entries.
 
-`ident` is a random number by which a reply finds its request at the node that took it (`origin`, an address).
+`request_id` is a random number that matches a reply to its request at `origin`, the address of the node that received
+the operator's call.
 """
 
 from __future__ import annotations
@@ -13,64 +14,65 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteRequest(Frame):
-    """A write request: the node that took an operator's call sends a new configuration to the head of the chain."""
+    """A write request: the node that received an operator's call sends a new configuration to the head of the chain."""
 
     CODE = 10
     FIELDS = "qsqdc"
     request_id: int
     origin: str
     base: int
-    """The revision that the write is conditional on."""
+    """The write applies only if this is the current revision."""
     body: bytes
-    """The configuration; on the wire its digest."""
+    """The configuration; its digest on the wire."""
     hops: int = 0
-    """How often the core has passed it on: while views differ two machines may each hold the other for the head."""
+    """How many times the core has forwarded the request, to limit loops: while views differ, two machines may each take
+    the other for the head."""
 
 
 @dataclass(frozen=True, slots=True)
 class WriteResult(Frame):
-    """The reply to `WriteRequest`, from the member that decided it to the request's origin."""
+    """The reply to `WriteRequest`, from the member that decided on it to the origin of the request."""
 
     CODE = 11
     FIELDS = "qhs"
     request_id: int
     status: int
-    """An HTTP status: 200 committed, 400 invalid, 412 another revision is current, 503 to be sent again."""
+    """An HTTP status: 200 committed, 400 invalid, 412 another revision is current, 503 retry."""
     text: str
-    """A line for the operator."""
+    """One line for the operator."""
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardEntry(Frame):
-    """An entry on its way down the chain, from each member to its successor once it is on the sender's disk."""
+    """Forwards an entry down the chain: a member sends it to its successor once it is on its own disk."""
 
     CODE = 12
     FIELDS = "qqqqdqs"
     epoch: int
-    """Of the view; members of another one refuse the entry."""
+    """The epoch of the sender's view. Members with another view reject the entry."""
     number: int
-    """The entry's place in the log, from 1 on."""
+    """The position of the entry in the log, starting at 1."""
     revision: int
-    """The configuration's own revision."""
+    """The revision of the configuration."""
     base: int
-    """The revision before it."""
+    """The previous revision."""
     body: bytes
     request_id: int
-    """Of the write request that the tail is to answer; 0: none."""
+    """The write request that the tail replies to; 0: none."""
     origin: str
-    """Where that request came from; nothing: none."""
+    """The origin of that request; empty if there is none."""
 
     def check(self) -> None:
-        """The entry has a number and a body."""
+        """Checks that the entry has a number and a body."""
         check_epochs(self, self.epoch)
-        require(self.number > 0, self, "it has no number")
+        require(self.number > 0, self, "the entry has no number")
         check_number(self, self.number, self.body)
 
 
 @dataclass(frozen=True, slots=True)
 class CommitNotice(Frame):
     """An acknowledgement up the chain, from each member to its predecessor: the tail has synced all entries up to this
-    one."""
+    one, which are thereby committed."""
 
     CODE = 13
     FIELDS = "qq"
@@ -81,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadRequest(Frame):
-    """A read request: the node that took an operator's call asks the tail for the newest configuration."""
+    """A read request: the node that received an operator's call asks the tail for the newest configuration."""
 
     CODE = 14
     FIELDS = "qsc"
@@ -93,12 +95,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadResult(Frame):
-    """The reply to `ReadRequest`, from the tail to the request's origin."""
+    """The reply to `ReadRequest`, from the tail to the origin of the request."""
 
     CODE = 15
     FIELDS = "qhd"
     request_id: int
     status: int
-    """An HTTP status: 200, or 404 where there is no configuration yet."""
+    """An HTTP status: 200, or 404 if there is no configuration yet."""
     body: bytes
-    """The configuration; on the wire its digest."""
+    """The configuration; its digest on the wire."""
--- a/cypressbeam/protocol/frames/codec.py
+++ b/cypressbeam/protocol/frames/codec.py
@@ -1,4 +1,4 @@
-"""The binary codec: a frame's header, the forms that fields can have, and `Frame`, the base class of all messages."""
+"""The binary codec: the frame header, the field encodings, and `Frame`, the base class of all messages."""
 
 from __future__ import annotations
 
@@ -9,116 +9,116 @@
 from cypressbeam.protocol.configuration import digest
 from cypressbeam.protocol.frames.validation import MAX_EPOCH, MIN_EPOCH, FrameError, check_epochs
 
-#: A frame's header on a stream: the length of what follows, and the message's code.
+#: The header of a frame on a stream: the length of the fields, and the code of the message.
 HEADER = struct.Struct("!IB")
-#: Bytes that may follow a header.
+#: The maximum length of the fields of a frame.
 MAX_FRAME_BYTES = 16 * 1024 * 1024
 U8, U16, U32, U64 = struct.Struct("!B"), struct.Struct("!H"), struct.Struct("!I"), struct.Struct("!Q")
-#: Bytes of a digest (SHA-256).
+#: The size of a SHA-256 digest.
 DIGEST_BYTES = 32
-#: Forms that are numbers.
-NUMBER_FORMS = {"c": U8, "h": U16, "i": U32, "q": U64, "e": U64}
+#: The integer encodings by field code.
+INTEGER_FORMATS = {"c": U8, "h": U16, "i": U32, "q": U64, "e": U64}
 
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """One message. `CODE` is its code on the wire; `FIELDS` gives its fields in order, a letter each:
+    """A message. `CODE` is its code on the wire. `FIELDS` has one letter for the encoding of each field, in order:
 
-    c, h, i, q: an unsigned number of 1, 2, 4 or 8 bytes; e: an epoch, in 8 bytes; s: text in UTF-8, below 2 bytes of
-    length; b: bytes, below 4 bytes of length; l: texts, below 2 bytes of count; d: the body of a configuration, which
-    goes onto the wire as its digest, and is that digest after `unpack`.
+    c, h, i, q: an unsigned integer of 1, 2, 4 or 8 bytes; e: an epoch, in 8 bytes; s: a UTF-8 string with a 2-byte
+    length prefix; b: bytes with a 4-byte length prefix; l: a list of strings with a 2-byte count; d: the body of a
+    configuration, which is sent as its digest, so that the field is the digest after `unpack`.
     """
 
     CODE: ClassVar[int] = 0
     FIELDS: ClassVar[str] = ""
 
     def pack(self) -> bytes:
-        """The frame with its header, as it goes onto a stream."""
+        """Encodes the frame with its header."""
         body = b"".join(
-            _pack(form, getattr(self, field.name)) for form, field in zip(self.FIELDS, fields(self), strict=True)
+            _pack(code, getattr(self, field.name)) for code, field in zip(self.FIELDS, fields(self), strict=True)
         )
         return HEADER.pack(len(body), self.CODE) + body
 
     @classmethod
     def unpack(cls, data: bytes) -> Self:
-        """Raises FrameError if the bytes are not exactly this message's fields."""
+        """Decodes the fields. Raises FrameError if the data is not exactly one message of this class."""
         values: list[object] = []
-        at = 0
+        offset = 0
         try:
-            for form in cls.FIELDS:
-                value, at = _unpack(form, data, at)
+            for code in cls.FIELDS:
+                value, offset = _unpack(code, data, offset)
                 values.append(value)
         except (struct.error, UnicodeDecodeError) as err:
             raise FrameError(str(err), cls.__name__) from None
-        if at != len(data):
-            raise FrameError(f"{len(data) - at} bytes too many", cls.__name__)
+        if offset != len(data):
+            raise FrameError(f"{len(data) - offset} trailing bytes", cls.__name__)
         frame = cls(*values)
         frame.check()
         return frame
 
     def check(self) -> None:
-        """Raises FrameError for values that no node sends: an epoch, a member, a count or a digest that cannot be."""
+        """Raises FrameError for values that no correct node sends: an impossible epoch, member, count or digest."""
         check_epochs(self, getattr(self, "epoch", 0))
 
     def body_or_digest(self) -> bytes:
-        """The body that the message names, or its digest where the message comes from a stream; often none."""
+        """The body in the message, or its digest if the message was decoded; empty for messages without a body."""
         return getattr(self, "body", b"") if "d" in self.FIELDS else b""
 
 
-def _pack(form: str, value: object) -> bytes:
-    if form in NUMBER_FORMS:
-        return NUMBER_FORMS[form].pack(value)
-    if form == "s":
+def _pack(code: str, value: object) -> bytes:
+    if code in INTEGER_FORMATS:
+        return INTEGER_FORMATS[code].pack(value)
+    if code == "s":
         assert isinstance(value, str)
         text = value.encode()
         return U16.pack(len(text)) + text
-    if form == "b":
+    if code == "b":
         assert isinstance(value, bytes)
         return U32.pack(len(value)) + value
-    if form == "d":
+    if code == "d":
         assert isinstance(value, bytes)
         return digest(value) if value else bytes(DIGEST_BYTES)
-    assert form == "l" and isinstance(value, tuple)
+    assert code == "l" and isinstance(value, tuple)
     return U16.pack(len(value)) + b"".join(_pack("s", item) for item in value)
 
 
-def _unpack(form: str, data: bytes, at: int) -> tuple[object, int]:
-    """The field that begins at a byte, and where the next one begins."""
-    if form in NUMBER_FORMS:
-        return _unpack_number(form, data, at)
-    if form == "l":
-        return _unpack_texts(data, at)
-    if form == "d":
-        return _unpack_digest(data, at)
-    size = U16 if form == "s" else U32
-    (length,) = size.unpack_from(data, at)
-    at += size.size
-    if at + length > len(data):
-        raise FrameError("a field ends behind the frame")
-    part = data[at : at + length]
-    return (part.decode() if form == "s" else part), at + length
-
-
-def _unpack_number(form: str, data: bytes, at: int) -> tuple[int, int]:
-    number = NUMBER_FORMS[form]
-    (value,) = number.unpack_from(data, at)
-    if form == "e" and value and not MIN_EPOCH <= value <= MAX_EPOCH:
-        raise FrameError(f"no epoch can be {value}")
-    return value, at + number.size
-
-
-def _unpack_texts(data: bytes, at: int) -> tuple[tuple[object, ...], int]:
-    (count,) = U16.unpack_from(data, at)
-    at += U16.size
+def _unpack(code: str, data: bytes, offset: int) -> tuple[object, int]:
+    """The value of the field at an offset, and the offset of the next field."""
+    if code in INTEGER_FORMATS:
+        return _unpack_integer(code, data, offset)
+    if code == "l":
+        return _unpack_strings(data, offset)
+    if code == "d":
+        return _unpack_digest(data, offset)
+    prefix = U16 if code == "s" else U32
+    (length,) = prefix.unpack_from(data, offset)
+    offset += prefix.size
+    if offset + length > len(data):
+        raise FrameError("a field extends beyond the frame")
+    part = data[offset : offset + length]
+    return (part.decode() if code == "s" else part), offset + length
+
+
+def _unpack_integer(code: str, data: bytes, offset: int) -> tuple[int, int]:
+    encoding = INTEGER_FORMATS[code]
+    (value,) = encoding.unpack_from(data, offset)
+    if code == "e" and value and not MIN_EPOCH <= value <= MAX_EPOCH:
+        raise FrameError(f"no epoch has the value {value}")
+    return value, offset + encoding.size
+
+
+def _unpack_strings(data: bytes, offset: int) -> tuple[tuple[object, ...], int]:
+    (count,) = U16.unpack_from(data, offset)
+    offset += U16.size
     items = []
     for _ in range(count):
-        item, at = _unpack("s", data, at)
+        item, offset = _unpack("s", data, offset)
         items.append(item)
-    return tuple(items), at
+    return tuple(items), offset
 
 
-def _unpack_digest(data: bytes, at: int) -> tuple[bytes, int]:
-    digest = data[at : at + DIGEST_BYTES]
+def _unpack_digest(data: bytes, offset: int) -> tuple[bytes, int]:
+    digest = data[offset : offset + DIGEST_BYTES]
     if len(digest) < DIGEST_BYTES:
-        raise FrameError("a digest ends behind the frame")
-    return (digest if any(digest) else b""), at + DIGEST_BYTES
+        raise FrameError("a digest extends beyond the frame")
+    return (digest if any(digest) else b""), offset + DIGEST_BYTES
--- a/cypressbeam/protocol/frames/health.py
+++ b/cypressbeam/protocol/frames/health.py
@@ -1,4 +1,4 @@
-"""Messages about failures: of nodes (suspicion and orderly leaving) and of servers (outlier detection)."""
+"""Messages about failures: suspected and leaving nodes, and outlier detection for servers."""
 
 from __future__ import annotations
 
@@ -9,49 +9,49 @@
 
 @dataclass(frozen=True, slots=True)
 class SuspectReport(Frame):
-    """A node that was assigned to monitor another tells the root that it does not answer."""
+    """A node reports to the root that a node that it monitors does not respond."""
 
     CODE = 8
     FIELDS = "s"
     name: str
-    """The suspected node's name."""
+    """The name of the suspected node."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaveNotice(Frame):
-    """A node tells the root that it is about to end."""
+    """A node reports to the root that it is about to stop."""
 
     CODE = 9
     FIELDS = "s"
     name: str
-    """The node's own name."""
+    """The name of the leaving node."""
 
 
 @dataclass(frozen=True, slots=True)
 class OutlierReport(Frame):
-    """A node reports servers whose requests have failed at it lately; from child to parent up to the root."""
+    """A node reports servers that recently failed its requests; forwarded from child to parent up to the root."""
 
     CODE = 32
     FIELDS = "cssl"
     hops: int
-    """How many nodes have passed it on: a circle of parents ends by this count."""
+    """How many nodes have forwarded it. A limit ends forwarding in a cycle of parents."""
     name: str
-    """The reporting node's name."""
+    """The name of the reporting node."""
     zone: str
-    """Its zone."""
+    """The zone of the reporting node."""
     servers: tuple[str, ...]
-    """The servers' addresses, with port."""
+    """Addresses of the servers, with port."""
 
 
 @dataclass(frozen=True, slots=True)
 class OutlierEjection(Frame):
-    """The root's finding that servers fail for many nodes of a zone; from parent to child down the tree."""
+    """The root has found that servers fail for many nodes of a zone; forwarded from parent to child down the tree."""
 
     CODE = 33
     FIELDS = "sle"
     zone: str
-    """The zone whose nodes it concerns."""
+    """The zone whose nodes are affected."""
     servers: tuple[str, ...]
-    """The servers' addresses, with port."""
+    """Addresses of the servers, with port."""
     epoch: int = 0
-    """In which the root leads."""
+    """The epoch in which the root leads."""
--- a/cypressbeam/protocol/frames/membership.py
+++ b/cypressbeam/protocol/frames/membership.py
@@ -1,4 +1,4 @@
-"""Messages that change the core's group: an operator's request, and the state transfer to a new member."""
+"""Messages for membership changes of the core: an operator's request, and the state transfer to a new member."""
 
 from __future__ import annotations
 
@@ -19,73 +19,73 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipChangeRequest(Frame):
-    """A membership change: the node that took an operator's call sends it to the head of the chain, again and again
-    until it is done."""
+    """A membership change. The node that received an operator's call sends it to the head of the chain and repeats it
+    until the change is done."""
 
     CODE = 42
     FIELDS = "qscsslc"
     request_id: int
-    """A random number by which the reply finds the request."""
+    """A random number that matches the reply to the request."""
     origin: str
-    """The address of the node that took the call."""
+    """The address of the node that received the call."""
     kind: int
     """1: add `new`; 2: remove `old`; 3: both, in this order."""
     old: str
-    """An address, or nothing."""
+    """An address, or empty."""
     new: str
-    """An address, or nothing."""
+    """An address, or empty."""
     base: tuple[str, ...]
-    """The addresses of the group that the change is conditional on."""
+    """The change applies only if these are the addresses of the current group."""
     hops: int = 0
-    """How often the core has passed it on."""
+    """How many times the core has forwarded the request."""
 
     def check(self) -> None:
-        """The kind of change and the group are possible."""
+        """Checks that the kind of change and the group are valid."""
         require(self.kind in (ADD_MEMBER, REMOVE_MEMBER, REPLACE_MEMBER), self, f"change {self.kind} cannot be")
         require(0 < len(self.base) == len(set(self.base)) <= MAX_GROUP_SIZE, self, "its group cannot be")
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipChangeStatus(Frame):
-    """The reply to `MembershipChangeRequest`, from the head to the request's origin: how far the change is."""
+    """The reply to `MembershipChangeRequest`, from the head to the request's origin: the progress of the change."""
 
     CODE = 43
     FIELDS = "qhsl"
     request_id: int
     status: int
-    """An HTTP status: 200 done, 202 under way, 404, 409 or 412 refused."""
+    """An HTTP status: 200 done, 202 in progress, 404, 409 or 412 rejected."""
     text: str
-    """A line for the operator."""
+    """One line for the operator."""
     group: tuple[str, ...]
-    """The group's addresses now."""
+    """The addresses of the current group."""
 
 
 @dataclass(frozen=True, slots=True)
 class CatchUp(Frame):
-    """State transfer: the head sends its view and newest entry to a machine that stands by and is to be a member."""
+    """State transfer: the head sends its view and newest entry to a spare that is about to become a member."""
 
     CODE = 44
     FIELDS = "ssqllqqqqdb"
     name: str
-    """The receiver's name."""
+    """The name of the receiver."""
     origin: str
-    """The head's address."""
+    """The address of the head."""
     epoch: int
-    """Of the view."""
+    """The epoch of the view."""
     chain: tuple[str, ...]
     group: tuple[str, ...]
     number: int
-    """Of the entry; 0: there is none yet."""
+    """The number of the entry; 0: there is none yet."""
     entry_epoch: int
     """The epoch in which the entry was written."""
     revision: int
     base: int
     body: bytes
     applied_digests: bytes
-    """The deduplication table, the first time; later nothing (deduplication.py)."""
+    """The deduplication table in the first message of a transfer, then empty (deduplication.py)."""
 
     def check(self) -> None:
-        """View and entry are sound."""
+        """Checks that receiver, view and entry are valid."""
         check_member(self, self.name)
         check_view(self, self.epoch, self.chain, self.group)
         check_epochs(self, self.entry_epoch)
@@ -94,19 +94,23 @@
 
 @dataclass(frozen=True, slots=True)
 class CatchUpAck(Frame):
-    """The reply to `CatchUp`: a view is on the disk of the machine that stands by, and that entry's body is there."""
+    """The reply to `CatchUp`: the spare has the view on disk and the body of the entry."""
 
     CODE = 45
     FIELDS = "sqqb"
     name: str
-    """The sender's name."""
+    """The name of the sender."""
     epoch: int
     number: int
     digest: bytes
-    """The body's digest; nothing where there is no entry yet."""
+    """The digest of the body; empty if there is no entry yet."""
 
     def check(self) -> None:
-        """An entry has a digest."""
+        """Checks that the sender is a valid member and that an entry has a digest."""
         check_member(self, self.name)
         check_epochs(self, self.epoch)
-        require(len(self.digest) == (DIGEST_BYTES if self.number else 0), self, "its digest cannot be")
+        require(
+            len(self.digest) == (DIGEST_BYTES if self.number else 0),
+            self,
+            "the length of the digest does not match the entry",
+        )
--- a/cypressbeam/protocol/frames/registry.py
+++ b/cypressbeam/protocol/frames/registry.py
@@ -1,4 +1,4 @@
-"""The registry of messages: from a frame's code to its class."""
+"""The message classes by frame code."""
 
 from __future__ import annotations
 
@@ -42,8 +42,8 @@
 from cypressbeam.protocol.frames.validation import FrameError
 
 FRAME_TYPES: dict[int, type[Frame]] = {
-    kind.CODE: kind
-    for kind in (
+    frame_type.CODE: frame_type
+    for frame_type in (
         JoinRequest,
         LeaderRedirect,
         ParentAssignment,
@@ -88,8 +88,8 @@
 }
 
 
-def unpack(kind: int, body: bytes) -> Frame:
-    """A message by its code. Raises FrameError."""
-    if kind not in FRAME_TYPES:
-        raise FrameError(f"unknown kind {kind}")
-    return FRAME_TYPES[kind].unpack(body)
+def unpack(code: int, data: bytes) -> Frame:
+    """Decodes the fields of a message by its code. Raises FrameError."""
+    if code not in FRAME_TYPES:
+        raise FrameError(f"unknown message code {code}")
+    return FRAME_TYPES[code].unpack(data)
--- a/cypressbeam/protocol/frames/status.py
+++ b/cypressbeam/protocol/frames/status.py
@@ -1,4 +1,4 @@
-"""Messages of the status survey, by which any node tells an operator the state of the core (state_query.py)."""
+"""Messages of the status query, by which any node reports the state of the core to an operator (state_query.py)."""
 
 from __future__ import annotations
 
@@ -6,59 +6,59 @@
 
 from cypressbeam.protocol.frames.codec import Frame
 
-#: Flags of a machine of the core: it holds a view that is active, its disk takes writes, it is the root.
+#: Flags of a machine of the core: its view is active, its disk accepts writes, it is the root.
 VIEW_ACTIVE, DISK_WORKS, IS_ROOT = 1, 2, 4
 
 
 @dataclass(frozen=True, slots=True)
 class StatusQuery(Frame):
-    """A status query, from the node that an operator asked to each machine of the core."""
+    """A status query from the node that received an operator's call to each machine of the core."""
 
     CODE = 25
     FIELDS = "qs"
     request_id: int
-    """A random number by which replies find the query."""
+    """A random number that matches replies to the query."""
     origin: str
-    """The querying node's address."""
+    """The address of the querying node."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaStatus(Frame):
-    """The reply to `StatusQuery`: what a machine of the core holds."""
+    """The reply to `StatusQuery`: the state of a machine of the core."""
 
     CODE = 26
     FIELDS = "qsqllqqqqc"
     request_id: int
     name: str
-    """The machine's name as a member."""
+    """The member name of the machine."""
     epoch: int
-    """Of its view."""
+    """The epoch of its view."""
     chain: tuple[str, ...]
     group: tuple[str, ...]
     promised: int
-    """The epoch that it has promised."""
+    """The epoch that the machine has promised."""
     number: int
-    """Of its newest entry; 0: none."""
+    """The number of its newest entry; 0: none."""
     revision: int
-    """Of that entry."""
+    """The revision of that entry."""
     committed: int
-    """The number up to which it knows all entries to be committed."""
+    """The number of the newest entry that it knows to be committed."""
     flags: int
-    """ACTIVE, DISK_WORKS, ROOT."""
+    """A combination of VIEW_ACTIVE, DISK_WORKS and IS_ROOT."""
 
 
 @dataclass(frozen=True, slots=True)
 class SpareAnnouncement(Frame):
-    """Sent beside `ReplicaStatus`: the spares, and at the head also the members that are silent."""
+    """Sent along with `ReplicaStatus`: the spares, and from the head also the silent members."""
 
     CODE = 46
     FIELDS = "qslls"
     request_id: int
     name: str
-    """The sender's name."""
+    """The name of the sender."""
     spares: tuple[str, ...]
-    """Names of machines that stand by, as the sender hears them."""
+    """Names of the spares that the sender receives heartbeats from."""
     silent_members: tuple[str, ...]
-    """A member's address and the seconds since it was heard, each."""
+    """For each silent member, its address and the seconds since its last heartbeat."""
     replacement_status: str
-    """What an automatic replacement waits for, in words; or nothing."""
+    """What an automatic replacement is waiting for, as text; otherwise empty."""
--- a/cypressbeam/protocol/frames/tree.py
+++ b/cypressbeam/protocol/frames/tree.py
@@ -1,7 +1,7 @@
-"""Messages of the distribution tree: joining, the assignment of a parent, and what goes from parents to children.
+"""Messages of the distribution tree: joining, parent assignment, and replication from parents to children.
 
-An `epoch` here is that of the view under which the sender's statement was made (docs/design/fencing.md): a receiver
-that has seen a higher one takes nothing of the message, and replies with `LeaderRedirect`.
+`epoch` is a fencing token, the epoch of the view in which the message's content originated (docs/design/fencing.md). A
+receiver that has seen a higher epoch ignores the message and replies with `LeaderRedirect`.
 """
 
 from __future__ import annotations
@@ -10,170 +10,170 @@
 
 from cypressbeam.protocol.frames.codec import Frame
 
-#: Flags of a node: it serves clients; it may be a member of the core; it is named to found one; its event loop is
-#: late, and it should have no children.
+#: Flags of a node: it serves clients; it may be a member of the core; it may bootstrap the core; its event loop lags,
+#: and it should have no children.
 SERVES_CLIENTS, MAY_BE_MEMBER, MAY_BOOTSTRAP, IS_OVERLOADED = 1, 2, 4, 8
 
 
 @dataclass(frozen=True, slots=True)
 class JoinRequest(Frame):
-    """A node registers itself: to a seed, a machine of the core or the root; repeated, for the root's node registry is
-    soft state. The root answers with `ParentAssignment`, any other node with `LeaderRedirect`."""
+    """A node registers with a seed, a machine of the core or the root, and repeats this because the root's node
+    registry is soft state. The root replies with `ParentAssignment`, any other node with `LeaderRedirect`."""
 
     CODE = 1
     FIELDS = "sssccssiee"
     name: str
-    """The node's name, unique in the system."""
+    """The name of the node, unique in the system."""
     ip: str
     zone: str
     flags: int
-    """FRONT, QUORUM, BOOTSTRAP, SLOW."""
+    """A combination of SERVES_CLIENTS, MAY_BE_MEMBER, MAY_BOOTSTRAP and IS_OVERLOADED."""
     has_assignment: int
-    """1 from a node that already has an assignment, else 0."""
+    """1 if the node already has an assignment, else 0."""
     lost_parent: str
-    """The address of a parent that has fallen silent, or nothing."""
+    """The address of a parent that has stopped responding, or empty."""
     identity: str = ""
-    """Of a machine with a disk: its name as a member, address and identity."""
+    """The member name of a machine with a disk: address and identity."""
     kbps: int = 1_000_000
-    """The rate of its link, in kbit/s."""
+    """The bandwidth of the node's link in kbit/s."""
     epoch: int = 0
-    """The highest that it has seen; 0: none."""
+    """The highest epoch that the node has seen; 0: none."""
     acknowledged_epoch: int = 0
-    """The epoch of the newest assignment or heartbeat that it was given: proof to the root that it is heard."""
+    """The epoch of the newest assignment or heartbeat that reached the node, to show that it has contact."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaderRedirect(Frame):
-    """Where the root is: the answer of a node that is not the root to `JoinRequest`, and of any node to a message of
-    an older epoch. A new root sends it unasked to the seeds."""
+    """The address of the root: the reply to `JoinRequest` from a node that is not the root, and of any node to a
+    message with an older epoch. A new root sends it to the seeds without a request."""
 
     CODE = 2
     FIELDS = "sel"
     leader: str
-    """The root's address; empty: the sender cannot vouch for any."""
+    """The address of the root; empty if the sender does not know the current one."""
     epoch: int = 0
-    """The highest that the sender has seen a root lead in."""
+    """The highest epoch in which the sender has seen a root lead."""
     group: tuple[str, ...] = ()
-    """Addresses of the core's group, as the sender knows it: others to ask."""
+    """Addresses of the core's group as known to the sender; the receiver can send its request to these."""
 
 
 @dataclass(frozen=True, slots=True)
 class ParentAssignment(Frame):
-    """The root's answer to `JoinRequest`: the parents and the monitored peers that it assigns to the node."""
+    """The root's reply to `JoinRequest`: the parents and the peers to monitor that it assigns to the node."""
 
     CODE = 3
     FIELDS = "ellllhhhl"
     epoch: int
-    """In which the root leads."""
+    """The epoch in which the root leads."""
     chain: tuple[str, ...]
     """Addresses of the chain, from head to tail."""
     parents: tuple[str, ...]
-    """Addresses of parents, to be tried in this order."""
+    """Addresses of candidate parents, in order of preference."""
     probed_ips: tuple[str, ...]
-    """Addresses of the nodes that this one is to probe."""
+    """Addresses of the nodes that the receiver probes."""
     probed_names: tuple[str, ...]
-    """Their names, in the same order."""
+    """Names of these nodes, in the same order."""
     edge_count: int
-    """How many nodes serve clients."""
+    """The number of nodes that serve clients."""
     zone_edge_count: int
-    """How many of these are in the node's zone."""
+    """The number of these nodes in the receiver's zone."""
     index: int
-    """The node's number among those that serve clients, from 0."""
+    """The index of the receiver among the nodes that serve clients, from 0."""
     group: tuple[str, ...] = ()
-    """Addresses of the core's group, also of those that are not in the chain."""
+    """Addresses of the core's group, including members that are not in the chain."""
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe(Frame):
-    """A child subscribes at its parent and tells what it has; the parent sends what it lacks, and all updates from then
-    on. A parent that has no root itself answers with `Unsubscribed`."""
+    """A child subscribes to its parent and reports its current state. The parent sends what is missing, and all further
+    updates. A parent without a connection to the root replies with `Unsubscribed`."""
 
     CODE = 4
     FIELDS = "sqqie"
     name: str
-    """The child's name."""
+    """The name of the child."""
     revision: int
-    """Of the configuration that it has; 0: none."""
+    """The revision of its configuration; 0: none."""
     term: int
-    """The root's term whose list of servers it has (see `EndpointUpdate`); 0: none."""
+    """The root's term of its endpoint list (see `EndpointUpdate`); 0: none."""
     sequence: int
-    """That list's sequence number."""
+    """The sequence number of that list."""
     epoch: int = 0
-    """The highest that the child has seen."""
+    """The highest epoch that the child has seen."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationAnnouncement(Frame):
-    """Parent to child: a configuration is committed. Its body is to be fetched from the sender (`ChunkRequest`)."""
+    """Parent to child: a configuration is committed. The child fetches its body from the sender (`ChunkRequest`)."""
 
     CODE = 5
     FIELDS = "qbe"
     revision: int
     digest: bytes
-    """The body's digest."""
+    """The digest of the body."""
     epoch: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationDelta(Frame):
-    """Parent to child: a configuration is committed, and what it changes is small enough to be in the message."""
+    """Parent to child: a configuration is committed, and its delta is small enough to be sent in the message."""
 
     CODE = 50
     FIELDS = "qbbbe"
     revision: int
     digest: bytes
-    """The body's digest."""
+    """The digest of the body."""
     base_digest: bytes
-    """The digest of the version before, on which the data is packed (delta.py)."""
+    """The digest of the previous configuration, the base of the delta (delta.py)."""
     data: bytes
-    """The body, packed on that base."""
+    """The body, packed against that base."""
     epoch: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate(Frame):
-    """Parent to child: the list of servers, whole or as the changes from one sequence number to a later one."""
+    """Parent to child: the endpoint list, either in full or as changes from one sequence number to a later one."""
 
     CODE = 6
     FIELDS = "qiicbe"
     term: int
-    """A random number that the root has drawn for its term; sequence numbers count within it."""
+    """A random number that the root generated for its term. Sequence numbers apply within a term."""
     base_sequence: int
     """The sequence number that the changes apply to."""
     sequence: int
-    """The sequence number that they lead to."""
+    """The sequence number after the changes."""
     whole: int
-    """1: the rows are the whole list; 0: changes."""
+    """1: `rows` is the full list; 0: `rows` contains changes."""
     rows: bytes
-    """Rows of servers, as endpoint_list.py packs them."""
+    """Servers in the encoding of endpoint_list.py."""
     epoch: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class RootHeartbeat(Frame):
-    """The root's heartbeat, from parent to child down the tree, with what is newest at the root. A child that lacks one
-    of these subscribes again."""
+    """The root's heartbeat, forwarded from parent to child down the tree, with the newest versions at the root. A child
+    with an older version subscribes again."""
 
     CODE = 7
     FIELDS = "qiqhie"
     term: int
     """The root's term, as in `EndpointUpdate`."""
     sequence: int
-    """The newest sequence number of the list of servers."""
+    """The newest sequence number of the endpoint list."""
     revision: int
-    """Of the newest committed configuration."""
+    """The revision of the newest committed configuration."""
     edge_count: int
-    """How many nodes serve clients; 0: not known yet."""
+    """The number of nodes that serve clients; 0: not known yet."""
     number: int = 0
-    """Rises with each heartbeat of a term: one that comes a second time has gone in a circle."""
+    """Increases with each heartbeat of a term. A heartbeat that arrives a second time has gone through a cycle."""
     epoch: int = 0
-    """In which the root leads. It may rise within a term."""
+    """The epoch in which the root leads. It may increase within a term."""
 
 
 @dataclass(frozen=True, slots=True)
 class KeepAlive(Frame):
-    """Keep-alive from parent to child while there is no heartbeat of the root to pass on: the sender searches for the
-    root, and its children stay with it for a while."""
+    """Keep-alive from parent to child while there is no root heartbeat to forward: the sender is searching for the
+    root, and its children stay connected for a limited time."""
 
     CODE = 31
     FIELDS = ""
@@ -181,8 +181,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Unsubscribed(Frame):
-    """Parent to child: the subscription has ended, and another parent is to be found. The connection stays for other
-    messages."""
+    """Parent to child: the subscription has ended, and the child has to find another parent. The connection stays open
+    for other messages."""
 
     CODE = 30
     FIELDS = ""
--- a/cypressbeam/protocol/settings.py
+++ b/cypressbeam/protocol/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process: lines of the form a.b=value, named by CYPRESSBEAM_BOOT (source: DEPLOY.md)."""
+"""The settings file of a process, whose path is in CYPRESSBEAM_BOOT: lines of the form a.b=value (see DEPLOY.md)."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 VARIABLE = "CYPRESSBEAM_BOOT"
 T = TypeVar("T", int, float)
-#: A member is replaced after this share of `syncS`: the rest is for noticing its silence and for two views.
+#: The default delay of a replacement as a fraction of `syncS`. The rest is for failure detection and two view changes.
 REPLACE_SHARE = 0.25
 
 
 class SettingsError(CypressbeamError):
-    """One plain line on what is wrong with the settings: the file, the key, what was found and what is wanted."""
+    """Invalid settings. The message is one line with the file, the key, the value and the expected form."""
 
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """The figures within which the rules hold. Milliseconds or seconds, as the names say."""
+    """Time limits and retry limits of the system, in the units that the names give."""
 
     converge_ms: int = 3000
     drain_deadline_ms: int = 3000
     grace_period_s: float = 6.0
     sync_s: float = 4.0
-    """A machine that is back, or new, counts as lost for so long."""
+    """How long a new or restarted machine still counts as lost."""
     retry_ratio: float = 0.2
     retry_window_s: float = 10.0
     retry_slack: float = 60.0
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings of one process. Addresses are host and port; sizes are in the units of their names."""
+    """The settings of one process. Addresses are host and port; sizes are in the units that the names give."""
 
     node: str
     ip: str
@@ -57,60 +57,60 @@
     platform_per_s: float
     envelope: Envelope
     share_faults: bool = True
-    """Whether nodes tell each other which servers fail (docs/design/verdicts.md)."""
+    """Whether nodes report failing servers to each other (docs/design/verdicts.md)."""
     replace_after_s: float = 1.0
-    """A member that was silent for so long is replaced by a machine that stands by; 0: never. As a rule a quarter of
-    `syncS`, so that all of a replacement fits into that time (docs/design/members.md)."""
+    """A member that has been silent for this long is replaced by a spare machine; 0 disables replacement. The default
+    is a quarter of `syncS`, so that the whole replacement fits into that time (docs/design/members.md)."""
 
     @property
     def peer_port(self) -> int:
-        """The port at which every machine of the system listens for the others."""
+        """The port on which each machine of the system listens for the other machines."""
         return self.internal_ports[0]
 
 
 class SettingsReader:
-    """Values by key, each read with a check that names file, key, what was found and what is wanted."""
+    """Reads and validates values by key. Each method raises SettingsError for an invalid value."""
 
     def __init__(self, path: str, values: Mapping[str, str]) -> None:
         self.path = path
         self.values = values
 
-    def error(self, key: str, wanted: str) -> SettingsError:
-        """What is wrong with a key: what was found, and what is wanted."""
-        found = self.values.get(key)
-        found_text = "is missing" if found is None else f"is {found!r}"
-        return SettingsError(f"{self.path}: {key} {found_text}; {wanted} is wanted")
+    def error(self, key: str, expected: str) -> SettingsError:
+        """The error for a key: its value and the expected form."""
+        value = self.values.get(key)
+        state = "is missing" if value is None else f"is {value!r}"
+        return SettingsError(f"{self.path}: {key} {state}; {expected} is wanted")
 
     def text(self, key: str) -> str:
-        """A value that must be there. Raises SettingsError, as all of these."""
+        """A required value."""
         value = self.values.get(key, "")
         if not value:
             raise self.error(key, "a value")
         return value
 
     def address(self, key: str) -> Address | None:
-        """One address, or None."""
-        found = self.addresses(key)
-        if len(found) > 1 or (self.values.get(key) and not found):
+        """A single address, or None."""
+        addresses = self.addresses(key)
+        if len(addresses) > 1 or (self.values.get(key) and not addresses):
             raise self.error(key, "host:port")
-        return found[0] if found else None
+        return addresses[0] if addresses else None
 
     def addresses(self, key: str) -> tuple[Address, ...]:
-        """Addresses, separated by commas."""
+        """Comma-separated addresses."""
         try:
             return tuple(read_address(part) for part in self.values.get(key, "").split(",") if part)
         except ValueError:
             raise self.error(key, "host:port") from None
 
     def flag(self, key: str, default: bool = False) -> bool:
-        """true or false."""
+        """A boolean, `true` or `false`."""
         value = self.values.get(key, str(default).lower())
         if value not in ("true", "false"):
             raise self.error(key, "true or false")
         return value == "true"
 
     def number(self, key: str, default: T, least: float = 0) -> T:
-        """A number of the default's type, at least `least`."""
+        """A finite number of the type of `default`, not below `least`."""
         text = self.values.get(key)
         if text is None or text == "":
             return default
@@ -123,7 +123,7 @@
         return value
 
     def ports(self, key: str) -> tuple[int, int]:
-        """A first and a last port."""
+        """The first and the last port of a range."""
         parts = self.text(key).split(",")
         if len(parts) != 2 or not all(part.isdecimal() and 0 < int(part) < 65536 for part in parts):
             raise self.error(key, "a first and a last port")
@@ -131,7 +131,7 @@
 
 
 def parse(text: str, path: str) -> Settings:
-    """Read a settings file's text. Unknown keys are left alone. Raises SettingsError."""
+    """Parses the text of a settings file. Unknown keys are ignored. Raises SettingsError."""
     values = {}
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.lstrip().startswith("#"):
@@ -140,43 +140,43 @@
         if not equals:
             raise SettingsError(f"{path}: line {number} is {line.strip()!r}; key=value is wanted")
         values[key.strip()] = value.strip()
-    lines = SettingsReader(path, values)
-    sync_s = lines.number("envelope.syncS", 4.0)
+    reader = SettingsReader(path, values)
+    sync_s = reader.number("envelope.syncS", 4.0)
     state_dir = values.get("stateDir")
     return Settings(
-        node=lines.text("node"),
-        ip=lines.text("ip"),
+        node=reader.text("node"),
+        ip=reader.text("ip"),
         zone=values.get("zone", ""),
-        seeds=lines.addresses("seedPeers"),
-        front_listener=lines.address("listeners.front"),
-        readiness_listener=lines.address("listeners.readiness"),
-        control_listener=lines.address("listeners.control"),
-        internal_ports=lines.ports("internalPorts"),
-        bootstrap=lines.flag("bootstrap"),
-        quorum_member=lines.flag("quorumMember"),
+        seeds=reader.addresses("seedPeers"),
+        front_listener=reader.address("listeners.front"),
+        readiness_listener=reader.address("listeners.readiness"),
+        control_listener=reader.address("listeners.control"),
+        internal_ports=reader.ports("internalPorts"),
+        bootstrap=reader.flag("bootstrap"),
+        quorum_member=reader.flag("quorumMember"),
         state_dir=Path(state_dir) if state_dir else None,
-        memory_mb=lines.number("constraints.memoryMb", 300, 1),
-        file_handles=lines.number("constraints.fileHandles", 1024, 64),
-        link_mbps=lines.number("constraints.linkMbps", 1000.0, 0.01),
-        machine_losses=lines.number("tolerance.machineLosses", 0),
-        platform=lines.address("platform.address"),
-        platform_per_s=lines.number("platform.ratePerS", 10.0),
-        share_faults=lines.flag("gateway.shareFaults", True),
-        replace_after_s=lines.number("gateway.replaceAfterS", REPLACE_SHARE * sync_s),
+        memory_mb=reader.number("constraints.memoryMb", 300, 1),
+        file_handles=reader.number("constraints.fileHandles", 1024, 64),
+        link_mbps=reader.number("constraints.linkMbps", 1000.0, 0.01),
+        machine_losses=reader.number("tolerance.machineLosses", 0),
+        platform=reader.address("platform.address"),
+        platform_per_s=reader.number("platform.ratePerS", 10.0),
+        share_faults=reader.flag("gateway.shareFaults", True),
+        replace_after_s=reader.number("gateway.replaceAfterS", REPLACE_SHARE * sync_s),
         envelope=Envelope(
-            converge_ms=lines.number("envelope.convergeMs", 3000),
-            drain_deadline_ms=lines.number("envelope.drainDeadlineMs", 3000),
-            grace_period_s=lines.number("envelope.gracePeriodS", 6.0),
+            converge_ms=reader.number("envelope.convergeMs", 3000),
+            drain_deadline_ms=reader.number("envelope.drainDeadlineMs", 3000),
+            grace_period_s=reader.number("envelope.gracePeriodS", 6.0),
             sync_s=sync_s,
-            retry_ratio=lines.number("envelope.retryRatio", 0.2),
-            retry_window_s=lines.number("envelope.retryWindowS", 10.0),
-            retry_slack=lines.number("envelope.retrySlack", 60.0),
+            retry_ratio=reader.number("envelope.retryRatio", 0.2),
+            retry_window_s=reader.number("envelope.retryWindowS", 10.0),
+            retry_slack=reader.number("envelope.retrySlack", 60.0),
         ),
     )
 
 
 def load(environ: Mapping[str, str]) -> Settings:
-    """The settings that the environment names. Raises SettingsError."""
+    """Reads the settings file whose path the environment gives. Raises SettingsError."""
     path = environ.get(VARIABLE)
     if not path:
         raise SettingsError(f"{VARIABLE} is not set; the path of a settings file is wanted")
--- a/lab/rules_fencing.py
+++ b/lab/rules_fencing.py
@@ -422,7 +422,7 @@
     fencing(
         "a frame with an invalid epoch is rejected",
         CODEC,
-        'if form == "e" and value and not MIN_EPOCH <= value <= MAX_EPOCH:',
+        'if code == "e" and value and not MIN_EPOCH <= value <= MAX_EPOCH:',
         "if False:",
     ),
     fencing(
--- a/lab/rules_orders.py
+++ b/lab/rules_orders.py
@@ -312,7 +312,7 @@
     orders(
         "valid: well-formed CBOR",
         CONFIGURATION,
-        '    except Exception as err:  # noqa: BLE001 (the decoder raises what it likes on hostile bytes)\n        raise InvalidConfigurationError(f"no CBOR: {err}") from None\n',
+        '    except Exception as err:  # noqa: BLE001 (the decoder raises arbitrary exceptions on malformed bytes)\n        raise InvalidConfigurationError(f"no CBOR: {err}") from None\n',
         '    except Exception:\n        value = {"revision": 99, "channels": [], "plants": []}\n'
         "        stream.seek(0, 2)\n",
     ),
@@ -345,8 +345,8 @@
     orders(
         "valid: constraints above 0",
         CONFIGURATION,
-        "if not all(\n        0 < figure < math.inf\n        for figure in",
-        "if not all(True for figure in",
+        "if not all(\n        0 < limit < math.inf\n        for limit in",
+        "if not all(True for limit in",
     ),
     orders(
         "valid: byte limits within the range of an integer",
@@ -363,38 +363,38 @@
     orders(
         "valid: no two routes for the same host and prefix",
         CONFIGURATION,
-        "        if place in places:",
+        "        if match in labels:",
         "        if False:",
     ),
     orders(
         "routes are compared as requests are matched",
         CONFIGURATION,
-        "place = (host_name(channel.host), channel.prefix)",
-        "place = (channel.host, channel.prefix)",
+        "match = (host_name(route.host), route.prefix)",
+        "match = (route.host, route.prefix)",
     ),
-    orders("valid: a host", CONFIGURATION, "if not host_name(channel.host):", "if not channel.host:"),
+    orders("valid: a host", CONFIGURATION, "if not host_name(route.host):", "if not route.host:"),
     orders(
         "valid: a prefix that begins and ends with a slash",
         CONFIGURATION,
-        'if not (channel.prefix.startswith("/") and channel.prefix.endswith("/")):',
+        'if not (route.prefix.startswith("/") and route.prefix.endswith("/")):',
         "if False:",
     ),
     orders(
         "valid: a timeout above 0",
         CONFIGURATION,
-        "if not 0 < channel.timeout_ms < 1e9 or",
-        "if not 0 <= channel.timeout_ms < 1e9 or",
+        "if not 0 < route.timeout_ms < 1e9 or",
+        "if not 0 <= route.timeout_ms < 1e9 or",
     ),
     orders(
         "valid: tries and ranks within the range of an integer",
         CONFIGURATION,
-        "if not (0 <= channel.tries <= MAX_INTEGER and 0 <= channel.rank <= MAX_INTEGER):",
-        "if channel.tries < 0 or channel.rank < 0:",
+        "if not (0 <= route.tries <= MAX_INTEGER and 0 <= route.rank <= MAX_INTEGER):",
+        "if route.tries < 0 or route.rank < 0:",
     ),
     orders(
         "valid: either a service or an allocation",
         CONFIGURATION,
-        "if (channel.service is None) == (not channel.allocation):",
+        "if (route.service is None) == (not route.allocation):",
         "if False:",
     ),
     orders("valid: only services that exist", CONFIGURATION, "if unknown := named - services:", "if unknown := set():"),
@@ -408,7 +408,7 @@
     orders(
         "valid: no weight below 0",
         CONFIGURATION,
-        "if any(not share.weight >= 0 for share in channel.allocation) or",
+        "if any(not weighted.weight >= 0 for weighted in route.allocation) or",
         "if",
     ),
     orders(
