--- a/cypressbeam/admin/__init__.py
+++ b/cypressbeam/admin/__init__.py
@@ -1,1 +1,1 @@
-"""What an operator does with a running system, over the control listeners of its nodes. Prints nothing itself."""
+"""Operations on a running system through the control listeners of its nodes. This package prints nothing."""
--- a/cypressbeam/admin/backup.py
+++ b/cypressbeam/admin/backup.py
@@ -1,4 +1,4 @@
-"""The state of the system saved to a file, and brought back."""
+"""Backup of the system's state to a file, and restore."""
 
 from __future__ import annotations
 
@@ -14,53 +14,56 @@
 from cypressbeam.protocol.configuration import InvalidConfigurationError
 from cypressbeam.storage.files import write_atomically
 
-#: The first field of a saved state, and its version.
+#: The value of the `format` field of a backup, with the format version.
 BACKUP_FORMAT = "cypressbeam state 1"
 
 
-async def backup(where: Address, file: Path) -> str:
-    """What is lost with all disks is the configuration: the rest is agreed on anew. The file is whole or not there."""
-    body = await read(where)
-    state = await read_state(where)
-    number = configuration.read(body).revision
+async def backup(control: Address, file: Path) -> str:
+    """Saves the configuration, the only state that cannot be rebuilt after the loss of all disks. Writes the file
+    atomically."""
+    body = await read(control)
+    state = await read_state(control)
+    saved = configuration.read(body).revision
     data = cbor2.dumps(
         {
             "format": BACKUP_FORMAT,
-            "revision": number,
+            "revision": saved,
             "digest": configuration.digest(body),
             "epoch": state["epoch"],
             "body": body,
         }
     )
     write_atomically(file, data)
-    return f"revision {number} saved to {file}"
+    return f"revision {saved} saved to {file}"
 
 
 def read_backup(file: Path) -> tuple[int, bytes]:
-    """Revision and body. Raises UnusableFileError for what is no whole saved state."""
+    """Returns revision and body. Raises UnusableFileError if the file is not a complete, valid backup."""
     try:
-        saved = cbor2.loads(file.read_bytes())
-        if saved["format"] != BACKUP_FORMAT:
-            raise UnusableFileError(f"{file}: format {saved['format']!r}; {BACKUP_FORMAT!r} is wanted")
-        body: bytes = saved["body"]
-        if configuration.digest(body) != saved["digest"]:
+        document = cbor2.loads(file.read_bytes())
+        if document["format"] != BACKUP_FORMAT:
+            raise UnusableFileError(
+                f"{file}: format {document['format']!r} is not supported, expected {BACKUP_FORMAT!r}"
+            )
+        body: bytes = document["body"]
+        if configuration.digest(body) != document["digest"]:
             raise UnusableFileError(f"{file}: the body does not match its digest")
         return configuration.read(body).revision, body
     except (cbor2.CBORError, InvalidConfigurationError, KeyError, TypeError, ValueError) as err:
-        raise UnusableFileError(f"{file}: no saved state: {err}") from None
+        raise UnusableFileError(f"{file}: not a saved state: {err}") from None
 
 
-async def restore(where: Address, file: Path, over: bool) -> str:
-    """Raises RequestRefusedError where the system holds something newer, unless it is to go over that: nodes never take
-    an older revision, so what was saved then comes back under the next number."""
+async def restore(control: Address, file: Path, over: bool) -> str:
+    """Restores a backup. Raises RequestRefusedError if the system has a newer revision, unless `over` is set: then the
+    saved configuration gets the next revision number, because nodes never accept an older revision."""
     saved, body = read_backup(file)
-    held = await revision(where)
-    if held >= saved:
-        if await read(where) == body:
+    current = await revision(control)
+    if current >= saved:
+        if await read(control) == body:
             return f"revision {saved} is in force already"
         if not over:
             raise RequestRefusedError(
-                f"revision {held} is in force, {saved} was saved; --over brings it back as {held + 1}"
+                f"revision {current} is in force, {saved} was saved; --over restores it as {current + 1}"
             )
-        body = cbor2.dumps(cbor2.loads(body) | {"revision": held + 1})
-    return await push(where, body, held)
+        body = cbor2.dumps(cbor2.loads(body) | {"revision": current + 1})
+    return await push(control, body, current)
--- a/cypressbeam/admin/config_calls.py
+++ b/cypressbeam/admin/config_calls.py
@@ -1,4 +1,4 @@
-"""The configuration in force: read, replaced, and compared with a file."""
+"""Reads and replaces the configuration in force, and compares it with a file."""
 
 from __future__ import annotations
 
@@ -14,66 +14,68 @@
 from cypressbeam.protocol.address import Address, read_address
 from cypressbeam.proxy.http_responses import Response
 
-#: A call is sent elsewhere so often at most.
-MOST_HOPS = 2
+MAX_REDIRECTS = 2
 
 
-def read_location(answer: Response) -> Address:
-    """Where a node with a thin link sends those who read. Raises RequestRefusedError."""
-    location = (answer.header(b"location") or b"").decode("latin-1")
+def read_location(response: Response) -> Address:
+    """The target of a redirect; nodes with a slow link redirect reads. Raises RequestRefusedError."""
+    location = (response.header(b"location") or b"").decode("latin-1")
     try:
         return read_address(location.removeprefix("http://").partition("/")[0])
     except ValueError:
-        raise RequestRefusedError(f"307: Location is {location!r}; http://host:port is wanted") from None
+        raise RequestRefusedError(f"307: invalid Location {location!r}, expected http://host:port") from None
 
 
-async def read(where: Address) -> bytes:
-    """The configuration in force. Raises RequestRefusedError; its text begins with 404 where there is none yet."""
-    answer = await call(where, "GET", READ)
-    for _ in range(MOST_HOPS):
-        if answer.status != 307:
+async def read(control: Address) -> bytes:
+    """The configuration in force. Raises RequestRefusedError, whose message begins with 404 if there is none yet."""
+    response = await call(control, "GET", READ)
+    for _ in range(MAX_REDIRECTS):
+        if response.status != 307:
             break
-        answer = await call(read_location(answer), "GET", READ)
-    if answer.status != 200:
+        response = await call(read_location(response), "GET", READ)
+    if response.status != 200:
         raise RequestRefusedError(
-            f"{answer.status}: {answer.body.decode(errors='replace').strip() or 'no configuration'}"
+            f"{response.status}: {response.body.decode(errors='replace').strip() or 'no configuration'}"
         )
-    return answer.body
+    return response.body
 
 
-async def revision(where: Address) -> int:
-    """The revision in force, 0 before the first."""
+async def revision(control: Address) -> int:
+    """The revision in force, or 0 if there is none yet."""
     try:
-        return configuration.read(await read(where)).revision
+        return configuration.read(await read(control)).revision
     except RequestRefusedError as err:
         if str(err).startswith("404"):
             return 0
         raise
 
 
-async def push(where: Address, body: bytes, base: int | None = None) -> str:
-    """Replace the configuration, that of revision `base` or the one in force. Raises RequestRefusedError."""
+async def push(control: Address, body: bytes, base: int | None = None) -> str:
+    """Replaces the configuration if its revision is `base`, by default the one in force. Raises RequestRefusedError."""
     if base is None:
-        base = await revision(where)
-    answer = await call(where, "POST", REPLACE, f"Base-Revision: {base}\r\nContent-Type: application/cbor\r\n", body)
-    text = answer.body.decode(errors="replace").strip()
-    if answer.status != 200:
-        raise RequestRefusedError(f"{answer.status}: {text}")
+        base = await revision(control)
+    response = await call(
+        control, "POST", REPLACE, f"Base-Revision: {base}\r\nContent-Type: application/cbor\r\n", body
+    )
+    text = response.body.decode(errors="replace").strip()
+    if response.status != 200:
+        raise RequestRefusedError(f"{response.status}: {text}")
     return f"revision {configuration.read(body).revision} is in force ({text})"
 
 
-async def push_file(where: Address, file: Path, base: int | None) -> str:
-    """Raises UnusableFileError, before anything is sent, for a file that can't be read."""
-    return await push(where, load(file), base)
+async def push_file(control: Address, file: Path, base: int | None) -> str:
+    """Replaces the configuration by that of a file. Raises UnusableFileError if the file is unreadable, before anything
+    is sent."""
+    return await push(control, load(file), base)
 
 
-async def diff(where: Address, file: Path) -> list[str]:
-    """What a file would take out of the configuration in force, and what it would put in. Raises RequestRefusedError,
-    UnusableFileError."""
-    now, new = flatten(cbor2.loads(await read(where))), flatten(cbor2.loads(load(file)))
+async def diff(control: Address, file: Path) -> list[str]:
+    """Lists the values that a file would remove from or add to the configuration in force. Raises RequestRefusedError
+    or UnusableFileError."""
+    current, new = flatten(cbor2.loads(await read(control))), flatten(cbor2.loads(load(file)))
     lines = []
-    for key in sorted(now.keys() | new.keys()):
-        if now.get(key) != new.get(key):
-            lines += [f"- {key} = {now[key]!r}"] if key in now else []
+    for key in sorted(current.keys() | new.keys()):
+        if current.get(key) != new.get(key):
+            lines += [f"- {key} = {current[key]!r}"] if key in current else []
             lines += [f"+ {key} = {new[key]!r}"] if key in new else []
     return lines
--- a/cypressbeam/admin/config_file.py
+++ b/cypressbeam/admin/config_file.py
@@ -1,4 +1,4 @@
-"""A configuration as a file: read, checked and described before it is sent."""
+"""Configuration files: reading, validation and description before they are sent."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from cypressbeam.protocol import configuration
 from cypressbeam.protocol.configuration import Configuration, InvalidConfigurationError, RouteConfiguration
 
-#: A setpoint over this share of the cut-off leaves no time for a second try.
-LATE_SETPOINT = 0.5
+#: A target latency above this fraction of the timeout leaves no time for a second try.
+MAX_TARGET_FRACTION = 0.5
 
 
 def load(file: Path) -> bytes:
-    """A configuration file as the CBOR that goes out. Raises UnusableFileError."""
+    """Reads a configuration file and converts it to CBOR. Raises UnusableFileError."""
     data = file.read_bytes()
     try:
         if file.suffix == ".json":
@@ -31,71 +31,76 @@
 
 
 async def check(file: Path) -> dict[str, Any]:
-    """Why a configuration is invalid, or what is odd about it and where its routes lead."""
+    """Validates a configuration: the reason why it is invalid, or warnings and a description of its routes."""
     try:
-        read = configuration.read(load(file))
+        parsed = configuration.read(load(file))
     except InvalidConfigurationError as err:
         return {"invalid": str(err), "odd": [], "routes": []}
     return {
         "invalid": None,
-        "revision": read.revision,
-        "odd": oddities(read),
-        "routes": [describe_route(channel) for channel in read.routes],
+        "revision": parsed.revision,
+        "odd": find_warnings(parsed),
+        "routes": [describe_route(route) for route in parsed.routes],
     }
 
 
-def describe_route(channel: RouteConfiguration) -> str:
-    """Where a route leads, and how its requests are treated."""
-    shares = channel.weighted_services()
-    total = sum(share.weight for share in shares)
-    leads = ", ".join(
-        f"{share.service} {share.weight / total:.0%}" if len(shares) > 1 else share.service for share in shares
+def describe_route(route: RouteConfiguration) -> str:
+    """Describes the match, the services and the limits of a route."""
+    services = route.weighted_services()
+    total = sum(weighted.weight for weighted in services)
+    targets = ", ".join(
+        f"{weighted.service} {weighted.weight / total:.0%}" if len(services) > 1 else weighted.service
+        for weighted in services
     )
     return (
-        f"{channel.host}{channel.prefix} -> {leads} ({channel.mode}, {channel.tries} tries, wanted in"
-        f" {channel.latency_target_ms:g} ms, given up after {channel.timeout_ms:g} ms, rank {channel.rank})"
+        f"{route.host}{route.prefix} -> {targets} ({route.mode}, {route.tries} tries, wanted in"
+        f" {route.latency_target_ms:g} ms, given up after {route.timeout_ms:g} ms, rank {route.rank})"
     )
 
 
-def oddities(read: Configuration) -> list[str]:
-    """What is valid and probably not meant."""
-    found = []
-    led_to = {share.service for channel in read.routes for share in channel.weighted_services()}
-    found += [f"plants[{plant.label}]: no route leads here" for plant in read.services if plant.label not in led_to]
-    for channel in read.routes:
-        where = f"channels[{channel.label}]"
-        if channel.latency_target_ms > channel.timeout_ms:
-            found.append(
-                f"{where}: the aim of {channel.latency_target_ms:g} ms lies behind the end at {channel.timeout_ms:g} ms"
+def find_warnings(parsed: Configuration) -> list[str]:
+    """Finds settings that are valid but probably unintended."""
+    warnings = []
+    used = {weighted.service for route in parsed.routes for weighted in route.weighted_services()}
+    warnings += [
+        f"plants[{service.label}]: no route leads here" for service in parsed.services if service.label not in used
+    ]
+    for route in parsed.routes:
+        where = f"channels[{route.label}]"
+        if route.latency_target_ms > route.timeout_ms:
+            warnings.append(
+                f"{where}: setpointMs of {route.latency_target_ms:g} exceeds cutoffMs of {route.timeout_ms:g}"
             )
-        elif channel.tries > 1 and channel.latency_target_ms > LATE_SETPOINT * channel.timeout_ms:
-            found.append(
-                f"{where}: an aim of {channel.latency_target_ms:g} of {channel.timeout_ms:g} ms leaves little for a"
-                " second try"
+        elif route.tries > 1 and route.latency_target_ms > MAX_TARGET_FRACTION * route.timeout_ms:
+            warnings.append(
+                f"{where}: setpointMs of {route.latency_target_ms:g} leaves too little of the cutoffMs of"
+                f" {route.timeout_ms:g} for a second try"
             )
-        if channel.mode != "idempotent" and channel.tries > 1:
-            found.append(f"{where}: {channel.mode} requests are tried again only where they surely did not run")
-        found += [
-            f"{where}.allocation: {share.service} has weight 0" for share in channel.allocation if share.weight == 0
+        if route.mode != "idempotent" and route.tries > 1:
+            warnings.append(f"{where}: {route.mode} requests are tried again only where they surely did not run")
+        warnings += [
+            f"{where}.allocation: {weighted.service} has weight 0"
+            for weighted in route.allocation
+            if weighted.weight == 0
         ]
-    return found
+    return warnings
 
 
-def describe_check(found: dict[str, Any]) -> str:
-    """What `check` found, a line each."""
-    if found["invalid"]:
-        return f"invalid: {found['invalid']}"
+def describe_check(result: dict[str, Any]) -> str:
+    """Formats the result of `check`, one line for each route and warning."""
+    if result["invalid"]:
+        return f"invalid: {result['invalid']}"
     return "\n".join(
         [
-            f"valid: revision {found['revision']}, {len(found['routes'])} routes",
-            *(f"  {route}" for route in found["routes"]),
-            *(f"odd: {line}" for line in found["odd"]),
+            f"valid: revision {result['revision']}, {len(result['routes'])} routes",
+            *(f"  {route}" for route in result["routes"]),
+            *(f"odd: {warning}" for warning in result["odd"]),
         ]
     )
 
 
-def flatten(value: Any, at: str = "") -> dict[str, Any]:
-    """A configuration as lines: each plain value by its place, rows by their label where they have one."""
+def flatten(value: Any, path: str = "") -> dict[str, Any]:
+    """Flattens a configuration to a map from path to scalar value. List items are named by their label, if any."""
     if isinstance(value, dict):
         parts = [(str(key), item) for key, item in value.items()]
     elif isinstance(value, list):
@@ -104,8 +109,8 @@
             for number, item in enumerate(value)
         ]
     else:
-        return {at: value}
-    lines: dict[str, Any] = {}
+        return {path: value}
+    values: dict[str, Any] = {}
     for key, item in parts:
-        lines |= flatten(item, f"{at}.{key}" if at else key)
-    return lines
+        values |= flatten(item, f"{path}.{key}" if path else key)
+    return values
--- a/cypressbeam/admin/errors.py
+++ b/cypressbeam/admin/errors.py
@@ -1,4 +1,4 @@
-"""Why an operator's request was not done."""
+"""Errors of operators' requests."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 
 class UnusableFileError(CypressbeamError):
-    """A file that can't be used, or an answer that makes no sense: one line."""
+    """A file that is unreadable or invalid. The message is one line."""
 
 
 class RequestRefusedError(CypressbeamError):
-    """The system has answered, and not with what was asked for: one line."""
+    """The system rejected the request. The message is one line."""
--- a/cypressbeam/admin/membership.py
+++ b/cypressbeam/admin/membership.py
@@ -1,4 +1,4 @@
-"""The members of the core: who they are, and how one is added, removed or replaced."""
+"""The members of the core: listing, adding, removing and replacing them."""
 
 from __future__ import annotations
 
@@ -9,57 +9,59 @@
 
 import msgspec
 
-from cypressbeam.admin.calls import call, reason_of
+from cypressbeam.admin.calls import call, response_text
 from cypressbeam.admin.errors import RequestRefusedError
 from cypressbeam.admin.status import describe_quorum_loss, read_state
 from cypressbeam.consensus.views import ip_of, majority
 from cypressbeam.node.control_api import MEMBERS
 from cypressbeam.protocol.address import Address
 
-#: A change of members is sent again after so long, and given up after so long: a newcomer on a thin link is brought
-#: level in seconds.
-CHANGE_AGAIN_S, CHANGE_S = 0.3, 60.0
+#: The interval at which a membership change is repeated, and its timeout. A new member takes seconds to catch up over a
+#: slow link.
+CHANGE_RETRY_INTERVAL_S, CHANGE_TIMEOUT_S = 0.3, 60.0
 
 
 def describe_members(state: dict[str, Any]) -> str:
-    """A line for each member and for each machine that stands by."""
-    answers = {member["ip"]: member for member in state["members"]}
+    """Formats one line for each member and each spare."""
+    replies = {member["ip"]: member for member in state["members"]}
     silent = dict(line.split(" ") for line in state["silent"])
     group, chain = state["group"], state["chain"]
     members, needed = len(group), majority(len(group))
     lines = [f"epoch {state['epoch']}: {members} members, {needed} are a majority, {len(chain)} whole copies"]
     for name in group:
         ip = ip_of(name)
-        place = f"copy {chain.index(name) + 1} of {len(chain)}" if name in chain else "no copy that counts"
-        quiet = "" if answers.get(ip, {}).get("answers") else ", does not answer"
-        quiet += f", not heard for {silent[ip]} s" if ip in silent else ""
-        lines.append(f"  {name:32} {place}{quiet}")
+        role = f"copy {chain.index(name) + 1} of {len(chain)}" if name in chain else "not in the chain"
+        silence = "" if replies.get(ip, {}).get("answers") else ", does not answer"
+        silence += f", not heard for {silent[ip]} s" if ip in silent else ""
+        lines.append(f"  {name:32} {role}{silence}")
     lines += [f"  {name:32} stands by" for name in state["standingBy"]]
-    lines += [f"a replacement is under way: {state['waits']}"] if state["waits"] else []
+    lines += [f"a replacement is in progress: {state['waits']}"] if state["waits"] else []
     return "\n".join([*lines, *describe_quorum_loss(state)])
 
 
 async def change_members(
-    where: Address, change: str, old: str, new: str, tell: Callable[[str], None] = lambda line: None
+    control: Address, change: str, old: str, new: str, on_progress: Callable[[str], None] = lambda line: None
 ) -> dict[str, Any]:
-    """Add, remove or replace a member, by addresses, and wait until it is done; `tell` hears what it waits for. The
-    order names the group that it was made for, so it is safe to send it again. Raises RequestRefusedError, or
-    TimeoutError."""
-    state = await read_state(where)
+    """Adds, removes or replaces a member, by addresses, and waits until the change is done.
+
+    `on_progress` receives the reason for each wait. The request contains the group that it applies to, so it is safe to
+    repeat it. Raises RequestRefusedError or TimeoutError.
+    """
+    state = await read_state(control)
     base = {ip_of(name) for name in state["group"]}
     if change == "replace" and {old, new} <= base:
-        base.discard(new)  # half of it was done before
+        base.discard(new)  # an earlier call has already added it
     body = json.dumps({"change": change, "old": old, "new": new, "base": sorted(base)}).encode()
-    said = ""
-    async with asyncio.timeout(CHANGE_S):
+    progress = ""
+    async with asyncio.timeout(CHANGE_TIMEOUT_S):
         while True:
-            answer = await call(where, "POST", MEMBERS, "Content-Type: application/json\r\n", body)
-            if answer.status not in (200, 202, 503):
-                raise RequestRefusedError(f"{answer.status}: {reason_of(answer)}")
-            if answer.status == 200:
-                done: dict[str, Any] = msgspec.json.decode(answer.body)
+            response = await call(control, "POST", MEMBERS, "Content-Type: application/json\r\n", body)
+            if response.status not in (200, 202, 503):
+                raise RequestRefusedError(f"{response.status}: {response_text(response)}")
+            if response.status == 200:
+                done: dict[str, Any] = msgspec.json.decode(response.body)
                 return done
-            if reason_of(answer) != said:
-                said = reason_of(answer)
-                tell(said)
-            await asyncio.sleep(CHANGE_AGAIN_S)
+            if response_text(response) != progress:
+                progress = response_text(response)
+                on_progress(progress)
+            await asyncio.sleep(CHANGE_RETRY_INTERVAL_S)
--- a/cypressbeam/admin/status.py
+++ b/cypressbeam/admin/status.py
@@ -1,4 +1,4 @@
-"""The state of the core and of one node, and how it reads on a screen."""
+"""The state of the core and of one node, and its description for operators."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from cypressbeam.protocol.address import Address
 
 
-async def read_state(where: Address) -> dict[str, Any]:
-    """The state as a node tells it. Raises RequestRefusedError."""
-    answer = await call(where, "GET", STATE)
-    if answer.status != 200:
-        raise RequestRefusedError(f"{answer.status}: {answer.body.decode(errors='replace').strip()}")
-    state: dict[str, Any] = msgspec.json.decode(answer.body)
+async def read_state(control: Address) -> dict[str, Any]:
+    """The state that a node reports. Raises RequestRefusedError."""
+    response = await call(control, "GET", STATE)
+    if response.status != 200:
+        raise RequestRefusedError(f"{response.status}: {response.body.decode(errors='replace').strip()}")
+    state: dict[str, Any] = msgspec.json.decode(response.body)
     return state
 
 
 def describe_state(state: dict[str, Any]) -> str:
-    """A line for the node, one for the chain and one for each machine of the core."""
+    """Formats lines for the node and the chain, and one for each machine of the core."""
     node = state["node"]
     lines = [
         f"node {node['name']} at {node['ip']}: revision {node['revision']}, {node['servers']} servers"
@@ -44,6 +44,6 @@
 
 
 def describe_quorum_loss(state: dict[str, Any]) -> list[str]:
-    """Lines on a missing majority of the core; none while one answers."""
+    """Formats lines about a missing majority of the core; none while a majority responds."""
     loss = state.get("quorumLoss")
     return [f"! {line}" for line in loss["text"]] if loss is not None else []
--- a/cypressbeam/cli/__init__.py
+++ b/cypressbeam/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The commands for people. A node is started without this package: arguments, colours and help cost memory."""
+"""The command-line interface. A node starts without this package, because click takes additional memory."""
--- a/cypressbeam/cli/config.py
+++ b/cypressbeam/cli/config.py
@@ -1,4 +1,4 @@
-"""The group `config`: the configuration checked, sent, read and compared."""
+"""The command group `config`: checks, sends, reads and compares the configuration."""
 
 from __future__ import annotations
 
@@ -10,39 +10,39 @@
 
 from cypressbeam.admin import config_calls, config_file
 from cypressbeam.cli.output import as_json, run_call
-from cypressbeam.cli.parameters import FILE, NEW_FILE, WHERE
+from cypressbeam.cli.parameters import CONTROL_LISTENER, FILE, NEW_FILE
 from cypressbeam.protocol.address import Address
 
 
 @click.group()
 def config() -> None:
-    """Check, send, read and compare the gateway's configuration (CBOR, JSON or TOML, by the file's ending)."""
+    """Check, send, read and compare the gateway's configuration (CBOR, JSON or TOML, by the file extension)."""
 
 
 @config.command()
 @click.argument("file", type=FILE)
-@click.option("--json", "plain", is_flag=True, help="The findings as JSON.")
-def check(file: Path, plain: bool) -> None:
-    """Explain a configuration before it is sent: what is invalid, what is odd, and where each route leads."""
-    found = run_call(config_file.check(file))
-    click.echo(as_json(found) if plain else config_file.describe_check(found))
-    sys.exit(3 if found["invalid"] else 0)
+@click.option("--json", "json_output", is_flag=True, help="Print the result as JSON.")
+def check(file: Path, json_output: bool) -> None:
+    """Check a configuration before it is sent: print errors, warnings and the services of each route."""
+    result = run_call(config_file.check(file))
+    click.echo(as_json(result) if json_output else config_file.describe_check(result))
+    sys.exit(3 if result["invalid"] else 0)
 
 
 @config.command()
-@click.argument("where", type=WHERE)
+@click.argument("where", type=CONTROL_LISTENER)
 @click.argument("file", type=FILE)
-@click.option("--base", type=int, help="The revision that it is to replace; without it, the one in force.")
+@click.option("--base", type=int, help="The revision to replace. Default: the one in force.")
 def push(where: Address, file: Path, base: int | None) -> None:
-    """Replace the configuration. Done once it is on the disks of the whole chain."""
+    """Replace the configuration, and wait until it is on the disks of the whole chain."""
     click.echo(run_call(config_calls.push_file(where, file, base)))
 
 
 @config.command()
-@click.argument("where", type=WHERE)
+@click.argument("where", type=CONTROL_LISTENER)
 @click.argument("file", type=NEW_FILE, required=False)
 def get(where: Address, file: Path | None) -> None:
-    """Read the configuration in force: its bytes into FILE, or as JSON onto the screen."""
+    """Read the configuration in force and write its bytes to FILE, or print it as JSON."""
     body = run_call(config_calls.read(where))
     if file is None:
         click.echo(as_json(cbor2.loads(body)))
@@ -51,10 +51,10 @@
 
 
 @config.command()
-@click.argument("where", type=WHERE)
+@click.argument("where", type=CONTROL_LISTENER)
 @click.argument("file", type=FILE)
 def diff(where: Address, file: Path) -> None:
-    """What FILE would change of the configuration in force. Exit code 3 if anything."""
+    """Show what FILE would change in the configuration in force. Exit code 3 if there is a difference."""
     lines = run_call(config_calls.diff(where, file))
-    click.echo("\n".join(lines) or "the same")
+    click.echo("\n".join(lines) or "no difference")
     sys.exit(3 if lines else 0)
--- a/cypressbeam/cli/member.py
+++ b/cypressbeam/cli/member.py
@@ -1,4 +1,4 @@
-"""The group `member`: machines of the core added, removed and replaced."""
+"""The command group `member`: adds, removes and replaces machines of the core."""
 
 from __future__ import annotations
 
@@ -6,53 +6,53 @@
 
 from cypressbeam.admin import membership
 from cypressbeam.cli.output import as_json, run_call
-from cypressbeam.cli.parameters import WHERE
+from cypressbeam.cli.parameters import CONTROL_LISTENER
 from cypressbeam.protocol.address import Address
 
 
 @click.group()
 def member() -> None:
-    """Add, remove or replace a machine of the core, by address. Each waits until the change is done and copies stand.
+    """Add, remove or replace a machine of the core, by address, and wait until the change and the copies are complete.
 
-    Exit code 3, with the reason and nothing changed, where the system refuses. An order that was cut short may be given
-    again: it goes on where it was.
+    Exit code 3 if the system rejects the change; it prints the reason and changes nothing. An interrupted command can
+    be repeated: it continues the change.
     """
 
 
-def change_members(where: Address, change: str, old: str, new: str, plain: bool) -> None:
-    """Ask the system for the change, show what it waits for, and how it ends."""
-    done = run_call(
+def change_members(where: Address, change: str, old: str, new: str, json_output: bool) -> None:
+    """Request the change, and show its progress and result."""
+    result = run_call(
         membership.change_members(where, change, old, new, lambda line: click.echo(f"waits: {line}", err=True))
     )
-    click.echo(as_json(done) if plain else done["text"])
+    click.echo(as_json(result) if json_output else result["text"])
 
 
-PLAIN = click.option("--json", "plain", is_flag=True, help="The answer as JSON.")
+JSON_OPTION = click.option("--json", "json_output", is_flag=True, help="Print the response as JSON.")
 
 
 @member.command("add")
-@click.argument("where", type=WHERE)
+@click.argument("where", type=CONTROL_LISTENER)
 @click.argument("address")
-@PLAIN
-def add_member(where: Address, address: str, plain: bool) -> None:
-    """Take in the machine at ADDRESS, which has joined and stands by."""
-    change_members(where, "add", "", address, plain)
+@JSON_OPTION
+def add_member(where: Address, address: str, json_output: bool) -> None:
+    """Add the spare machine at ADDRESS, which has already joined."""
+    change_members(where, "add", "", address, json_output)
 
 
 @member.command("remove")
-@click.argument("where", type=WHERE)
+@click.argument("where", type=CONTROL_LISTENER)
 @click.argument("address")
-@PLAIN
-def remove_member(where: Address, address: str, plain: bool) -> None:
-    """Let the member at ADDRESS go, if the others can bear it."""
-    change_members(where, "remove", address, "", plain)
+@JSON_OPTION
+def remove_member(where: Address, address: str, json_output: bool) -> None:
+    """Remove the member at ADDRESS, if enough other members remain."""
+    change_members(where, "remove", address, "", json_output)
 
 
 @member.command("replace")
-@click.argument("where", type=WHERE)
+@click.argument("where", type=CONTROL_LISTENER)
 @click.argument("address")
 @click.argument("successor")
-@PLAIN
-def replace_member(where: Address, address: str, successor: str, plain: bool) -> None:
-    """Take in the machine at SUCCESSOR, then let the member at ADDRESS go."""
-    change_members(where, "replace", address, successor, plain)
+@JSON_OPTION
+def replace_member(where: Address, address: str, successor: str, json_output: bool) -> None:
+    """Add the machine at SUCCESSOR, then remove the member at ADDRESS."""
+    change_members(where, "replace", address, successor, json_output)
--- a/cypressbeam/cli/output.py
+++ b/cypressbeam/cli/output.py
@@ -1,4 +1,4 @@
-"""Calls to a system from a command, and how answers and errors are shown."""
+"""Running calls from commands, and the output of results and errors."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 T = TypeVar("T")
 
 
-def run_call(what: Coroutine[Any, Any, T]) -> T:
-    """Run a call to a system. Exit code 1 with one line where it can't be done, 3 where the system refuses."""
+def run_call(call: Coroutine[Any, Any, T]) -> T:
+    """Run a call to a system. On failure, print one line and exit with 3 if the system rejects it, otherwise with 1."""
     try:
-        return uvloop.run(what)
+        return uvloop.run(call)
     except errors.RequestRefusedError as err:
         click.echo(f"cypressbeam: {err}", err=True)
         sys.exit(3)
@@ -28,5 +28,5 @@
 
 
 def as_json(value: Any) -> str:
-    """A value as indented JSON."""
+    """Formats a value as indented JSON."""
     return msgspec.json.format(msgspec.json.encode(value), indent=2).decode()
--- a/cypressbeam/cli/parameters.py
+++ b/cypressbeam/cli/parameters.py
@@ -1,4 +1,4 @@
-"""Types of arguments, and options that several commands take."""
+"""Parameter types, and options shared by several commands."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from cypressbeam.protocol.address import Address, read_address
 
 
-class Where(click.ParamType[Address]):
-    """A control listener."""
+class ControlListener(click.ParamType[Address]):
+    """The address of a control listener."""
 
     name = "host:port"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Address:
-        """The address; fails where the text is none."""
+        """Parses the address; fails for any other text."""
         try:
             return read_address(value)
         except ValueError:
-            self.fail(f"{value!r} is no host:port", param, ctx)
+            self.fail(f"{value!r} is not host:port", param, ctx)
 
 
-WHERE = Where()
+CONTROL_LISTENER = ControlListener()
 FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 NEW_FILE = click.Path(dir_okay=False, path_type=Path)
-HTML = click.option("--html", "page", type=NEW_FILE, help="Write a page with tables and plots.")
+HTML = click.option("--html", "page", type=NEW_FILE, help="Write an HTML page with tables and plots.")
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -56,7 +56,7 @@
             assert (await read_back(edge)).body == DEMO
             assert "in force already" in await backup.restore(edge.control, file, over=False)
             await config_calls.push(edge.control, cbor2.dumps(demo_configuration(5)))
-            with pytest.raises(errors.RequestRefusedError, match="--over brings it back as 6"):
+            with pytest.raises(errors.RequestRefusedError, match="--over restores it as 6"):
                 await backup.restore(edge.control, file, over=False)
             assert "revision 6 is in force" in await backup.restore(edge.control, file, over=True)
             assert cbor2.loads((await read_back(edge)).body) == demo_configuration(6)
@@ -100,7 +100,7 @@
     odd["channels"][0]["setpointMs"] = 9000
     call = CliRunner().invoke(main, ["config", "check", str(written(tmp_path, odd))])
     assert call.exit_code == 0 and "plants[idle]: no route leads here" in call.output
-    assert "channels[find]: the aim of 9000 ms lies behind the end at 5000 ms" in call.output
+    assert "channels[find]: setpointMs of 9000 exceeds cutoffMs of 5000" in call.output
     assert "demo.example/book/ -> booker" in call.output
     odd["channels"][0]["plant"] = "nobody"
     call = CliRunner().invoke(main, ["config", "check", "--json", str(written(tmp_path, odd))])
@@ -117,7 +117,7 @@
 @pytest.mark.parametrize(
     ("words", "code", "told"),
     [
-        (["status", "nowhere"], 2, "'nowhere' is no host:port"),
+        (["status", "nowhere"], 2, "'nowhere' is not host:port"),
         (["status", "127.0.0.1:1"], 1, "cypressbeam:"),
         (["config", "check", "/nowhere/at/all"], 2, "does not exist"),
         (["--help"], 0, "Exit codes"),
