--- a/tests/golden_answers.py
+++ b/tests/golden_answers.py
@@ -1,6 +1,6 @@
-"""Answers of a small simulated system to a fixed list of HTTP calls, as text: what operators and clients see.
+"""Responses of a small simulated system to a fixed list of HTTP requests of operators and clients, as text.
 
-`python -m tests.golden_answers` prints them. `tests/data/answers.txt` holds what commit dd25593 answered.
+`python -m tests.golden_answers FOLDER` prints them. `tests/data/answers.txt` contains the responses of commit dd25593.
 """
 
 from __future__ import annotations
@@ -24,27 +24,27 @@
 from lab.membership import CONTROL
 
 DATA = Path(__file__).with_name("data")
-#: How long an answer is waited for, in simulated seconds.
-ANSWER_S = 3.0
+#: The time to wait for a response, in simulated seconds.
+RESPONSE_WAIT_S = 3.0
 OPERATOR = "10.250.0.2"
 
 
-class Caller(asyncio.Protocol):
-    """Sends one request and keeps all that comes back."""
+class HttpClientProtocol(asyncio.Protocol):
+    """Sends one request and collects the response."""
 
     def __init__(self, request: bytes) -> None:
         self.request = request
-        self.answer = b""
+        self.response = b""
 
     def connection_made(self, transport: Any) -> None:
         transport.write(self.request)
 
     def data_received(self, data: bytes) -> None:
-        self.answer += data
+        self.response += data
 
 
 def request(method: str, target: str, headers: Mapping[str, str] | None = None, body: bytes = b"") -> bytes:
-    """A whole HTTP/1.1 request."""
+    """A complete HTTP/1.1 request."""
     length = {"Content-Length": str(len(body))} if body else {}
     lines = [f"{method} {target} HTTP/1.1", "Host: api.example"]
     lines += [f"{name}: {value}" for name, value in ({**(headers or {}), **length}).items()]
@@ -52,33 +52,33 @@
 
 
 def replace(base: object, document: object) -> bytes:
-    """An operator's change of the configuration."""
+    """An operator's request to replace the configuration."""
     body = document if isinstance(document, bytes) else cbor2.dumps(document)
     return request("POST", "/-/Configuration.Replace", {"Base-Revision": str(base)}, body)
 
 
 def change_members(document: object) -> bytes:
-    """An operator's change of the members."""
+    """An operator's request for a membership change."""
     return request("POST", "/-/System.Members", {"Content-Type": "application/json"}, json.dumps(document).encode())
 
 
 def invalid_documents() -> Iterator[object]:
-    """Configurations that are refused, each for another reason."""
-    good = demo_configuration(9)
+    """Configurations that are rejected, each for a different reason."""
+    valid = demo_configuration(9)
     yield b"\xff"
-    yield good | {"revision": 0}
-    yield good | {"revision": 1}
-    yield good | {"channels": [good["channels"][0] | {"plant": "nobody"}]}
-    yield good | {"channels": [good["channels"][0] | {"prefix": "find"}]}
-    yield good | {"channels": [good["channels"][0] | {"cutoffMs": 0}]}
-    yield good | {"channels": [good["channels"][0]] * 2}
-    yield good | {"plants": good["plants"] * 2}
-    yield good | {"constraints": {"headerMaxBytes": 0}}
+    yield valid | {"revision": 0}
+    yield valid | {"revision": 1}
+    yield valid | {"channels": [valid["channels"][0] | {"plant": "nobody"}]}
+    yield valid | {"channels": [valid["channels"][0] | {"prefix": "find"}]}
+    yield valid | {"channels": [valid["channels"][0] | {"cutoffMs": 0}]}
+    yield valid | {"channels": [valid["channels"][0]] * 2}
+    yield valid | {"plants": valid["plants"] * 2}
+    yield valid | {"constraints": {"headerMaxBytes": 0}}
     yield {"revision": 9}
 
 
 def operator_calls() -> Iterator[tuple[int, bytes]]:
-    """Ports and requests, in their order."""
+    """Ports and requests of an operator, in order."""
     yield CONTROL, request("GET", "/-/System.State")
     yield CONTROL, request("POST", "/-/System.State")
     yield CONTROL, request("GET", "/-/Nothing")
@@ -110,34 +110,34 @@
 
 
 def client_calls() -> Iterator[tuple[int, bytes]]:
-    """The same for clients and the platform, at an edge node."""
+    """Ports and requests of clients and the platform, sent to an edge node."""
     yield READY, request("GET", "/-/ready")
     yield READY, request("POST", "/-/ready")
     yield READY, request("GET", "/other")
-    in_time = {"Time-Left-Ms": "2000"}
-    yield FRONT, request("GET", "/find/a", {"Attempt-Id": "c-1"} | in_time)
-    yield FRONT, request("GET", "/nowhere/a", {"Attempt-Id": "c-2"} | in_time)
+    deadline = {"Time-Left-Ms": "2000"}
+    yield FRONT, request("GET", "/find/a", {"Attempt-Id": "c-1"} | deadline)
+    yield FRONT, request("GET", "/nowhere/a", {"Attempt-Id": "c-2"} | deadline)
     yield FRONT, request("GET", "/find/a")
-    yield FRONT, request("POST", "/book/a", {"Attempt-Id": "c-3"} | in_time, b"seat")
+    yield FRONT, request("POST", "/book/a", {"Attempt-Id": "c-3"} | deadline, b"seat")
     yield FRONT, b"nonsense\r\n\r\n"
     yield FRONT, request("GET", "/find/a", {"Attempt-Id": "c-4", "Time-Left-Ms": "x"})
-    yield FRONT, request("GET", "/find/a", {"Attempt-Id": "c-5", "X": "x" * 40_000} | in_time)
+    yield FRONT, request("GET", "/find/a", {"Attempt-Id": "c-5", "X": "x" * 40_000} | deadline)
 
 
 async def call(world: World, ip: str, port: int, data: bytes) -> bytes:
-    """One request on a connection of its own, as the operator's machine; all that came back within a while."""
+    """Sends one request on a new connection from the operator's machine; returns the response within the wait time."""
 
     async def exchange() -> bytes:
-        transport, caller = await world.loop.create_connection(lambda: Caller(data), ip, port)
-        await asyncio.sleep(ANSWER_S)
+        transport, client = await world.loop.create_connection(lambda: HttpClientProtocol(data), ip, port)
+        await asyncio.sleep(RESPONSE_WAIT_S)
         transport.close()
-        return caller.answer
+        return client.response
 
     return bytes(await world.as_operator(exchange))
 
 
 async def record(world: World, lines: list[str]) -> None:
-    """Start the system and make all calls; adds a paragraph for each."""
+    """Starts the system and sends all requests; adds a paragraph for each."""
     for host in world.outside.values():
         world.net.start(host)
     world.net.start(world.net.add(OPERATOR, world.zones[0]))
@@ -150,29 +150,29 @@
     await world.as_operator(world.push)
     await asyncio.sleep(5.0)
     states = []
-    by_kind = {"core": "10.0.0.1", "edge": world.machines[-1][1].ip}
+    ip_by_kind = {"core": "10.0.0.1", "edge": world.machines[-1][1].ip}
     for kind, calls in (("core", operator_calls()), ("edge", operator_calls()), ("edge", client_calls())):
         for port, data in calls:
-            answer = await call(world, by_kind[kind], port, data)
-            told = data if len(data) < 300 else data[:120] + b"..." + b"%d" % len(data)
-            lines.append(f"{kind}:{port} {told!r}\n    {answer!r}")
-            if b"System.State" in data and b"200 OK" in answer:
-                states.append(json.loads(answer.partition(b"\r\n\r\n")[2]))
+            response = await call(world, ip_by_kind[kind], port, data)
+            shown = data if len(data) < 300 else data[:120] + b"..." + b"%d" % len(data)
+            lines.append(f"{kind}:{port} {shown!r}\n    {response!r}")
+            if b"System.State" in data and b"200 OK" in response:
+                states.append(json.loads(response.partition(b"\r\n\r\n")[2]))
     for state in states:
         lines += [status.describe_state(state), membership.describe_members(state)]
 
 
 def record_checks(lines: list[str], folder: Path) -> None:
-    """What `config check` says of files."""
+    """Adds the results of `config check` for files."""
     for number, document in enumerate((demo_configuration(3), *invalid_documents())):
         file = folder / f"{number}.cbor"
         file.write_bytes(document if isinstance(document, bytes) else cbor2.dumps(document))
-        found = asyncio.run(config_file.check(file))
-        lines += [json.dumps(found), config_file.describe_check(found)]
+        result = asyncio.run(config_file.check(file))
+        lines += [json.dumps(result), config_file.describe_check(result)]
 
 
-def answers(folder: Path) -> str:
-    """All answers, a paragraph each."""
+def responses(folder: Path) -> str:
+    """All responses, one paragraph each."""
     lines: list[str] = []
     world = World(Day(edges=2, zones=2), 1)
     try:
@@ -183,8 +183,8 @@
     return "\n\n".join(lines) + "\n"
 
 
-def answers_of_process(folder: Path) -> str:
-    """The same from a process in which hashes of texts are the same each time."""
+def responses_from_subprocess(folder: Path) -> str:
+    """The responses from a process with a fixed hash seed, which makes string hashes reproducible."""
     return subprocess.run(
         [sys.executable, "-W", "ignore", "-m", "tests.golden_answers", str(folder)],
         cwd=DATA.parent.parent,
@@ -197,4 +197,4 @@
 
 if __name__ == "__main__":
     logging.disable(logging.CRITICAL)
-    sys.stdout.write(answers(Path(sys.argv[1])))
+    sys.stdout.write(responses(Path(sys.argv[1])))
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -1,6 +1,6 @@
-"""What the software does is what it did at commit dd25593: traces of simulations, answers, the state on disk, settings.
+"""Behaviour equals that of commit dd25593: simulation traces, HTTP responses, the state on disk, settings.
 
-A difference here is a change of behaviour. It is not to be explained away by writing the golden data anew.
+A difference is a change of behaviour. Do not regenerate the golden data to make a test pass.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 DATA = Path(__file__).with_name("data")
 TRACES = DATA / "traces.txt"
 SETTINGS = "node=n\nip=127.0.0.1\ninternalPorts=1,2\n"
-#: A history that is short, and in which views change.
+#: The seed of a short history with view changes.
 SEEDS = range(9, 10)
 
 
@@ -32,48 +32,48 @@
 
 
 def trace_of(seeds: range) -> str:
-    """The digest of a few histories."""
+    """The digest of the trace of the histories."""
     recorder = golden_traces.Recorder()
     with golden_traces.recorded(recorder):
         golden_traces.play_core(seeds)
     return str(recorder.digest.hexdigest())
 
 
-def test_a_trace_repeats_itself_and_shows_a_changed_timeout() -> None:
+def test_a_trace_is_reproducible_and_changes_with_a_timeout() -> None:
     before = trace_of(SEEDS)
     assert trace_of(SEEDS) == before
     with mock.patch.object(repair, "REPAIR_DELAY_S", repair.REPAIR_DELAY_S + 0.01):
         assert trace_of(SEEDS) != before
 
 
-def test_a_trace_shows_two_sends_in_another_order() -> None:
+def test_a_trace_changes_with_the_order_of_two_sends() -> None:
     before = trace_of(SEEDS)
     send = network.Network.send
     delayed: list[tuple[object, ...]] = []
     swapped = 0
 
-    def send_pairs_swapped(*sent: object) -> None:
-        """The first two messages in the other order; all others as they are."""
+    def send_swapped(*arguments: object) -> None:
+        """Swaps the first two messages."""
         nonlocal swapped
         if swapped == 2:
-            send(*sent)  # type: ignore[arg-type]
+            send(*arguments)  # type: ignore[arg-type]
             return
         swapped += 1
-        delayed.insert(0, sent)
+        delayed.insert(0, arguments)
         if swapped == 2:
-            for one in delayed:
-                send(*one)  # type: ignore[arg-type]
+            for message in delayed:
+                send(*message)  # type: ignore[arg-type]
 
-    with mock.patch.object(network.Network, "send", send_pairs_swapped):
+    with mock.patch.object(network.Network, "send", send_swapped):
         assert trace_of(SEEDS) != before
 
 
-def test_every_call_is_answered_as_before(tmp_path: Path) -> None:
-    found = golden_answers.answers_of_process(tmp_path)
-    assert found.split("\n\n") == (DATA / "answers.txt").read_text(encoding="utf-8").split("\n\n")
+def test_every_call_gets_its_golden_response(tmp_path: Path) -> None:
+    responses = golden_answers.responses_from_subprocess(tmp_path)
+    assert responses.split("\n\n") == (DATA / "answers.txt").read_text(encoding="utf-8").split("\n\n")
 
 
-def test_a_state_folder_of_the_earlier_program_is_read(tmp_path: Path) -> None:
+def test_a_state_folder_of_the_earlier_version_is_read(tmp_path: Path) -> None:
     folder = tmp_path / "state"
     folder.mkdir()
     (folder / "state.db").write_bytes((DATA / "state" / "state.db").read_bytes())
@@ -81,20 +81,20 @@
     assert golden_state.describe(loaded) + "\n" == (DATA / "state.txt").read_text(encoding="utf-8")
 
 
-def test_the_earlier_program_finds_the_rows_that_it_would_have_written(tmp_path: Path) -> None:
+def test_the_state_is_written_as_by_the_earlier_version(tmp_path: Path) -> None:
     asyncio.run(golden_state.write(tmp_path))
     assert golden_state.dump(tmp_path / "state.db") == (DATA / "state.sql").read_text(encoding="utf-8")
 
 
 class RecordedKeys(Mapping[str, str]):
-    """Values that remember which keys were asked for."""
+    """A mapping that records the keys that are read."""
 
-    def __init__(self, values: Mapping[str, str], asked: set[str]) -> None:
+    def __init__(self, values: Mapping[str, str], read_keys: set[str]) -> None:
         self.values_by_key = values
-        self.asked = asked
+        self.read_keys = read_keys
 
     def __getitem__(self, key: str) -> str:
-        self.asked.add(key)
+        self.read_keys.add(key)
         return self.values_by_key[key]
 
     def __iter__(self) -> Iterator[str]:
@@ -104,22 +104,22 @@
         return len(self.values_by_key)
 
 
-def test_the_settings_file_has_the_keys_that_it_had(monkeypatch: pytest.MonkeyPatch) -> None:
-    asked: set[str] = set()
+def test_the_settings_file_has_the_golden_keys(monkeypatch: pytest.MonkeyPatch) -> None:
+    read_keys: set[str] = set()
     init = settings.SettingsReader.__init__
 
     def record(self: settings.SettingsReader, path: str, values: Mapping[str, str]) -> None:
-        init(self, path, RecordedKeys(values, asked))
+        init(self, path, RecordedKeys(values, read_keys))
 
     monkeypatch.setattr(settings.SettingsReader, "__init__", record)
     settings.parse(SETTINGS, "boot.conf")
     golden = (DATA / "settings_keys.txt").read_text(encoding="utf-8").split()
-    assert sorted(asked | {"zone", "stateDir"}) == golden
+    assert sorted(read_keys | {"zone", "stateDir"}) == golden
 
 
-def test_the_older_program_reads_the_variables_and_keys_that_it_read() -> None:
-    asked: set[str] = set()
-    environment = RecordedKeys({"EDGE_LISTEN": "127.0.0.1:1", "EDGE_DISCOVERY": "127.0.0.1:2"}, asked)
+def test_the_standalone_proxy_reads_its_variables_and_keys() -> None:
+    read_keys: set[str] = set()
+    environment = RecordedKeys({"EDGE_LISTEN": "127.0.0.1:1", "EDGE_DISCOVERY": "127.0.0.1:2"}, read_keys)
     with pytest.raises(config.ConfigError, match="settings: an object is needed"):
-        config.read_config(RecordedKeys({}, asked), environment)
-    assert sorted(asked) == ["EDGE_DISCOVERY", "EDGE_LISTEN", "known", "limits", "seed", "settings"]
+        config.read_config(RecordedKeys({}, read_keys), environment)
+    assert sorted(read_keys) == ["EDGE_DISCOVERY", "EDGE_LISTEN", "known", "limits", "seed", "settings"]
