--- a/cypressbeam/admin/config_calls.py
+++ b/cypressbeam/admin/config_calls.py
@@ -70,8 +70,8 @@
 
 
 async def diff(control: Address, file: Path) -> list[str]:
-    """Lists the values that a file would remove from or add to the configuration in force. Raises RequestRefusedError
-    or UnusableFileError."""
+    """Lists the values that a file would remove from or add to the configuration in force. Raises UnusableFileError if
+    the file is unreadable. Raises RequestRefusedError."""
     current, new = flatten(cbor2.loads(await read(control))), flatten(cbor2.loads(load(file)))
     lines = []
     for key in sorted(current.keys() | new.keys()):
