--- a/cypressbeam/admin/backup.py
+++ b/cypressbeam/admin/backup.py
@@ -7,7 +7,7 @@
 import cbor2
 
 from cypressbeam.admin.config_calls import push, read, revision
-from cypressbeam.admin.errors import RequestRefusedError, UnusableFileError
+from cypressbeam.admin.errors import InvalidFileError, RequestRefusedError
 from cypressbeam.admin.status import read_state
 from cypressbeam.protocol import configuration
 from cypressbeam.protocol.address import Address
@@ -38,19 +38,19 @@
 
 
 def read_backup(file: Path) -> tuple[int, bytes]:
-    """Returns revision and body. Raises UnusableFileError if the file is not a complete, valid backup."""
+    """Returns revision and body. Raises InvalidFileError if the file is not a complete, valid backup."""
     try:
         document = cbor2.loads(file.read_bytes())
         if document["format"] != BACKUP_FORMAT:
-            raise UnusableFileError(
+            raise InvalidFileError(
                 f"{file}: format {document['format']!r} is not supported, expected {BACKUP_FORMAT!r}"
             )
         body: bytes = document["body"]
         if configuration.digest(body) != document["digest"]:
-            raise UnusableFileError(f"{file}: the body does not match its digest")
+            raise InvalidFileError(f"{file}: the body does not match its digest")
         return configuration.read(body).revision, body
     except (cbor2.CBORError, InvalidConfigurationError, KeyError, TypeError, ValueError) as err:
-        raise UnusableFileError(f"{file}: not a saved state: {err}") from None
+        raise InvalidFileError(f"{file}: not a saved state: {err}") from None
 
 
 async def restore(control: Address, file: Path, over: bool) -> str:
--- a/cypressbeam/admin/config_calls.py
+++ b/cypressbeam/admin/config_calls.py
@@ -51,7 +51,7 @@
 
 
 async def push(control: Address, body: bytes, base: int | None = None) -> str:
-    """Replaces the configuration if its revision is `base`, by default the one in force. Raises RequestRefusedError."""
+    """Replaces the configuration if its revision is `base`, by default that in force. Raises RequestRefusedError."""
     if base is None:
         base = await revision(control)
     response = await call(
@@ -64,13 +64,13 @@
 
 
 async def push_file(control: Address, file: Path, base: int | None) -> str:
-    """Replaces the configuration by that of a file. Raises UnusableFileError if the file is unreadable, before anything
+    """Replaces the configuration by that of a file. Raises InvalidFileError if the file is unreadable, before anything
     is sent."""
     return await push(control, load(file), base)
 
 
 async def diff(control: Address, file: Path) -> list[str]:
-    """Lists the values that a file would remove from or add to the configuration in force. Raises UnusableFileError if
+    """Lists the values that a file would remove from or add to the configuration in force. Raises InvalidFileError if
     the file is unreadable. Raises RequestRefusedError."""
     current, new = flatten(cbor2.loads(await read(control))), flatten(cbor2.loads(load(file)))
     lines = []
--- a/cypressbeam/admin/config_file.py
+++ b/cypressbeam/admin/config_file.py
@@ -9,7 +9,7 @@
 
 import cbor2
 
-from cypressbeam.admin.errors import UnusableFileError
+from cypressbeam.admin.errors import InvalidFileError
 from cypressbeam.protocol import configuration
 from cypressbeam.protocol.configuration import Configuration, InvalidConfigurationError, RouteConfiguration
 
@@ -18,7 +18,7 @@
 
 
 def load(file: Path) -> bytes:
-    """Reads a configuration file and converts it to CBOR. Raises UnusableFileError."""
+    """Reads a configuration file and converts it to CBOR. Raises InvalidFileError."""
     data = file.read_bytes()
     try:
         if file.suffix == ".json":
@@ -26,7 +26,7 @@
         if file.suffix == ".toml":
             return cbor2.dumps(tomllib.loads(data.decode()))
     except ValueError as err:
-        raise UnusableFileError(f"{file}: {err}") from None
+        raise InvalidFileError(f"{file}: {err}") from None
     return data
 
 
--- a/cypressbeam/admin/errors.py
+++ b/cypressbeam/admin/errors.py
@@ -5,7 +5,7 @@
 from cypressbeam.errors import CypressbeamError
 
 
-class UnusableFileError(CypressbeamError):
+class InvalidFileError(CypressbeamError):
     """A file that is unreadable or invalid. The message is one line."""
 
 
--- a/cypressbeam/cli/output.py
+++ b/cypressbeam/cli/output.py
@@ -22,7 +22,7 @@
     except errors.RequestRefusedError as err:
         click.echo(f"cypressbeam: {err}", err=True)
         sys.exit(3)
-    except (OSError, EOFError, TimeoutError, errors.UnusableFileError) as err:
+    except (OSError, EOFError, TimeoutError, errors.InvalidFileError) as err:
         click.echo(f"cypressbeam: {err or type(err).__name__}", err=True)
         sys.exit(1)
 
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -90,7 +90,7 @@
     file.write_bytes(valid)
     assert backup.read_backup(file) == (1, DEMO)
     file.write_bytes(corrupt(valid))
-    with pytest.raises(errors.UnusableFileError, match="state"):
+    with pytest.raises(errors.InvalidFileError, match="state"):
         backup.read_backup(file)
 
 
