--- a/cypressbeam/admin/errors.py
+++ b/cypressbeam/admin/errors.py
@@ -1,13 +1,13 @@
-"""Why an operator's request was not done."""
+"""Errors of operators' requests."""
 
 from __future__ import annotations
 
 from cypressbeam.errors import CypressbeamError
 
 
-class UnusableFileError(CypressbeamError):
-    """A file that can't be used, or an answer that makes no sense: one line."""
+class InvalidFileError(CypressbeamError):
+    """A file that is unreadable or invalid. The message is one line."""
 
 
 class RequestRefusedError(CypressbeamError):
-    """The system has answered, and not with what was asked for: one line."""
+    """The system rejected the request. The message is one line."""
