--- a/cypressbeam/admin/backup.py
+++ b/cypressbeam/admin/backup.py
@@ -7,7 +7,7 @@
 import cbor2
 
 from cypressbeam.admin.config_calls import push, read, revision
-from cypressbeam.admin.errors import InvalidFileError, RequestRefusedError
+from cypressbeam.admin.errors import InvalidFileError, RequestRejectedError
 from cypressbeam.admin.status import read_state
 from cypressbeam.protocol import configuration
 from cypressbeam.protocol.address import Address
@@ -54,7 +54,7 @@
 
 
 async def restore(control: Address, file: Path, over: bool) -> str:
-    """Restores a backup. Raises RequestRefusedError if the system has a newer revision, unless `over` is set: then the
+    """Restores a backup. Raises RequestRejectedError if the system has a newer revision, unless `over` is set: then the
     saved configuration gets the next revision number, because nodes never accept an older revision."""
     saved, body = read_backup(file)
     current = await revision(control)
@@ -62,7 +62,7 @@
         if await read(control) == body:
             return f"revision {saved} is in force already"
         if not over:
-            raise RequestRefusedError(
+            raise RequestRejectedError(
                 f"revision {current} is in force, {saved} was saved; --over restores it as {current + 1}"
             )
         body = cbor2.dumps(cbor2.loads(body) | {"revision": current + 1})
--- a/cypressbeam/admin/errors.py
+++ b/cypressbeam/admin/errors.py
@@ -9,5 +9,5 @@
     """A file that is unreadable or invalid. The message is one line."""
 
 
-class RequestRefusedError(CypressbeamError):
+class RequestRejectedError(CypressbeamError):
     """The system rejected the request. The message is one line."""
--- a/cypressbeam/admin/membership.py
+++ b/cypressbeam/admin/membership.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from cypressbeam.admin.calls import call, response_text
-from cypressbeam.admin.errors import RequestRefusedError
+from cypressbeam.admin.errors import RequestRejectedError
 from cypressbeam.admin.status import describe_quorum_loss, read_state
 from cypressbeam.consensus.views import ip_of, majority
 from cypressbeam.node.control_api import MEMBERS_PATH
@@ -45,7 +45,7 @@
     """Adds, removes or replaces a member, by addresses, and waits until the change is done.
 
     `on_progress` receives the reason for each wait. The request contains the group that it applies to, so it is safe to
-    repeat it. Raises RequestRefusedError or TimeoutError.
+    repeat it. Raises RequestRejectedError or TimeoutError.
     """
     state = await read_state(control)
     base = {ip_of(name) for name in state["group"]}
@@ -57,7 +57,7 @@
         while True:
             response = await call(control, "POST", MEMBERS_PATH, "Content-Type: application/json\r\n", body)
             if response.status not in (200, 202, 503):
-                raise RequestRefusedError(f"{response.status}: {response_text(response)}")
+                raise RequestRejectedError(f"{response.status}: {response_text(response)}")
             if response.status == 200:
                 done: dict[str, Any] = msgspec.json.decode(response.body)
                 return done
--- a/cypressbeam/admin/status.py
+++ b/cypressbeam/admin/status.py
@@ -7,16 +7,16 @@
 import msgspec
 
 from cypressbeam.admin.calls import call
-from cypressbeam.admin.errors import RequestRefusedError
+from cypressbeam.admin.errors import RequestRejectedError
 from cypressbeam.node.state_query import STATE_PATH
 from cypressbeam.protocol.address import Address
 
 
 async def read_state(control: Address) -> dict[str, Any]:
-    """The state that a node reports. Raises RequestRefusedError."""
+    """The state that a node reports. Raises RequestRejectedError."""
     response = await call(control, "GET", STATE_PATH)
     if response.status != 200:
-        raise RequestRefusedError(f"{response.status}: {response.body.decode(errors='replace').strip()}")
+        raise RequestRejectedError(f"{response.status}: {response.body.decode(errors='replace').strip()}")
     state: dict[str, Any] = msgspec.json.decode(response.body)
     return state
 
--- a/cypressbeam/cli/output.py
+++ b/cypressbeam/cli/output.py
@@ -19,7 +19,7 @@
     """Run a call to a system. On failure, print one line and exit with 3 if the system rejects it, otherwise with 1."""
     try:
         return uvloop.run(call)
-    except errors.RequestRefusedError as err:
+    except errors.RequestRejectedError as err:
         click.echo(f"cypressbeam: {err}", err=True)
         sys.exit(3)
     except (OSError, EOFError, TimeoutError, errors.InvalidFileError) as err:
--- a/cypressbeam/cli/parameters.py
+++ b/cypressbeam/cli/parameters.py
@@ -26,4 +26,4 @@
 CONTROL_LISTENER = ControlListener()
 FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 NEW_FILE = click.Path(dir_okay=False, path_type=Path)
-HTML = click.option("--html", "page", type=NEW_FILE, help="Write an HTML page with tables and plots.")
+HTML_OPTION = click.option("--html", "page", type=NEW_FILE, help="Write an HTML page with tables and plots.")
--- a/cypressbeam/node/gateway_node.py
+++ b/cypressbeam/node/gateway_node.py
@@ -22,7 +22,7 @@
 from cypressbeam.node.state_query import StateQuery
 from cypressbeam.protocol import configuration, frames
 from cypressbeam.protocol.address import Address
-from cypressbeam.protocol.settings import VARIABLE, Settings, SettingsError, load
+from cypressbeam.protocol.settings import SETTINGS_VARIABLE, Settings, SettingsError, load
 from cypressbeam.proxy.frontend import ClientConnection, Frontend, readiness
 from cypressbeam.proxy.gateway import OVERFLOW_CONNECTIONS, Gateway
 from cypressbeam.proxy.http_requests import BadRequestError, RequestMessage
@@ -420,7 +420,7 @@
     node = GatewayNode(settings, front_socket=front_socket)
     loop.add_signal_handler(signal.SIGHUP, node.reload, os.environ)
     await node.start()
-    node.watch_settings_file(Path(os.environ[VARIABLE]))
+    node.watch_settings_file(Path(os.environ[SETTINGS_VARIABLE]))
     log.info("node %s started: ip %s", settings.node, settings.ip)
     await stop.wait()
     log.info("stopping")
--- a/cypressbeam/protocol/configuration.py
+++ b/cypressbeam/protocol/configuration.py
@@ -90,7 +90,7 @@
     return hashlib.sha256(body).digest()
 
 
-def host_name(text: str) -> str:
+def normalize_host(text: str) -> str:
     """The normalized form by which hosts of routes and requests are compared: lower case, without a port."""
     name = text.strip().lower()
     return name if name.endswith("]") else name.rpartition(":")[0] or name
@@ -153,7 +153,7 @@
     labels: dict[tuple[str, str], str] = {}
     for route in configuration.routes:
         check_route(route, services)
-        match = (host_name(route.host), route.prefix)
+        match = (normalize_host(route.host), route.prefix)
         if match in labels:
             raise InvalidConfigurationError(f"channels[{route.label}]: host and prefix are those of {labels[match]}")
         labels[match] = route.label
@@ -162,7 +162,7 @@
 def check_route(route: RouteConfiguration, services: set[str]) -> None:
     """Validates a single route. Raises InvalidConfigurationError."""
     where = f"channels[{route.label}]"
-    if not host_name(route.host):
+    if not normalize_host(route.host):
         raise InvalidConfigurationError(f"{where}.host: must not be empty")
     if not (route.prefix.startswith("/") and route.prefix.endswith("/")):
         raise InvalidConfigurationError(f"{where}.prefix: must begin and end with a slash, not {route.prefix!r}")
--- a/cypressbeam/protocol/delta.py
+++ b/cypressbeam/protocol/delta.py
@@ -17,7 +17,7 @@
 #: The start of a route in CBOR: the text "label" with its length prefix.
 MARKER = b"\x65label"
 #: The header of a range: offset and length of the bytes copied from the base, and the number of new bytes that follow.
-RANGE = struct.Struct("!III")
+RANGE_HEADER = struct.Struct("!III")
 #: A body is packed once and sent to every node: 1,500 routes take 22 kB, against 28 kB at level 1, for 4 ms more CPU.
 COMPRESSION_LEVEL = 9
 #: The maximum size of a body.
@@ -58,30 +58,30 @@
     """Packs a body for a receiver that has the base."""
     parts = []
     for start, length, new in find_ranges(body, base) if base else [(0, 0, [body])]:
-        parts += [RANGE.pack(start, length, sum(map(len, new))), *new]
+        parts += [RANGE_HEADER.pack(start, length, sum(map(len, new))), *new]
     return zlib.compress(b"".join(parts), COMPRESSION_LEVEL)
 
 
-def unpack(data: bytes, base: bytes = b"", most: int = MAX_BODY_BYTES) -> bytes:
-    """Unpacks a body. Raises DeltaError if the data is invalid or the body would exceed `most`."""
+def unpack(data: bytes, base: bytes = b"", max_bytes: int = MAX_BODY_BYTES) -> bytes:
+    """Unpacks a body. Raises DeltaError if the data is invalid or the body would exceed `max_bytes`."""
     try:
         decompressor = zlib.decompressobj()
-        plain = decompressor.decompress(data, 2 * most)
+        plain = decompressor.decompress(data, 2 * max_bytes)
     except zlib.error as err:
         raise DeltaError(str(err)) from None
     if not decompressor.eof or decompressor.unused_data:
         raise DeltaError("too large, truncated, or followed by trailing bytes")
     parts, size, position = [], 0, 0
     while position < len(plain):
-        if position + RANGE.size > len(plain):
+        if position + RANGE_HEADER.size > len(plain):
             raise DeltaError("the header of a range is truncated")
-        start, length, new = RANGE.unpack_from(plain, position)
-        position += RANGE.size
+        start, length, new = RANGE_HEADER.unpack_from(plain, position)
+        position += RANGE_HEADER.size
         if start + length > len(base) or position + new > len(plain):
             raise DeltaError("a range extends beyond the available bytes")
         parts += [base[start : start + length], plain[position : position + new]]
         position += new
         size += length + new
-        if size > most:
-            raise DeltaError(f"the body is over {most} bytes")
+        if size > max_bytes:
+            raise DeltaError(f"the body is over {max_bytes} bytes")
     return b"".join(parts)
--- a/cypressbeam/protocol/settings.py
+++ b/cypressbeam/protocol/settings.py
@@ -10,10 +10,10 @@
 from cypressbeam.errors import CypressbeamError
 from cypressbeam.protocol.address import Address, read_address
 
-VARIABLE = "CYPRESSBEAM_BOOT"
+SETTINGS_VARIABLE = "CYPRESSBEAM_BOOT"
 T = TypeVar("T", int, float)
 #: The default delay of a replacement as a fraction of `syncS`. The rest is for failure detection and two view changes.
-REPLACE_SHARE = 0.25
+REPLACE_AFTER_FRACTION = 0.25
 
 
 class SettingsError(CypressbeamError):
@@ -54,7 +54,7 @@
     link_mbps: float
     machine_losses: int
     platform: Address | None
-    platform_per_s: float
+    platform_rate_per_s: float
     envelope: Envelope
     share_faults: bool = True
     """Whether nodes report failing servers to each other (docs/design/verdicts.md)."""
@@ -160,9 +160,9 @@
         link_mbps=reader.number("constraints.linkMbps", 1000.0, 0.01),
         machine_losses=reader.number("tolerance.machineLosses", 0),
         platform=reader.address("platform.address"),
-        platform_per_s=reader.number("platform.ratePerS", 10.0),
+        platform_rate_per_s=reader.number("platform.ratePerS", 10.0),
         share_faults=reader.flag("gateway.shareFaults", True),
-        replace_after_s=reader.number("gateway.replaceAfterS", REPLACE_SHARE * sync_s),
+        replace_after_s=reader.number("gateway.replaceAfterS", REPLACE_AFTER_FRACTION * sync_s),
         envelope=Envelope(
             converge_ms=reader.number("envelope.convergeMs", 3000),
             drain_deadline_ms=reader.number("envelope.drainDeadlineMs", 3000),
@@ -177,9 +177,9 @@
 
 def load(environ: Mapping[str, str]) -> Settings:
     """Reads the settings file whose path the environment gives. Raises SettingsError."""
-    path = environ.get(VARIABLE)
+    path = environ.get(SETTINGS_VARIABLE)
     if not path:
-        raise SettingsError(f"{VARIABLE} is not set; the path of a settings file is wanted")
+        raise SettingsError(f"{SETTINGS_VARIABLE} is not set; the path of a settings file is wanted")
     try:
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as err:
--- a/cypressbeam/proxy/routing.py
+++ b/cypressbeam/proxy/routing.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-from cypressbeam.protocol.configuration import Configuration, RouteConfiguration, host_name
+from cypressbeam.protocol.configuration import Configuration, RouteConfiguration, normalize_host
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,13 +58,13 @@
         """For each service: its request classes, with one route of each."""
         for configured in configuration.routes:
             route = make_route(configured)
-            self.routes.setdefault(host_name(configured.host), {})[configured.prefix] = route
+            self.routes.setdefault(normalize_host(configured.host), {})[configured.prefix] = route
             for service in route.services:
                 self.classes.setdefault(service, {}).setdefault(route.class_name, configured)
 
     def find(self, host: str, path: str) -> Route | None:
         """The route for a Host header, whose port is ignored, and a path without a query."""
-        host_routes = self.routes.get(host_name(host))
+        host_routes = self.routes.get(normalize_host(host))
         if host_routes is None:
             return None
         slash = path.rfind("/")
--- a/lab/commands/costs.py
+++ b/lab/commands/costs.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from cypressbeam.cli.output import as_json, run_call
-from cypressbeam.cli.parameters import HTML
+from cypressbeam.cli.parameters import HTML_OPTION
 from lab.commands.parallel import silence_simulated_nodes
 
 
@@ -41,7 +41,7 @@
 @click.option("--servers", default=100, show_default=True, help="Servers on the platform's list.")
 @click.option("--seed", default=1, show_default=True, help="What comes by chance.")
 @click.option("--json", "as_json", is_flag=True, help="For programs.")
-@HTML
+@HTML_OPTION
 def scale(sizes: str, cores: int, routes: int, servers: int, seed: int, as_json: bool, page: Path | None) -> None:
     """What grows with the fleet: costs at several sizes, and the exponent of each.
 
@@ -66,7 +66,7 @@
 @click.option("--seconds", default=10.0, show_default=True, help="Of traffic.")
 @click.option("--seed", default=1, show_default=True, help="What comes by chance.")
 @click.option("--jobs", default=4, show_default=True, help="Processes at once.")
-@HTML
+@HTML_OPTION
 def growth(sizes: str, seconds: float, seed: int, jobs: int, page: Path | None) -> None:
     """What traffic costs as the fleet grows: emulated days whose requests and servers grow with the edge nodes.
 
@@ -162,7 +162,7 @@
 
 @click.command()
 @click.option("--sources", is_flag=True, help="Of each cost the command, the run, and what carries it.")
-@HTML
+@HTML_OPTION
 def capacity(sources: bool, page: Path | None) -> None:
     """Every cost at the size of the target, the worst first, from the points in lab/capacity.toml (docs/CAPACITY.md).
 
--- a/lab/commands/days.py
+++ b/lab/commands/days.py
@@ -9,7 +9,7 @@
 import click
 
 from cypressbeam.cli.output import as_json
-from cypressbeam.cli.parameters import FILE, HTML
+from cypressbeam.cli.parameters import FILE, HTML_OPTION
 from lab.commands.parallel import first_failure, silence_simulated_nodes
 
 
@@ -110,7 +110,7 @@
 @click.option("--choice", default="", help="How the other side chooses a server: random or round-robin.")
 @click.option("--seeds", default=8, show_default=True, help="How many days of each side.")
 @click.option("--jobs", default=8, show_default=True, help="Processes at once.")
-@HTML
+@HTML_OPTION
 def compare(
     file: Path | None, settings: tuple[str, ...], choice: str, seeds: int, jobs: int, page: Path | None
 ) -> None:
--- a/lab/replacements.py
+++ b/lab/replacements.py
@@ -29,7 +29,7 @@
 from cypressbeam.consensus.state import DiskState
 from cypressbeam.consensus.views import View, ip_of
 from cypressbeam.node import gateway_node as nodes
-from cypressbeam.protocol.settings import REPLACE_SHARE, Settings
+from cypressbeam.protocol.settings import REPLACE_AFTER_FRACTION, Settings
 from lab.repair import CORE_MBPS, ROUTES, THIN_MBPS, Core, begin
 from lab.seeds import first_broken
 from lab.simulation import Disk, Host
@@ -91,7 +91,7 @@
 class Replacing(Core):
     """A cluster whose machines are told to stop as by SIGTERM, too."""
 
-    replace_after_s = REPLACE_SHARE * SYNC_S
+    replace_after_s = REPLACE_AFTER_FRACTION * SYNC_S
 
     async def told_to_stop(self, machine: Machine) -> None:
         """SIGTERM; the power goes when the process has ended, or after the grace period."""
--- a/lab/rules_orders.py
+++ b/lab/rules_orders.py
@@ -369,10 +369,10 @@
     orders(
         "routes are compared as requests are matched",
         CONFIGURATION,
-        "match = (host_name(route.host), route.prefix)",
+        "match = (normalize_host(route.host), route.prefix)",
         "match = (route.host, route.prefix)",
     ),
-    orders("valid: a host", CONFIGURATION, "if not host_name(route.host):", "if not route.host:"),
+    orders("valid: a host", CONFIGURATION, "if not normalize_host(route.host):", "if not route.host:"),
     orders(
         "valid: a prefix that begins and ends with a slash",
         CONFIGURATION,
@@ -414,7 +414,7 @@
     orders(
         "a host is matched without its port and ignoring case",
         ROUTING,
-        "self.routes.setdefault(host_name(configured.host), {})",
+        "self.routes.setdefault(normalize_host(configured.host), {})",
         "self.routes.setdefault(configured.host, {})",
     ),
     orders(
--- a/lab/system.py
+++ b/lab/system.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from cypressbeam.protocol.address import Address
-from cypressbeam.protocol.settings import VARIABLE
+from cypressbeam.protocol.settings import SETTINGS_VARIABLE
 from cypressbeam.proxy.http_client import HttpClient
 from lab.loopback_network import SYSTEM_NETWORKS, LoopbackNetwork
 
@@ -106,7 +106,7 @@
                 "node",
                 stdout=log,
                 stderr=log,
-                env=os.environ | {VARIABLE: str(boot)},
+                env=os.environ | {SETTINGS_VARIABLE: str(boot)},
             )
 
     async def kill(self, machine: Machine, number: signal.Signals = signal.SIGKILL) -> int:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -421,7 +421,7 @@
                 ((where, "add", "", victim.ip), "409: .* is a member already"),
                 ((where, "remove", spare.ip, ""), "404: .* is no member"),
             ):
-                with pytest.raises(errors.RequestRefusedError, match=error):
+                with pytest.raises(errors.RequestRejectedError, match=error):
                     await membership.change_members(*request)
             bad = json.dumps({"change": "add", "new": spare.ip, "base": []}).encode()
             for body in (b"{", bad):
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -72,15 +72,15 @@
     "data",
     [
         zlib.compress(bytes(70_000)),
-        zlib.compress(delta.RANGE.pack(0, 5, 0)),
+        zlib.compress(delta.RANGE_HEADER.pack(0, 5, 0)),
         delta.pack(b"whole")[:-3],
         delta.pack(b"whole") + b"x",
-        zlib.compress(delta.RANGE.pack(0, 0, 9) + b"short"),
+        zlib.compress(delta.RANGE_HEADER.pack(0, 0, 9) + b"short"),
     ],
 )
 def test_delta_that_is_too_large_or_truncated_is_rejected(data: bytes) -> None:
     with pytest.raises(delta.DeltaError):
-        delta.unpack(data, b"1234", most=10_000)
+        delta.unpack(data, b"1234", max_bytes=10_000)
 
 
 class PeerNetwork:
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -51,12 +51,12 @@
                     try:
                         await backup.restore(edge.control, file, over=False)
                         break
-                    except (errors.RequestRefusedError, OSError, EOFError):  # the new system has no chain yet
+                    except (errors.RequestRejectedError, OSError, EOFError):  # the new system has no chain yet
                         await asyncio.sleep(0.05)
             assert (await read_configuration(edge)).body == DEMO
             assert "in force already" in await backup.restore(edge.control, file, over=False)
             await config_calls.push(edge.control, cbor2.dumps(demo_configuration(5)))
-            with pytest.raises(errors.RequestRefusedError, match="--over restores it as 6"):
+            with pytest.raises(errors.RequestRejectedError, match="--over restores it as 6"):
                 await backup.restore(edge.control, file, over=False)
             assert "revision 6 is in force" in await backup.restore(edge.control, file, over=True)
             assert cbor2.loads((await read_configuration(edge)).body) == demo_configuration(6)
--- a/tests/test_quorum_loss.py
+++ b/tests/test_quorum_loss.py
@@ -231,7 +231,7 @@
                     for text in (status.describe_state(state), membership.describe_members(state)):
                         assert "! no majority of the core" in text and RUNBOOK in text
             assert (await make_request(edge)).status == 200  # it keeps serving
-            with pytest.raises(errors.RequestRefusedError, match="503"):
+            with pytest.raises(errors.RequestRejectedError, match="503"):
                 await config_calls.push(edge.control, cbor2.dumps(demo_configuration(2)), 1)
             await system.kill(left)
             state = await status.read_state(edge.control)
@@ -245,7 +245,7 @@
                         await backup.restore(edge.control, copy, over=False)
                         break
                     except (
-                        errors.RequestRefusedError,
+                        errors.RequestRejectedError,
                         OSError,
                         EOFError,
                         TimeoutError,
--- a/tests/test_thin_links.py
+++ b/tests/test_thin_links.py
@@ -43,7 +43,7 @@
     during transfers and drains are late."""
 
     def pack_uncompressed(body: bytes, base: bytes = b"") -> bytes:
-        return zlib.compress(delta.RANGE.pack(0, 0, len(body)) + body, 0)
+        return zlib.compress(delta.RANGE_HEADER.pack(0, 0, len(body)) + body, 0)
 
     def control_link_to(self: Peers, ip: str) -> Link:
         return self.link_to(ip)
