--- a/cypressbeam/admin/config_file.py
+++ b/cypressbeam/admin/config_file.py
@@ -69,12 +69,12 @@
         where = f"channels[{route.label}]"
         if route.latency_target_ms > route.timeout_ms:
             warnings.append(
-                f"{where}: setpointMs of {route.latency_target_ms:g} exceeds cutoffMs of {route.timeout_ms:g}"
+                f"{where}: the aim of {route.latency_target_ms:g} ms lies behind the end at {route.timeout_ms:g} ms"
             )
         elif route.tries > 1 and route.latency_target_ms > MAX_TARGET_FRACTION * route.timeout_ms:
             warnings.append(
-                f"{where}: setpointMs of {route.latency_target_ms:g} leaves too little of the cutoffMs of"
-                f" {route.timeout_ms:g} for a second try"
+                f"{where}: an aim of {route.latency_target_ms:g} of {route.timeout_ms:g} ms leaves little for a"
+                " second try"
             )
         if route.mode != "idempotent" and route.tries > 1:
             warnings.append(f"{where}: {route.mode} requests are tried again only where they surely did not run")
--- a/cypressbeam/admin/membership.py
+++ b/cypressbeam/admin/membership.py
@@ -30,12 +30,12 @@
     lines = [f"epoch {state['epoch']}: {members} members, {needed} are a majority, {len(chain)} whole copies"]
     for name in group:
         ip = ip_of(name)
-        role = f"copy {chain.index(name) + 1} of {len(chain)}" if name in chain else "not in the chain"
+        role = f"copy {chain.index(name) + 1} of {len(chain)}" if name in chain else "no copy that counts"
         silence = "" if replies.get(ip, {}).get("answers") else ", does not answer"
         silence += f", not heard for {silent[ip]} s" if ip in silent else ""
         lines.append(f"  {name:32} {role}{silence}")
     lines += [f"  {name:32} stands by" for name in state["standingBy"]]
-    lines += [f"a replacement is in progress: {state['waits']}"] if state["waits"] else []
+    lines += [f"a replacement is under way: {state['waits']}"] if state["waits"] else []
     return "\n".join([*lines, *describe_quorum_loss(state)])
 
 
--- a/cypressbeam/cli/config.py
+++ b/cypressbeam/cli/config.py
@@ -56,5 +56,5 @@
 def diff(where: Address, file: Path) -> None:
     """Show what FILE would change in the configuration in force. Exit code 3 if there is a difference."""
     lines = run_call(config_calls.diff(where, file))
-    click.echo("\n".join(lines) or "no difference")
+    click.echo("\n".join(lines) or "the same")
     sys.exit(3 if lines else 0)
--- a/cypressbeam/protocol/configuration.py
+++ b/cypressbeam/protocol/configuration.py
@@ -163,7 +163,7 @@
     """Validates a single route. Raises InvalidConfigurationError."""
     where = f"channels[{route.label}]"
     if not normalize_host(route.host):
-        raise InvalidConfigurationError(f"{where}.host: must not be empty")
+        raise InvalidConfigurationError(f"{where}.host: a name is wanted")
     if not (route.prefix.startswith("/") and route.prefix.endswith("/")):
         raise InvalidConfigurationError(f"{where}.prefix: must begin and end with a slash, not {route.prefix!r}")
     if not 0 < route.timeout_ms < 1e9 or not 0 <= route.latency_target_ms < 1e9:
@@ -171,12 +171,12 @@
     if not (0 <= route.tries <= MAX_INTEGER and 0 <= route.rank <= MAX_INTEGER):
         raise InvalidConfigurationError(f"{where}: tries and rank must be 0 to {MAX_INTEGER}")
     if (route.service is None) == (not route.allocation):
-        raise InvalidConfigurationError(f"{where}: either plant or allocation is required, and not both")
+        raise InvalidConfigurationError(f"{where}: either plant or allocation is wanted")
     named = {route.service} if route.service is not None else {weighted.service for weighted in route.allocation}
     if unknown := named - services:
         raise InvalidConfigurationError(f"{where}: unknown service {min(map(str, unknown))}")
     total = sum(weighted.weight for weighted in route.weighted_services())
     if any(not weighted.weight >= 0 for weighted in route.allocation) or not 0 < total < math.inf:
         raise InvalidConfigurationError(
-            f"{where}.allocation: weights must be at least 0 and add up to a finite number above 0"
+            f"{where}.allocation: the weights must be at least 0, not add up to 0, and their sum a number"
         )
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -100,7 +100,7 @@
     document["channels"][0]["setpointMs"] = 9000
     result = CliRunner().invoke(main, ["config", "check", str(write_json(tmp_path, document))])
     assert result.exit_code == 0 and "plants[idle]: no route leads here" in result.output
-    assert "channels[find]: setpointMs of 9000 exceeds cutoffMs of 5000" in result.output
+    assert "channels[find]: the aim of 9000 ms lies behind the end at 5000 ms" in result.output
     assert "demo.example/book/ -> booker" in result.output
     document["channels"][0]["plant"] = "nobody"
     result = CliRunner().invoke(main, ["config", "check", "--json", str(write_json(tmp_path, document))])
