--- a/cypressbeam/protocol/settings.py
+++ b/cypressbeam/protocol/settings.py
@@ -103,7 +103,7 @@
             raise self.error(key, "host:port") from None
 
     def flag(self, key: str, default: bool = False) -> bool:
-        """A boolean, `true` or `false`."""
+        """A boolean, true or false."""
         value = self.values.get(key, str(default).lower())
         if value not in ("true", "false"):
             raise self.error(key, "true or false")
