--- a/cypressbeam/balancing/balancer.py
+++ b/cypressbeam/balancing/balancer.py
@@ -546,7 +546,7 @@
     def on_list_changed(self, event: it.ListChanged) -> None:
         """Apply an update of the server list, or schedule a new subscription if the call to the list failed."""
         if event.scope is it.ListScope.FAILED:
-            # The subscription may be broken. Without one, this proxy is soon held to have been told of drains.
+            # The subscription may be broken. A proxy without one is soon treated as informed of draining servers.
             cap_us = min(RESUBSCRIBE_CAP_US, RESUBSCRIBE_BASE_US << min(self.failed_list_calls, 8))
             self.failed_list_calls += 1
             self.set_timer(int(cap_us * (0.5 + 0.5 * self.rng.random())), "subscribe")
