--- a/lab/hollow.py
+++ b/lab/hollow.py
@@ -381,10 +381,10 @@
         before, after, real = await self.span(self.change_all)
         figures, count, passed_s = self.figures, max(self.plan.changes, 1), time.monotonic() - began_s
         if before and self.plan.changes:
-            done = self.sums(before, after)
-            figures.change_bytes = (done["bytes_out"] - figures.bytes_out * passed_s) / count
-            figures.change_frames = (done["frames_out"] - figures.frames_out * passed_s) / count
-            figures.change_cpu_ms = 1000 * (done["cpu"] - figures.cpu * passed_s) / count
+            done, counted_s = self.sums(before, after), after[0].at_s - before[0].at_s
+            figures.change_bytes = (done["bytes_out"] - figures.bytes_out * counted_s) / count
+            figures.change_frames = (done["frames_out"] - figures.frames_out * counted_s) / count
+            figures.change_cpu_ms = 1000 * (done["cpu"] - figures.cpu * counted_s) / count
         pairs = [real[machine.name] for machine in self.system.fronts]
         if pairs and self.plan.changes:
             spent_s = statistics.fmean(late.cpu_s - early.cpu_s for early, late in pairs)
