--- a/cypressbeam/proxy/__init__.py
+++ b/cypressbeam/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: client connections, routing, attempts at servers, and the answers that come back."""
+"""The data plane: client connections, routing, attempts at servers and their responses."""
--- a/cypressbeam/proxy/attempts.py
+++ b/cypressbeam/proxy/attempts.py
@@ -1,6 +1,6 @@
-"""What is known of a request once an attempt at it has ended: whether its server may have run it, or may run it yet.
+"""Decides, when an attempt ends, whether its server may have executed the request or may still execute it.
 
-This is the one table of docs/design/attempts.md. It takes no account of chance: what can't be proven may have happened.
+This is the table in docs/design/attempts.md. Probability plays no part: whatever can't be ruled out may have happened.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 
 from cypressbeam.balancing.interface import AttemptOutcome, Group, Repeat, RequestClass
 
-#: Statuses that promise: the request has not run and never will (PROTOCOL.md, Answers).
+#: Statuses that guarantee that the request was not executed and never will be (PROTOCOL.md, Answers).
 PROMISES = frozenset({408, 421, 429, 503})
 
 
 class SendProgress(Enum):
-    """How much of a request its connection was given. What was given may have left, whatever breaks later: that the
-    system holds it back is known of the part that was not taken off, not of the rest."""
+    """How much of a request was written to its connection. Written bytes may have been sent even if the connection
+    breaks later; only bytes that are still in the transport's buffer are known to be unsent."""
 
     NOTHING = "nothing"
     PART = "part"
@@ -25,51 +25,51 @@
 
 
 class EndCause(Enum):
-    """What ended an attempt."""
+    """Why an attempt ended."""
 
     NO_CONNECTION = "no connection"
-    """Refused, not up in time, no room for it, or not to be used once it was up."""
+    """The connection was refused, timed out, exceeded the limit, or was no longer usable once established."""
     ANSWERED = "answered"
-    """A whole answer to this very request, by its name where answers have one."""
+    """A complete response to this request, matched by request ID where responses carry one."""
     CLOSED = "closed"
-    """The server closed or reset the connection before that."""
+    """The server closed or reset the connection before a complete response."""
     MALFORMED = "malformed"
-    """Bytes that are no answer, that are too many, or that can't be told to belong to this request."""
+    """The bytes are not a valid response, exceed a limit, or can't be attributed to this request."""
     TIMED_OUT = "timed out"
     CANCELLED = "cancelled"
-    """From this side: the client has left, or an error of this program's own."""
+    """Stopped by this node: the client disconnected, or an internal error occurred."""
     SERVER_GONE = "server gone"
-    """The list tells that the process which had it is no more."""
+    """The server list shows that the process that received the request no longer exists."""
 
 
 class ReplyKind(Enum):
-    """What a whole answer says of its request."""
+    """What a complete response says about its request."""
 
     SUCCESS = "success"
-    SPOILT = "spoilt"
-    """A success that lacks the proof that it is the server's own and whole."""
+    INVALID = "spoilt"
+    """A success without proof that it is the server's own and complete."""
     FAILURE = "failure"
-    """Also a status that promises, where the server gives no proof."""
+    """Includes a status of `PROMISES` without proof from the server."""
     NOT_EXECUTED = "not executed"
-    """With the server's proof that it has not run it and will not."""
+    """The server proves that it has not executed the request and will not."""
     MISDIRECTED = "misdirected"
-    """By another server than was meant, which has not run it either."""
+    """Sent by a server other than the intended one, which has not executed the request either."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """What becomes of an attempt."""
+    """The outcome of an attempt."""
 
     ending: AttemptOutcome
     may_have_run: bool
-    """Or may run yet. False: it has not and never will."""
+    """The server has executed the request, or may yet. False: it has not and never will."""
     reusable: bool = False
-    """The connection may carry another request, if its framing allows."""
+    """The connection may carry another request, if the framing of the response allows it."""
 
 
 UNSENT = AttemptResult(AttemptOutcome.CONNECT_FAILED, may_have_run=False)
 UNSENT_CANCELLED = AttemptResult(AttemptOutcome.CANCELLED, may_have_run=False)
-BROKEN = {
+UNANSWERED = {
     cause: AttemptResult(ending, may_have_run=True)
     for cause, ending in (
         (EndCause.CLOSED, AttemptOutcome.RESET),
@@ -79,37 +79,41 @@
         (EndCause.CANCELLED, AttemptOutcome.CANCELLED),
     )
 }
-REPLIES = {
+REPLY_OUTCOMES = {
     ReplyKind.SUCCESS: (AttemptOutcome.OK, True),
-    ReplyKind.SPOILT: (AttemptOutcome.RESET, True),
+    ReplyKind.INVALID: (AttemptOutcome.RESET, True),
     ReplyKind.FAILURE: (AttemptOutcome.ERROR, True),
     ReplyKind.NOT_EXECUTED: (AttemptOutcome.FULL, False),
     ReplyKind.MISDIRECTED: (AttemptOutcome.CONNECT_FAILED, False),
 }
-#: After these the connection is of no more use.
-LAST_REPLIES = frozenset({ReplyKind.SPOILT, ReplyKind.MISDIRECTED})
+#: The connection is closed after these.
+CLOSING_REPLIES = frozenset({ReplyKind.INVALID, ReplyKind.MISDIRECTED})
 ANSWERED = {
-    (sent, reply): AttemptResult(*known, reusable=sent is SendProgress.WHOLE and reply not in LAST_REPLIES)
+    (sent, reply): AttemptResult(*result, reusable=sent is SendProgress.WHOLE and reply not in CLOSING_REPLIES)
     for sent in (SendProgress.PART, SendProgress.WHOLE)
-    for reply, known in REPLIES.items()
+    for reply, result in REPLY_OUTCOMES.items()
 }
 
 
 def result_of(sent: SendProgress, cause: EndCause, reply: ReplyKind | None = None) -> AttemptResult:
-    """The table. An answer (`reply`) goes with Cause.ANSWERED alone. Raises KeyError for what can't be."""
+    """Look up the outcome of an attempt; `reply` is given for `EndCause.ANSWERED` only.
+
+    Raises KeyError for an impossible combination."""
     if sent is SendProgress.NOTHING:
         return UNSENT_CANCELLED if cause is EndCause.CANCELLED else UNSENT
     if cause is EndCause.ANSWERED and reply is not None:
         return ANSWERED[sent, reply]
-    return BROKEN[cause]
+    return UNANSWERED[cause]
 
 
-def is_idempotent(kind: RequestClass) -> bool:
-    """Whether a client may send a request of this class again though it may have run."""
-    return kind.repeat is Repeat.SAFE or (kind.repeat is Repeat.KEYED and kind.group is Group.ALL)
+def is_idempotent(request_class: RequestClass) -> bool:
+    """Whether a request of this class may be repeated even though it may have been executed."""
+    return request_class.repeat is Repeat.SAFE or (
+        request_class.repeat is Repeat.KEYED and request_class.group is Group.ALL
+    )
 
 
-def may_answer_status(status: int, is_repeatable: bool, may_have_run: Iterable[bool]) -> bool:
-    """Whether a status may be the final answer to a request with such attempts: a promise only where all are known
-    not to have run, or where a repeat does no harm."""
-    return status not in PROMISES or is_repeatable or not any(may_have_run)
+def may_answer_status(status: int, idempotent: bool, may_have_run: Iterable[bool]) -> bool:
+    """Whether a status may be the final response to a request with these attempts. A status of `PROMISES` is allowed
+    only if no attempt may have been executed, or if the request is idempotent."""
+    return status not in PROMISES or idempotent or not any(may_have_run)
--- a/cypressbeam/proxy/frontend.py
+++ b/cypressbeam/proxy/frontend.py
@@ -1,4 +1,4 @@
-"""Client connections: who may hold one and for how long, taking requests in, and writing their answers."""
+"""Client connections: limits and timeouts, reading requests and writing responses."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 from typing import Protocol, cast
 
 from cypressbeam.proxy.http_requests import BadRequestError, BodyBudget, RequestMessage, RequestReader
-from cypressbeam.proxy.http_responses import BODILESS, Answer, Limits, readable
+from cypressbeam.proxy.http_responses import BODILESS_STATUSES, Answer, Limits, has_unread_input
 
 log = logging.getLogger(__name__)
 
-#: Of the descriptors that are left clients get so much: usual ones may hold a third of all descriptors for requests,
-#: and those that ask nothing must not crowd them out. A request needs one server connection at a time, as a rule.
+#: Share of the usable file descriptors that client connections may hold. Active clients may hold a third of all
+#: descriptors, and idle clients must not crowd them out. A request usually needs one server connection at a time.
 CLIENT_SHARE = 0.6
 
 BACKLOG = 1024
-SWEEP_S = 0.2
-#: A client that does not read its answer is cut off.
-SLOW_S = 2.0
-#: How long a connection that is closed on a client is read on, so that the answer is not lost to a reset.
+SWEEP_INTERVAL_S = 0.2
+#: A client that does not read its response for this long is disconnected.
+WRITE_TIMEOUT_S = 2.0
+#: How long a closing connection is still read, so that a reset does not destroy the response.
 LINGER_S = 1.0
-#: Whoever is turned away by a node that stops may come back, to another one, after so many seconds.
-STOPS_S = b"0.5"
-#: At the bound one makes room that has waited for so long, in this order. So many of each are looked at, for
-#: each look costs a system call.
-MAKE_ROOM = (
+#: Retry-After, in seconds, for clients that a stopping node rejects; they can retry at another node.
+STOPPING_RETRY_AFTER_S = b"0.5"
+#: At the connection limit, connections in these states that have waited at least this many seconds are evicted, in
+#: this order. At most `MAX_EVICTION_CHECKS` are checked per step, because each check costs a system call.
+EVICTION_ORDER = (
     ("silent", 0.1),
     ("partial", 0.5),
     ("idle", 1.0),
@@ -39,33 +39,33 @@
     ("partial", 0.0),
     ("idle", 0.0),
 )
-MOST_TRIED = 8
-#: One that was answered for good gets this time to close by itself.
-ANSWERED_LEAST_S = 0.1
-#: A larger body is written beside its head: to put the two together would copy it once more.
-COPY_MOST = 32 * 1024
-#: Refusals that a limit of ours makes.
-LIMITED = frozenset({408, 413, 431, 503})
-REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
+MAX_EVICTION_CHECKS = 8
+#: Time that a client gets to close the connection itself after its last response.
+MIN_LINGER_S = 0.1
+#: Larger bodies are written separately from the head, to avoid copying them.
+MAX_COPIED_BODY_BYTES = 32 * 1024
+#: Rejections caused by a configured limit.
+LIMIT_STATUSES = frozenset({408, 413, 431, 503})
+REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 
-#: Connections in one state, with the time since when; longest first.
-Waiting = dict["ClientConnection", float]
+#: Connections in one state, with the time at which they entered it; the longest wait first.
+ConnectionTimes = dict["ClientConnection", float]
 
 
 class Application(Protocol):
-    """What answers the requests that come in at a listening socket."""
+    """Handles the requests that arrive at a listening socket."""
 
     loop: asyncio.AbstractEventLoop
 
     def now_us(self) -> int: ...
 
     def serve(self, message: RequestMessage, connection: ClientConnection) -> Answer | None:
-        """Take a whole message. None: the answer comes later, by the connection's `respond`.
+        """Handle a complete request. None: the response follows later through the connection's `respond`.
 
-        Raises BadRequestError for what can't be taken."""
+        Raises BadRequestError if the request can't be accepted."""
 
     def client_gone(self, name: str) -> None:
-        """The client of the request that `serve` has named on its connection has left."""
+        """The client of the request whose ID `serve` set on the connection has disconnected."""
 
     def can_serve(self) -> bool: ...
 
@@ -73,94 +73,103 @@
 class Frontend:
     """A listening socket and all its client connections."""
 
-    def __init__(self, app: Application, most: int, overflow: int, limits: Limits | None = None) -> None:
+    def __init__(
+        self, app: Application, max_connections: int, overflow_connections: int, limits: Limits | None = None
+    ) -> None:
         self.app = app
         self.limits = limits or Limits()
-        self.store = BodyBudget(self.limits)
+        self.body_budget = BodyBudget(self.limits)
         self.loop = app.loop
-        self.max_connections = most
-        self.overflow_connections = overflow
+        self.max_connections = max_connections
+        self.overflow_connections = overflow_connections
         self.connections: set[ClientConnection] = set()
-        # Where the connections without an open request are. Those with one are in none of these.
-        self.silent: Waiting = {}
-        self.partial: Waiting = {}
-        self.idle: Waiting = {}
-        self.closing: Waiting = {}
+        # Connections without an open request, by state. A connection with an open request is in none of these.
+        self.silent: ConnectionTimes = {}
+        self.partial: ConnectionTimes = {}
+        self.idle: ConnectionTimes = {}
+        self.closing: ConnectionTimes = {}
         self.stopping = False
         self.server: asyncio.Server | None = None
 
-    async def listen(self, host: str, port: int, listening: socket.socket | None = None) -> None:
-        """At an address, or at a socket that listens there already."""
-        if listening is None:
+    async def listen(self, host: str, port: int, listening_socket: socket.socket | None = None) -> None:
+        """Listen at an address, or on a socket that is already listening."""
+        if listening_socket is None:
             self.server = await self.loop.create_server(lambda: ClientConnection(self), host, port, backlog=BACKLOG)
         else:
-            self.server = await self.loop.create_server(lambda: ClientConnection(self), sock=listening, backlog=BACKLOG)
+            self.server = await self.loop.create_server(
+                lambda: ClientConnection(self), sock=listening_socket, backlog=BACKLOG
+            )
         self.sweep()
 
     def ready(self) -> bool:
         return not self.stopping and self.app.can_serve()
 
     def stop_accepting(self) -> None:
-        """Last step but one of a stop: no new connections, and those that ask nothing close."""
+        """Second to last step of a shutdown: accept no new connections and close those without a request."""
         if self.server is not None:
             self.server.close()
         for connection in [*self.silent, *self.idle]:
-            connection.part()
+            connection.close_unless_readable()
 
     def has_pending_answers(self) -> bool:
-        """Whether a client is within a request, waits for its answer, or has not been sent all of it."""
+        """Whether a request is partly received, a response is pending, or part of a response is still unsent."""
         return bool(self.partial) or any(
             connection.current is not None or connection.transport.get_write_buffer_size()
             for connection in self.connections
         )
 
     def refuse_partial(self) -> None:
-        """Nothing more can be waited for. What has not come whole was passed to nobody: its client may come again."""
+        """Reject partly received requests at the end of a shutdown. None was forwarded, so its client may retry."""
         for connection in [*self.partial]:
-            connection.reject(BadRequestError(503, "the node stops", retry_after=STOPS_S))
+            connection.reject(BadRequestError(503, "the node stops", retry_after=STOPPING_RETRY_AFTER_S))
 
     def admit(self, connection: ClientConnection) -> bool:
-        """Whether a new connection is within the bound; one without an open request makes room."""
+        """Whether a new connection is within the limit; if need be a connection without an open request is evicted."""
         self.connections.add(connection)
-        if len(self.connections) <= self.max_connections or self.make_room():
+        if len(self.connections) <= self.max_connections or self.evict_one():
             return True
-        log.warning("all %d client connections are in use: no room for another", self.max_connections)
+        log.warning("all %d client connections are in use, rejecting a new one", self.max_connections)
         return False
 
-    def make_room(self) -> bool:
-        """Usual clients ask at once and send requests in one go: those who don't go first, then the one that
-        has been idle longest, which one that asks often never is. A client within a request that is not its
-        first stays: it may have sent the last byte by now, and the request would be lost."""
+    def evict_one(self) -> bool:
+        """Close one connection to make room for another; False if none can be closed.
+
+        Well-behaved clients send a request right after connecting, and all of it at once. Connections that don't are
+        evicted first, then the one that has been idle longest, which a frequently used connection never is. A client
+        that is sending a request after its first one is kept: its last byte may have arrived already, and the request
+        would be lost."""
         now_s = self.loop.time()
-        answered = next(iter(self.closing), None)
-        if answered is not None and self.closing[answered] - now_s <= LINGER_S - ANSWERED_LEAST_S:
-            answered.transport.abort()
+        lingering = next(iter(self.closing), None)
+        if lingering is not None and self.closing[lingering] - now_s <= LINGER_S - MIN_LINGER_S:
+            lingering.transport.abort()
             return True
-        for state, least_s in MAKE_ROOM:
-            waiting: Waiting = getattr(self, state)
-            for connection, since_s in list(islice(waiting.items(), MOST_TRIED)):
-                if now_s - since_s < least_s:
+        for state, min_wait_s in EVICTION_ORDER:
+            group: ConnectionTimes = getattr(self, state)
+            for connection, since_s in list(islice(group.items(), MAX_EVICTION_CHECKS)):
+                if now_s - since_s < min_wait_s:
                     break
-                if (waiting is not self.partial or not connection.asked) and connection.part():
+                if (
+                    group is not self.partial or not connection.has_sent_request
+                ) and connection.close_unless_readable():
                     return True
         return False
 
     def sweep(self) -> None:
-        """Part with clients that hold a place and neither ask nor read."""
-        self.loop.call_later(SWEEP_S, self.sweep)
+        """Disconnect clients that exceed a timeout without sending a request or reading a response."""
+        self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
         now_s = self.loop.time()
         limits = self.limits
-        for waiting, most_s in ((self.silent, limits.ask_s), (self.idle, limits.idle_s)):
-            for connection, since_s in list(waiting.items()):
-                if now_s - since_s < most_s:
+        for group, timeout_s in ((self.silent, limits.ask_s), (self.idle, limits.idle_s)):
+            for connection, since_s in list(group.items()):
+                if now_s - since_s < timeout_s:
                     break
-                connection.part()
+                connection.close_unless_readable()
         for connection, since_s in list(self.partial.items()):
             in_body = connection.reader.headers_done
             if now_s - since_s >= (limits.body_s if in_body else limits.ask_s):
                 connection.reject(BadRequestError(408, "the request did not come whole in time"))
         for connection, since_s in list(self.idle.items()):
-            if connection.unread and now_s - since_s >= SLOW_S:
+            if connection.write_paused and now_s - since_s >= WRITE_TIMEOUT_S:
                 connection.transport.abort()
         for connection, until_s in list(self.closing.items()):
             if now_s >= until_s:
@@ -168,17 +177,19 @@
 
 
 class ClientConnection(asyncio.Protocol):
+    """One client connection; its requests are handled one at a time."""
+
     def __init__(self, frontend: Frontend) -> None:
         self.frontend = frontend
         self.app = frontend.app
-        self.reader = RequestReader(self.app.now_us, self.go_ahead, frontend.store)
-        self.current: RequestMessage | None = None  # the message that an answer is owed for
-        self.request: str | None = None  # and its name, once the application has taken it
+        self.reader = RequestReader(self.app.now_us, self.send_continue, frontend.body_budget)
+        self.current: RequestMessage | None = None  # the request whose response is pending
+        self.request: str | None = None  # its ID, once the application has accepted it
         self.closing = False
         self.admitted = True
-        self.asked = False
-        self.unread = False  # the client does not read what was written
-        self.waiting: Waiting | None = None  # where the frontend holds it
+        self.has_sent_request = False
+        self.write_paused = False  # the client does not read the response
+        self.group: ConnectionTimes | None = None  # the frontend's map that contains this connection
         self.opened_s = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -190,38 +201,38 @@
             not self.admitted
             and len(self.frontend.connections) > self.frontend.max_connections + self.frontend.overflow_connections
         ):
-            self.shut()
+            self.begin_close()
             return
-        self.wait_in(self.frontend.silent, self.opened_s)
+        self.move_to(self.frontend.silent, self.opened_s)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closing = True
         self.frontend.connections.discard(self)
-        self.wait_in(None)
+        self.move_to(None)
         self.reader.messages.clear()
         self.reader.close()
-        self.reader.give_back(self.reader.held)
+        self.reader.release_body(self.reader.buffered_bytes)
         if self.request is not None:
             request, self.request = self.request, None
             self.app.client_gone(request)
 
-    def wait_in(self, waiting: Waiting | None, since_s: float = 0.0) -> None:
-        if self.waiting is not None:
-            self.waiting.pop(self, None)
-        self.waiting = waiting
-        if waiting is not None:
-            waiting[self] = since_s
+    def move_to(self, group: ConnectionTimes | None, since_s: float = 0.0) -> None:
+        if self.group is not None:
+            self.group.pop(self, None)
+        self.group = group
+        if group is not None:
+            group[self] = since_s
 
-    def part(self) -> bool:
-        """Close now, unless something has come that the event loop has not read yet."""
-        if readable(self.transport):
+    def close_unless_readable(self) -> bool:
+        """Close the connection unless it has unread input. Returns whether it was closed."""
+        if has_unread_input(self.transport):
             return False
-        self.shut()
+        self.begin_close()
         return True
 
-    def shut(self) -> None:
+    def begin_close(self) -> None:
         self.closing = True
-        self.wait_in(self.frontend.closing, self.frontend.loop.time())
+        self.move_to(self.frontend.closing, self.frontend.loop.time())
         self.transport.close()
 
     # -- reading -----------------------------------------------------------------------------------------
@@ -235,136 +246,136 @@
         if self.current is not None:
             return
         if reader.messages:
-            self.next()
+            self.handle_next()
         elif reader.error is not None:
             self.reject(reader.error)
         elif reader.partial and not was_partial:
-            self.wait_in(self.frontend.partial, self.frontend.loop.time() if self.asked else self.opened_s)
+            self.move_to(self.frontend.partial, self.frontend.loop.time() if self.has_sent_request else self.opened_s)
         elif reader.headers_done and self.frontend.limits.body_renews:
-            self.wait_in(self.frontend.partial, self.frontend.loop.time())
+            self.move_to(self.frontend.partial, self.frontend.loop.time())
 
-    def go_ahead(self) -> None:
-        """Ask for the body that its sender holds back, once it is that message's turn."""
+    def send_continue(self) -> None:
+        """Send 100 Continue, unless the response to an earlier request is still pending."""
         if self.current is None and not self.reader.messages:
-            self.reader.expects = False
+            self.reader.awaits_continue = False
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    # -- answering ---------------------------------------------------------------------------------------
+    # -- responding --------------------------------------------------------------------------------------
 
-    def next(self) -> None:
-        """Take up the next whole message: one at a time, in order."""
+    def handle_next(self) -> None:
+        """Handle the next complete request. Pipelined requests are handled one at a time, in order."""
         message = self.current = self.reader.messages.popleft()
-        self.asked = True
-        self.wait_in(None)
+        self.has_sent_request = True
+        self.move_to(None)
         try:
-            answer = self.app.serve(message, self)
+            response = self.app.serve(message, self)
         except BadRequestError as err:
-            tell(err)
-            self.respond(plain(err))
+            log_rejection(err)
+            self.respond(error_response(err))
             return
         except Exception:
-            log.exception("reading a request failed")
+            log.exception("handling a request failed")
             self.closing = True
             self.respond(Answer(500))
             return
-        if answer is not None:
-            self.respond(answer)
+        if response is not None:
+            self.respond(response)
 
-    def respond(self, answer: Answer) -> None:
-        """Write the answer that is owed, in one piece, and go on to what came behind it."""
+    def respond(self, response: Answer) -> None:
+        """Write the pending response, then continue with pipelined input."""
         message, self.current, self.request = self.current, None, None
         if message is None or self.transport.is_closing():
             return
         if message.body:
-            self.reader.give_back(len(message.body))
-        if message.method == b"HEAD" and answer.body:  # a refusal of ours: its text would pass for the next answer
-            answer = Answer(answer.status, answer.headers, length=len(answer.body))
+            self.reader.release_body(len(message.body))
+        if message.method == b"HEAD" and response.body:  # the body would be read as the next response
+            response = Answer(response.status, response.headers, length=len(response.body))
         close = self.closing or self.frontend.stopping or not message.keep_alive
-        self.write(answer, close)
+        self.write(response, close)
         if close:
             self.linger()
         else:
-            self.proceed()
+            self.continue_after_response()
 
-    def proceed(self) -> None:
-        """After an answer: to the next message, the error that came behind, or to wait."""
+    def continue_after_response(self) -> None:
+        """Handle the next request, report a read error, or wait for input."""
         reader, now_s = self.reader, self.frontend.loop.time()
-        if reader.messages and not self.unread:
-            self.frontend.loop.call_soon(self.take_next)
-            self.wait_in(None)
+        if reader.messages and not self.write_paused:
+            self.frontend.loop.call_soon(self.handle_next_if_open)
+            self.move_to(None)
         elif reader.error is not None and not reader.messages:
             self.reject(reader.error)
-        elif reader.partial and not self.unread:
-            self.wait_in(self.frontend.partial, now_s)
-            if reader.expects:
-                self.go_ahead()
+        elif reader.partial and not self.write_paused:
+            self.move_to(self.frontend.partial, now_s)
+            if reader.awaits_continue:
+                self.send_continue()
         else:
-            self.wait_in(self.frontend.idle, now_s)
+            self.move_to(self.frontend.idle, now_s)
 
-    def take_next(self) -> None:
+    def handle_next_if_open(self) -> None:
         if self.current is None and self.reader.messages and not self.closing:
-            self.next()
+            self.handle_next()
 
     def pause_writing(self) -> None:
-        # Else one that asks and does not read could have the node hold any number of answers.
-        self.unread = True
+        # Otherwise a client that sends requests without reading could make the node buffer unlimited responses.
+        self.write_paused = True
         self.transport.pause_reading()
 
     def resume_writing(self) -> None:
-        self.unread = False
+        self.write_paused = False
         if not self.transport.is_closing():
             self.transport.resume_reading()
             if self.current is None and not self.closing:
-                self.proceed()
+                self.continue_after_response()
 
-    def write(self, answer: Answer, close: bool) -> None:
-        lines = [b"HTTP/1.1 %d %s\r\n" % (answer.status, REASONS.get(answer.status, b"-"))]
-        if answer.status not in BODILESS:
-            length = len(answer.body) if answer.length is None else answer.length
+    def write(self, response: Answer, close: bool) -> None:
+        lines = [b"HTTP/1.1 %d %s\r\n" % (response.status, REASON_PHRASES.get(response.status, b"-"))]
+        if response.status not in BODILESS_STATUSES:
+            length = len(response.body) if response.length is None else response.length
             lines.append(b"Content-Length: %d\r\n" % length)
-        lines += [b"%s: %s\r\n" % header for header in answer.headers]
+        lines += [b"%s: %s\r\n" % header for header in response.headers]
         lines.append(b"Connection: close\r\n\r\n" if close else b"\r\n")
-        if len(answer.body) > COPY_MOST:
-            self.transport.writelines([b"".join(lines), answer.body])
+        if len(response.body) > MAX_COPIED_BODY_BYTES:
+            self.transport.writelines([b"".join(lines), response.body])
             return
-        lines.append(answer.body)
+        lines.append(response.body)
         self.transport.write(b"".join(lines))
 
     def reject(self, error: BadRequestError) -> None:
-        """Answer what can't be read to its end; where the next message would begin is not known."""
-        tell(error)
-        self.reader.give_back(self.reader.held)
-        self.write(plain(error), close=True)
+        """Respond to a request that can't be read completely and close: the start of the next request is unknown."""
+        log_rejection(error)
+        self.reader.release_body(self.reader.buffered_bytes)
+        self.write(error_response(error), close=True)
         self.linger()
 
     def linger(self) -> None:
-        """Close after what was written. A close with bytes unread would reset the connection, and the client
-        might never see the answer; so bytes are read and dropped until the client closes, or for a while."""
+        """Close once the response is written. Closing with unread input would reset the connection, and the client
+        might never see the response, so input is read and discarded until the client closes or a timeout expires."""
         self.closing = True
         now_s = self.frontend.loop.time()
         if self.reader.partial or self.reader.error is not None:
             self.reader.close()
-            self.wait_in(self.frontend.closing, now_s + LINGER_S)
+            self.move_to(self.frontend.closing, now_s + LINGER_S)
             self.transport.write_eof()
         else:
-            self.wait_in(self.frontend.closing, now_s + SLOW_S)
+            self.move_to(self.frontend.closing, now_s + WRITE_TIMEOUT_S)
             self.transport.close()
 
 
 def readiness(connection: ClientConnection, method: bytes) -> Answer:
-    """Whether the node behind this connection's listening socket takes requests."""
+    """The response to a readiness check: 200 while the node accepts requests, otherwise 503."""
     if method not in (b"GET", b"HEAD"):
         raise BadRequestError(405, f"{method!r} for readiness", b"GET, HEAD")
     return Answer(200 if connection.frontend.ready() else 503)
 
 
-def tell(error: BadRequestError) -> None:
-    """Log what was refused. What an operator's limit refused he may want to know; the rest is the client's fault."""
-    level = logging.INFO if error.status in LIMITED else logging.DEBUG
-    log.log(level, "refused a request: %d: %s", error.status, error)
+def log_rejection(error: BadRequestError) -> None:
+    """Log a rejected request: at INFO if a configured limit caused it, at DEBUG if it is the client's fault."""
+    level = logging.INFO if error.status in LIMIT_STATUSES else logging.DEBUG
+    log.log(level, "request rejected: %d: %s", error.status, error)
 
 
-def plain(error: BadRequestError) -> Answer:
+def error_response(error: BadRequestError) -> Answer:
     headers = [(b"Content-Type", b"text/plain; charset=utf-8")]
     if error.retry_after:
         headers.append((b"Retry-After", error.retry_after))
--- a/cypressbeam/proxy/http_client.py
+++ b/cypressbeam/proxy/http_client.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 client: calls to the platform, to discovery, and of operators to a node."""
+"""A minimal HTTP/1.1 client for calls to the platform, to discovery and, from operators, to a node."""
 
 from __future__ import annotations
 
@@ -8,12 +8,11 @@
 from cypressbeam.proxy.http_responses import Answer, ResponseReader
 
 CONNECT_TIMEOUT_S = 1.0
-#: A longer body is an error.
-MAX_ANSWER_BYTES = 8 * 1024 * 1024
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 
 
 class HttpClient:
-    """A kept connection, one call at a time. Each method raises OSError, EOFError or TimeoutError."""
+    """A persistent connection that carries one call at a time. Methods raise OSError, EOFError or TimeoutError."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
@@ -26,28 +25,28 @@
             self.reader, self.writer = await asyncio.open_connection(*self.address)
 
     async def get(self, path: str, timeout_s: float) -> Answer:
-        """The answer to a GET."""
+        """Send a GET and return its response."""
         return await self.call(f"GET {path} HTTP/1.1\r\nHost: {self.host}\r\n\r\n".encode(), timeout_s)
 
     async def call(self, message: bytes, timeout_s: float) -> Answer:
-        """Send a whole request and read its answer."""
+        """Send a complete request and return its response."""
         assert self.writer is not None
         async with asyncio.timeout(timeout_s):
             if self.writer.is_closing():
-                raise ConnectionResetError("the connection was closed")
+                raise ConnectionResetError("the connection is closed")
             self.writer.write(message)
-            response = ResponseReader(MAX_ANSWER_BYTES)
-            while not response.complete:
+            reader = ResponseReader(MAX_RESPONSE_BYTES)
+            while not reader.complete:
                 data = await self.reader.read(65536)
                 if not data:
-                    raise EOFError("the connection ended before the whole answer")
-                response.feed(data)
-            if not response.keep_alive:
+                    raise EOFError("the connection closed before the response was complete")
+                reader.feed(data)
+            if not reader.keep_alive:
                 self.writer.close()
                 await self.open()
-            return response.answer
+            return reader.answer
 
     def close(self) -> None:
-        """End the connection."""
+        """Close the connection."""
         if self.writer is not None:
             self.writer.close()
--- a/cypressbeam/proxy/http_responses.py
+++ b/cypressbeam/proxy/http_responses.py
@@ -1,4 +1,4 @@
-"""HTTP answers: what one consists of, and reading one off a connection with httptools."""
+"""HTTP responses, and an incremental reader for them based on httptools."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-#: Header lines, together, and the bodies of requests hold at most so many bytes.
+#: Limits on all header lines together, and on the body of a request.
 MAX_HEAD_BYTES = 16 * 1024
 MAX_BODY_BYTES = 64 * 1024
-#: Servers also give good answers over 64 KiB; a quarter of a megabyte has been seen.
-MAX_ANSWER_BYTES = 512 * 1024
-#: With chunks as small as they can be a message is so many times the size of its body, and a little more.
-MAX_FRAMED_BYTES = 7
-#: Headers that concern one connection, or the framing of one message, and are never passed on.
+#: Servers also send valid responses over 64 KiB, up to 256 KiB.
+MAX_RESPONSE_BYTES = 512 * 1024
+#: With the smallest possible chunks a message is this many times the size of its body, plus a small constant.
+MAX_FRAMING_FACTOR = 7
+#: Headers that concern a single connection or the framing of a single message, and are never forwarded.
 HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -39,43 +39,43 @@
 
 
 BLANK_LINE = b"\r\n\r\n"
-#: Answers that end with their head.
-BODILESS = frozenset({204, 304})
-#: Versions of HTTP whose answers are read.
+#: Statuses of responses that have no body.
+BODILESS_STATUSES = frozenset({204, 304})
+#: HTTP versions that are accepted in responses.
 VERSIONS = frozenset({"1.0", "1.1"})
-#: Within an answer's head: another answer began before this one had ended.
+#: Within the head of a response it means that another response began before this one had ended.
 STATUS_LINE = re.compile(rb"HTTP/1\.[01] [0-9]{3}")
 
 
-def readable(transport: asyncio.BaseTransport) -> bool:
-    """Whether bytes, or the other side's close, have come that the event loop has not read yet."""
+def has_unread_input(transport: asyncio.BaseTransport) -> bool:
+    """Whether bytes, or the peer's close, have arrived that the event loop has not read yet."""
     unread = transport.get_extra_info("unread")
-    if unread is not None:  # a transport without a socket answers for itself
+    if unread is not None:  # a transport without a socket, as in simulations
         return bool(unread())
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
     return bool(poll.poll(0))
 
 
-class AnswerTooLargeError(CypressbeamError, ValueError):
-    """A message over the limits."""
+class ResponseTooLargeError(CypressbeamError, ValueError):
+    """A response that exceeds a limit."""
 
 
 @dataclass(slots=True)
 class Limits:
-    """What a client may send, and for how long it may take or stay idle."""
+    """Size limits and timeouts for client connections."""
 
     head_bytes: int = MAX_HEAD_BYTES
     body_bytes: int = MAX_BODY_BYTES
     ask_s: float = 2.0
-    """For a request's head to come, from the connect or from its first byte."""
+    """For receiving the head of a request, from the connect or from its first byte."""
     body_s: float = 2.0
-    """For the body; with `body_renews`, between two pieces of it."""
+    """For receiving the body; with `body_renews`, the longest pause within it."""
     idle_s: float = 10.0
-    """Between requests."""
+    """Between two requests."""
     body_renews: bool = False
-    held_bytes: int = 1 << 40
-    """Of all requests' bodies together, from their first byte until the answer."""
+    max_buffered_bytes: int = 1 << 40
+    """For the bodies of all requests together; each counts from its first byte until the response."""
 
 
 @dataclass(slots=True)
@@ -84,54 +84,54 @@
     headers: Headers = field(default_factory=list)
     body: bytes = b""
     length: int | None = None
-    """What a HEAD's answer says of the body that it leaves out."""
+    """For HEAD: the length of the omitted body."""
 
     def header(self, name: bytes) -> bytes | None:
-        """The value of a header by its name in lower case."""
+        """The first value of a header, by its lower-case name."""
         return next((value for key, value in self.headers if key.lower() == name), None)
 
-    def all_of(self, name: bytes) -> list[bytes]:
-        """All values that a header is given, by its name in lower case."""
+    def header_values(self, name: bytes) -> list[bytes]:
+        """All values of a header, by its lower-case name."""
         return [value for key, value in self.headers if key.lower() == name]
 
 
-def keep_alive_s(answer: Answer) -> int | None:
-    """How long the server keeps an idle connection, if its answer says so: `Keep-Alive: timeout=N`."""
-    value = answer.header(b"keep-alive")
+def parse_keep_alive_timeout(response: Answer) -> int | None:
+    """How long the server keeps an idle connection open, if the response says so: `Keep-Alive: timeout=N`."""
+    value = response.header(b"keep-alive")
     for part in (value or b"").split(b","):
-        name, _, figure = part.strip().partition(b"=")
-        if name.lower() == b"timeout" and figure.isdigit():
-            return int(figure)
+        name, _, number = part.strip().partition(b"=")
+        if name.lower() == b"timeout" and number.isdigit():
+            return int(number)
     return None
 
 
 class ResponseReader:
-    """Reads answers one after another; `complete` is set once a whole one has come.
+    """Reads one response after another from a connection; `complete` is set once a response is complete.
 
-    On a wire where answers name their request (`names`, a header in lower case), only the answer that bears the
-    expected name counts. A whole answer to another request is surplus: it is taken off and dropped, and the right one
-    is still waited for. An answer without a name, or with more than one, ends the reading. On that wire an answer may
-    have no length and end with its connection, if it says so (`ends_with_close`).
+    In a protocol where responses carry the ID of their request (`id_header`, a lower-case header name), only the
+    response with the expected ID counts. A complete response to another request is discarded, and reading goes on. A
+    response without an ID, or with several, is an error. In that protocol a response may also have no length and end
+    with its connection, if it announces that (`complete_on_close`).
     """
 
-    def __init__(self, most_body: int = MAX_ANSWER_BYTES, names: bytes | None = None) -> None:
-        self.most_body = most_body
-        self.names = names
-        self.dropped = 0
-        """Whole answers to other requests, so far."""
+    def __init__(self, max_body_bytes: int = MAX_RESPONSE_BYTES, id_header: bytes | None = None) -> None:
+        self.max_body_bytes = max_body_bytes
+        self.id_header = id_header
+        self.dropped_responses = 0
+        """Number of discarded responses to other requests."""
         self.parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self.reset()
 
     def close(self) -> None:
-        """Parser and reader refer to each other: taken apart they are freed at once, not by a collection."""
+        """Break the reference cycle between parser and reader, so that both are freed without the garbage collector."""
         self.parser = None
 
     def reset(self, no_body: bool = False, expected: bytes = b"") -> None:
-        """Ready for the next answer on the same connection. With `no_body` its head is the whole of it."""
+        """Prepare for the next response on the same connection. With `no_body` it consists of its head only."""
         self.no_body = no_body
         self.expected = expected
-        self.surplus = False
-        self.skipped = 0
+        self.is_for_other_request = False
+        self.skipped_bytes = 0
         self.complete = False
         self.keep_alive = False
         self.raw_bytes = 0
@@ -139,43 +139,43 @@
         self.headers: Headers = []
         self.body = bytearray()
         self.answer = Answer(0)
-        self.left: int | None = None
-        """Of the body that is being read, where its head gives a length."""
-        self.unframed = False
-        """Only the close of the connection ends the body that is being read."""
-        self.head_end = b""
-        """The last bytes of the head that is being read."""
+        self.remaining_body_bytes: int | None = None
+        """Of the current body, if its head gives a length."""
+        self.ends_at_close = False
+        """The current body ends only when the connection closes."""
+        self.head_tail = b""
+        """The last bytes of the incomplete head, to find a blank line that is split between reads."""
         self.behind = b""
-        """What came behind an answer with a length, in one piece with its end."""
+        """Bytes that arrived together with the end of a response, after it."""
 
     def feed(self, data: bytes) -> None:
-        """Raises ValueError or httptools.HttpParserError on what is no answer, or too large a one.
+        """Parse received bytes. Raises ValueError or httptools.HttpParserError if the response is invalid or too large.
 
-        What comes behind a whole answer does not spoil it, but nothing more can be read on that connection:
-        `keep_alive` is off then.
+        Bytes after a complete response do not invalidate it, but nothing more can be read from that connection:
+        `keep_alive` becomes false.
         """
         if self.complete or self.parser is None:
-            raise ValueError("bytes behind a whole answer")
-        if self.names is None:
+            raise ValueError("bytes after a complete response")
+        if self.id_header is None:
             self.parse(data)
             return
         while data and not self.complete:
-            piece, data = self.next_piece(data)
+            piece, data = self.split_at_boundary(data)
             self.parse(piece)
         if data:
             self.behind, self.keep_alive = data, False
 
-    def next_piece(self, data: bytes) -> tuple[bytes, bytes]:
-        """Up to the end of a head, or of a body with a length, and the rest: what comes behind is known to a byte."""
+    def split_at_boundary(self, data: bytes) -> tuple[bytes, bytes]:
+        """Split after the end of the head, or of a body with a length, to know which bytes follow a response."""
         size = len(data)
         if not self.headers_done:
-            before = self.head_end + data
-            end = before.find(BLANK_LINE)
+            received = self.head_tail + data
+            end = received.find(BLANK_LINE)
             if end >= 0:
-                size = end + len(BLANK_LINE) - len(self.head_end)
-            self.head_end = before[1 - len(BLANK_LINE) :] if end < 0 else b""
-        elif self.left:
-            size = self.left
+                size = end + len(BLANK_LINE) - len(self.head_tail)
+            self.head_tail = received[1 - len(BLANK_LINE) :] if end < 0 else b""
+        elif self.remaining_body_bytes:
+            size = self.remaining_body_bytes
         return data[:size], data[size:]
 
     def parse(self, data: bytes) -> None:
@@ -184,22 +184,22 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            raise ValueError("an upgrade that nobody asked for") from None
+            raise ValueError("an unrequested protocol upgrade") from None
         except httptools.HttpParserError:
-            if not self.complete or self.left is not None:
+            if not self.complete or self.remaining_body_bytes is not None:
                 raise
             self.keep_alive = False
         if self.complete:
             return
-        # Heads without end, also in parts that the parser still holds, and bodies that are mostly frame.
-        if self.raw_bytes > MAX_HEAD_BYTES + MAX_FRAMED_BYTES * (len(self.body) + self.skipped):
-            raise AnswerTooLargeError("the answer is too large")
+        # Limits heads that never end, even while the parser buffers them, and bodies that consist mostly of framing.
+        if self.raw_bytes > MAX_HEAD_BYTES + MAX_FRAMING_FACTOR * (len(self.body) + self.skipped_bytes):
+            raise ResponseTooLargeError("the response is too large")
 
-    # httptools' callbacks; what they raise comes out of feed_data as a HttpParserError
+    # Callbacks of httptools. An exception raised here leaves feed_data as an HttpParserError.
 
     def on_message_begin(self) -> None:
         if self.complete:
-            raise ValueError("bytes behind a whole answer")
+            raise ValueError("bytes after a complete response")
         self.headers = []
         self.reason = b""
 
@@ -209,106 +209,114 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         if not self.headers_done:
             self.headers.append((name, value))
-        # Otherwise a trailer, which may say nothing that a header should.
-        elif self.names is not None and STATUS_LINE.search(value):
-            raise ValueError("an answer that begins within the trailers of another")
+        # Trailers are ignored: they must not set what a header sets.
+        elif self.id_header is not None and STATUS_LINE.search(value):
+            raise ValueError("a status line within the trailers of another response")
 
     def on_headers_complete(self) -> None:
         self.headers_done = True
         if sum(len(name) + len(value) + 4 for name, value in self.headers) > MAX_HEAD_BYTES:
-            raise AnswerTooLargeError("the answer's head is too large")
+            raise ResponseTooLargeError("the response head is too large")
         if b"HTTP/1." in self.reason and STATUS_LINE.search(self.reason):
-            raise ValueError("an answer that begins within the head of another")
+            raise ValueError("a status line within the head of another response")
         for name, value in self.headers:
             if b"HTTP/1." in value and STATUS_LINE.search(value):
-                raise ValueError("an answer that begins within the head of another")
+                raise ValueError("a status line within the head of another response")
             lower = name.lower()
-            if lower == b"content-length" and (len(value) > 18 or int(value) > self.most_body):
-                raise AnswerTooLargeError("the answer is too large")
+            if lower == b"content-length" and (len(value) > 18 or int(value) > self.max_body_bytes):
+                raise ResponseTooLargeError("the response is too large")
             if lower == b"transfer-encoding" and value.lower() != b"chunked":
-                raise ValueError(f"Transfer-Encoding {value!r} was not asked for")
+                raise ValueError(f"unsupported Transfer-Encoding {value!r}")
         assert self.parser is not None
-        if self.names is not None:
+        if self.id_header is not None:
             status, version = self.parser.get_status_code(), self.parser.get_http_version()
             self.check_status(status, version)
             self.check_codings(version)
-            self.find_end(status)
+            self.determine_framing(status)
             if status >= 200:
-                self.check_name(self.names)
+                self.check_name(self.id_header)
         if self.no_body and self.parser.get_status_code() >= 200:
-            self.complete = True  # the parser waits for a body: the connection is of no more use
+            self.complete = True  # the parser still expects a body: the connection can't be reused
             self.answer = Answer(self.parser.get_status_code(), self.headers)
             length = self.answer.header(b"content-length")
             self.answer.length = int(length) if length is not None else 0
 
     def check_status(self, status: int, version: str) -> None:
         if version not in VERSIONS:
-            raise ValueError(f"HTTP/{version} is not spoken here")
+            raise ValueError(f"HTTP/{version} is not supported here")
         if not 100 <= status <= 599:
-            raise ValueError(f"{status} is no status")
+            raise ValueError(f"invalid status {status}")
 
     def check_codings(self, version: str) -> None:
-        codings = len(Answer(0, self.headers).all_of(b"transfer-encoding"))
-        if codings > 1 or (codings and version == "1.0"):
+        transfer_encodings = len(Answer(0, self.headers).header_values(b"transfer-encoding"))
+        if transfer_encodings > 1 or (transfer_encodings and version == "1.0"):
             raise ValueError("a Transfer-Encoding that does not say where the body ends")
 
-    def find_end(self, status: int) -> None:
-        """How the end of the body will be known."""
+    def determine_framing(self, status: int) -> None:
+        """Determine how the end of the body is recognized."""
         head = Answer(status, self.headers)
         length = head.header(b"content-length")
-        has_body = status >= 200 and status not in BODILESS and not self.no_body
-        self.left = int(length) if has_body and length is not None else None
-        self.unframed = has_body and length is None and not head.all_of(b"transfer-encoding")
+        has_body = status >= 200 and status not in BODILESS_STATUSES and not self.no_body
+        self.remaining_body_bytes = int(length) if has_body and length is not None else None
+        self.ends_at_close = has_body and length is None and not head.header_values(b"transfer-encoding")
 
     def announced(self) -> bool:
-        """Whether the head tells that the connection ends with this answer."""
+        """Whether the head announces that the connection closes after this response."""
         assert self.parser is not None
-        told = [
+        connection_options = [
             part.strip().lower()
-            for value in Answer(0, self.headers).all_of(b"connection")
+            for value in Answer(0, self.headers).header_values(b"connection")
             for part in value.split(b",")
         ]
-        return b"close" in told or (self.parser.get_http_version() == "1.0" and b"keep-alive" not in told)
-
-    def ends_with_close(self) -> bool:
-        """At the connection's end in order: whether the answer is whole by it."""
-        if not self.unframed or self.surplus or self.complete or self.parser is None or not self.announced():
+        return b"close" in connection_options or (
+            self.parser.get_http_version() == "1.0" and b"keep-alive" not in connection_options
+        )
+
+    def complete_on_close(self) -> bool:
+        """When the connection has closed cleanly: whether that completes the response."""
+        if (
+            not self.ends_at_close
+            or self.is_for_other_request
+            or self.complete
+            or self.parser is None
+            or not self.announced()
+        ):
             return False
         self.complete = True
         self.answer = Answer(self.parser.get_status_code(), self.headers, bytes(self.body))
         return True
 
-    def check_name(self, names: bytes) -> None:
-        given = [value for name, value in self.headers if name.lower() == names]
+    def check_name(self, id_header: bytes) -> None:
+        given = [value for name, value in self.headers if name.lower() == id_header]
         if len(given) != 1:
-            raise ValueError(f"an answer with {len(given)} names of requests")
-        self.surplus = given[0] != self.expected
-        if self.surplus and self.no_body:
-            raise ValueError("another's answer, whose end is not known where none has a body")
+            raise ValueError(f"a response with {len(given)} request IDs")
+        self.is_for_other_request = given[0] != self.expected
+        if self.is_for_other_request and self.no_body:
+            raise ValueError("a response to another request: where it ends is not known, as none to a HEAD has a body")
 
     def on_body(self, data: bytes) -> None:
-        if self.left is not None:
-            self.left -= len(data)
-        if self.surplus:
-            self.skipped += len(data)
+        if self.remaining_body_bytes is not None:
+            self.remaining_body_bytes -= len(data)
+        if self.is_for_other_request:
+            self.skipped_bytes += len(data)
         else:
             self.body += data
-        if len(self.body) + self.skipped > self.most_body:
-            raise AnswerTooLargeError("the answer is too large")
+        if len(self.body) + self.skipped_bytes > self.max_body_bytes:
+            raise ResponseTooLargeError("the response is too large")
 
     def on_message_complete(self) -> None:
         if self.no_body and self.complete:
             return
         assert self.parser is not None
         status = self.parser.get_status_code()
-        if status < 200:  # an interim answer; the final one follows
+        if status < 200:  # an interim response; the final one follows
             self.headers_done = False
             return
-        if self.surplus:
+        if self.is_for_other_request:
             if not self.parser.should_keep_alive():
-                raise ValueError("another's answer, and the last of its connection")
-            self.headers_done = self.surplus = False
-            self.dropped += 1
+                raise ValueError("a response to another request, which closes the connection")
+            self.headers_done = self.is_for_other_request = False
+            self.dropped_responses += 1
             return
         self.complete = True
         self.keep_alive = self.parser.should_keep_alive()
--- a/cypressbeam/proxy/protocol_profile.py
+++ b/cypressbeam/proxy/protocol_profile.py
@@ -1,7 +1,7 @@
-"""What differs between the wires that this program speaks: names of headers, and how figures are written.
+"""The differences between the supported wire protocols: header names and the formats of header values.
 
-One parser, one pool and one table of requests serve all of them; a dialect is the data that they take.
-Sources: WIRE-cypressbeam.md for the older program, PROTOCOL.md for the gateway.
+All protocols share one parser, one connection pool and one request table; a profile is the data that configures them.
+Specified in WIRE-cypressbeam.md for the standalone program and in PROTOCOL.md for the gateway.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from cypressbeam.proxy.http_responses import HOP_BY_HOP, Answer
 from cypressbeam.proxy.response_validation import RequestContext
 
-#: The names of load figures on sockets, with those that the settings use.
-LOAD_NAMES = {
+#: The names of load figures on the wire, mapped to the names that the settings use.
+LOAD_FIELD_NAMES = {
     "queue": "queue",
     "backlog": "queue",
     "inflight": "in_flight",
@@ -28,27 +28,27 @@
 }
 
 
-def read_report(text: bytes | None) -> Report | None:
-    """A load report such as `queue=2,util=0.61`. What can't be read is left out; it is only advice."""
+def parse_named_load(text: bytes | None) -> Report | None:
+    """Parse a load report such as `queue=2,util=0.61`. Invalid fields are ignored, since a report is only a hint."""
     if text is None:
         return None
-    seen: dict[str, float] = {}
+    values: dict[str, float] = {}
     for pair in text.decode("latin-1").split(","):
-        name, _, figure = pair.partition("=")
-        known = LOAD_NAMES.get(name.strip())
+        name, _, number = pair.partition("=")
+        field_name = LOAD_FIELD_NAMES.get(name.strip())
         try:
-            value = float(figure)
+            value = float(number)
         except ValueError:
             continue
-        if known and 0 <= value < float("inf"):
-            seen[known] = value
-    service_ms = seen.get("latency_ms")
+        if field_name and 0 <= value < float("inf"):
+            values[field_name] = value
+    service_ms = values.get("latency_ms")
     service_us = None if service_ms is None else service_ms * 1000.0
-    return Report(seen.get("queue"), service_us, seen.get("in_flight"), seen.get("utilization"))
+    return Report(values.get("queue"), service_us, values.get("in_flight"), values.get("utilization"))
 
 
-def read_load(text: bytes | None) -> Report | None:
-    """A load report such as `3,0,8`: requests running, requests waiting, slots. None if it can't be read."""
+def parse_load(text: bytes | None) -> Report | None:
+    """Parse a load report such as `3,0,8`: requests running, requests waiting, slots. None if it is invalid."""
     parts = text.split(b",") if text is not None else []
     if len(parts) != 3 or not all(part.strip().isdigit() for part in parts):
         return None
@@ -56,74 +56,74 @@
     return Report(queue=float(waiting), in_flight=float(running), utilization=running / max(slots, 1))
 
 
-def classify_standalone(answer: Answer) -> ReplyKind:
-    if answer.status == 200:
+def classify_standalone(response: Answer) -> ReplyKind:
+    if response.status == 200:
         return ReplyKind.SUCCESS
-    if answer.status in (503, 504) and answer.header(b"not-started") == b"1":
+    if response.status in (503, 504) and response.header(b"not-started") == b"1":
         return ReplyKind.NOT_EXECUTED
     return ReplyKind.FAILURE
 
 
-def classify_gateway(answer: Answer) -> ReplyKind:
-    """421 is another server's word at this address: the one that was meant is not there."""
-    if 200 <= answer.status < 300:
+def classify_gateway(response: Answer) -> ReplyKind:
+    """A 421 comes from another server at this address: the intended one is not there."""
+    if 200 <= response.status < 300:
         return ReplyKind.SUCCESS
-    if answer.status == 421:
+    if response.status == 421:
         return ReplyKind.MISDIRECTED
-    if answer.header(b"not-executed") is not None:
+    if response.header(b"not-executed") is not None:
         return ReplyKind.NOT_EXECUTED
     return ReplyKind.FAILURE
 
 
-def flaw_node(answer: Answer, asked: RequestContext, behind: bytes) -> str:
-    """The older program's servers put no proof into their answers."""
+def no_checks(response: Answer, context: RequestContext, trailing: bytes) -> str:
+    """Servers of the standalone program send no proof in their responses."""
     return ""
 
 
 @dataclass(frozen=True, slots=True)
 class ProtocolProfile:
-    """One wire, towards clients and servers alike. Header names are in lower case."""
-
-    ident: bytes
-    """Names a request, also in logs."""
-    essential: frozenset[bytes]
-    """Headers that say what a request is. Given twice, node and server might each take another one for it;
-    and a Connection header can't have them left out."""
-    not_passed_on: frozenset[bytes]
-    """Headers of a request that are written anew for a server, or concern one connection."""
-    not_passed_back: frozenset[bytes]
-    """Headers of an answer that speak of the server or of its connection, not to the client."""
-    load: bytes
-    read_load: Callable[[bytes | None], Report | None]
+    """A wire protocol, used with clients and servers alike. Header names are in lower case."""
+
+    request_id_header: bytes
+    """Carries the request ID, which also appears in logs."""
+    protected_headers: frozenset[bytes]
+    """Headers that identify a request. Repeated ones are rejected, because node and server might each use a different
+    one, and a Connection header can't remove them."""
+    dropped_request_headers: frozenset[bytes]
+    """Request headers that are rewritten for each server or concern a single connection."""
+    dropped_response_headers: frozenset[bytes]
+    """Response headers that concern the server or its connection and are not for the client."""
+    load_header: bytes
+    parse_load: Callable[[bytes | None], Report | None]
     judge: Callable[[Answer], ReplyKind]
     address: Callable[[int, str], bytes]
-    """The lines that a server gets beside the client's: milliseconds left, and its own name."""
-    names_answers: bool = False
-    """Whether each answer of a server names its request by the `ident` header."""
-    flaw: Callable[[Answer, RequestContext, bytes], str] = flaw_node
-    """Why a success does not count, with the bytes that came behind it; empty where it does."""
+    """Builds the header lines for a single server from the remaining milliseconds and the name of the server."""
+    echoes_request_id: bool = False
+    """Whether each server response carries the ID of its request in `request_id_header`."""
+    failed_check: Callable[[Answer, RequestContext, bytes], str] = no_checks
+    """Returns why a success is rejected, given the bytes that followed it; empty if it is accepted."""
 
 
 STANDALONE_PROFILE = ProtocolProfile(
-    ident=b"request-id",
-    essential=frozenset({b"request-id", b"idempotency-key", b"request-timeout", b"host", b"tenant"}),
-    not_passed_on=HOP_BY_HOP | {b"request-timeout"},
-    not_passed_back=HOP_BY_HOP | {b"server-load", b"not-started"},
-    load=b"server-load",
-    read_load=read_report,
+    request_id_header=b"request-id",
+    protected_headers=frozenset({b"request-id", b"idempotency-key", b"request-timeout", b"host", b"tenant"}),
+    dropped_request_headers=HOP_BY_HOP | {b"request-timeout"},
+    dropped_response_headers=HOP_BY_HOP | {b"server-load", b"not-started"},
+    load_header=b"server-load",
+    parse_load=parse_named_load,
     judge=classify_standalone,
-    address=lambda left_ms, server: b"Request-Timeout: %dm\r\n" % left_ms,
+    address=lambda remaining_ms, server: b"Request-Timeout: %dm\r\n" % remaining_ms,
 )
 
 GATEWAY_PROFILE = ProtocolProfile(
-    ident=b"attempt-id",
-    essential=frozenset({b"attempt-id", b"time-left-ms", b"host", b"target-server"}),
-    not_passed_on=HOP_BY_HOP | {b"time-left-ms", b"target-server"},
-    not_passed_back=HOP_BY_HOP | {b"server-load", b"not-executed"},
-    load=b"server-load",
-    read_load=read_load,
+    request_id_header=b"attempt-id",
+    protected_headers=frozenset({b"attempt-id", b"time-left-ms", b"host", b"target-server"}),
+    dropped_request_headers=HOP_BY_HOP | {b"time-left-ms", b"target-server"},
+    dropped_response_headers=HOP_BY_HOP | {b"server-load", b"not-executed"},
+    load_header=b"server-load",
+    parse_load=parse_load,
     judge=classify_gateway,
-    address=lambda left_ms, server: b"Time-Left-Ms: %d\r\nTarget-Server: %s\r\n" % (left_ms, server.encode()),
-    names_answers=True,
-    flaw=response_validation.flaw,
+    address=lambda remaining_ms, server: b"Time-Left-Ms: %d\r\nTarget-Server: %s\r\n" % (remaining_ms, server.encode()),
+    echoes_request_id=True,
+    failed_check=response_validation.failed_check,
 )
--- a/cypressbeam/proxy/response_validation.py
+++ b/cypressbeam/proxy/response_validation.py
@@ -1,6 +1,7 @@
-"""What proves that a success is the server's own, whole answer, on the gateway's wire (docs/design/attempts.md).
+"""Checks that a success is the server's own complete response, in the gateway's protocol (docs/design/attempts.md).
 
-A 2xx counts only if every check here passes. What fails one is the server's fault, and its request may have run.
+A 2xx is accepted only if every check passes. A failed check counts as a server fault, and the request may have been
+executed.
 """
 
 from __future__ import annotations
@@ -11,93 +12,97 @@
 
 from cypressbeam.proxy.http_responses import Answer
 
-#: What a server of this system puts into each of its heads; one of them tells a copied head from a quotation.
-MARKS = re.compile(rb"\r\n(?:attempt-id|server-seal)[ \t]*:", re.IGNORECASE)
-#: A status line, and the header lines behind it as far as they are there.
-HEAD = re.compile(rb"HTTP/1\.[01] [0-9]{3}(?: [^\r\n]*)?(?:\r\n[!#$%&'*+.^_`|~0-9A-Za-z-]+:[^\r\n]*)*")
-#: A header line of which only the beginning is there.
-BROKEN_LINE = re.compile(rb"(?:\r(?:\n[!#$%&'*+.^_`|~0-9A-Za-z-]*\r?)?)?")
-#: A status line by its bytes; its beginnings, up to the whole; and those that are no whole one, at the end of a body.
-PARTS = (rb"H", rb"T", rb"T", rb"P", rb"/", rb"1", rb"\.", rb"[01]", rb" ", rb"[0-9]", rb"[0-9]", rb"[0-9]")
-BEGINNINGS = [re.compile(b"".join(PARTS[:size])) for size in range(1, len(PARTS) + 1)]
-STATUS_SIZE = len(PARTS)
-BEGUN = re.compile(b"(?:" + b"|".join(part.pattern for part in BEGINNINGS[:-1]) + rb")\Z")
+#: Headers in every response of a server of this system. Any of them tells a real response head from quoted text.
+SERVER_HEADER = re.compile(rb"\r\n(?:attempt-id|server-seal)[ \t]*:", re.IGNORECASE)
+#: A status line, followed by any number of complete header lines.
+RESPONSE_HEAD = re.compile(rb"HTTP/1\.[01] [0-9]{3}(?: [^\r\n]*)?(?:\r\n[!#$%&'*+.^_`|~0-9A-Za-z-]+:[^\r\n]*)*")
+#: A header line that is cut off.
+PARTIAL_HEADER_LINE = re.compile(rb"(?:\r(?:\n[!#$%&'*+.^_`|~0-9A-Za-z-]*\r?)?)?")
+#: The bytes of a status line; all of its prefixes, including the whole; and an incomplete one at the end of a body.
+STATUS_LINE_PARTS = (rb"H", rb"T", rb"T", rb"P", rb"/", rb"1", rb"\.", rb"[01]", rb" ", rb"[0-9]", rb"[0-9]", rb"[0-9]")
+STATUS_LINE_PREFIXES = [re.compile(b"".join(STATUS_LINE_PARTS[:size])) for size in range(1, len(STATUS_LINE_PARTS) + 1)]
+STATUS_LINE_BYTES = len(STATUS_LINE_PARTS)
+PARTIAL_STATUS_LINE = re.compile(b"(?:" + b"|".join(part.pattern for part in STATUS_LINE_PREFIXES[:-1]) + rb")\Z")
 
 
 @dataclass(frozen=True, slots=True)
 class RequestContext:
-    """What a request asked for, as far as it decides which answers are whole."""
+    """The properties of a request that decide which responses to it are complete."""
 
     no_body: bool = False
-    """HEAD."""
-    part: bool = False
-    """It has a `Range`."""
+    """The request is a HEAD."""
+    has_range: bool = False
+    """The request has a `Range` header."""
 
 
-def begins_an_answer(data: bytes) -> bool:
-    """Whether bytes are an answer's, as far as they go: a status line, or the beginning of one."""
-    size = min(len(data), STATUS_SIZE)
-    return size > 0 and BEGINNINGS[size - 1].match(data) is not None
+def starts_response(data: bytes) -> bool:
+    """Whether the bytes start with a status line, or are a prefix of one."""
+    size = min(len(data), STATUS_LINE_BYTES)
+    return size > 0 and STATUS_LINE_PREFIXES[size - 1].match(data) is not None
 
 
 def begun_at_the_end(body: bytes) -> bool:
-    """Whether a body ends with what may be the beginning of a status line: the bytes behind it tell whether it is."""
-    return BEGUN.search(body, max(len(body) - STATUS_SIZE + 1, 0)) is not None
+    """Whether a body ends with a possible prefix of a status line; only the following bytes show whether it is one."""
+    return PARTIAL_STATUS_LINE.search(body, max(len(body) - STATUS_LINE_BYTES + 1, 0)) is not None
 
 
-def holds_an_answer(body: bytes) -> bool:
-    """Whether another answer begins within a body, as one does that came behind an answer cut off: a status line with
-    headers that bear a server's marks, or that go on to the body's end. A quoted status line is none."""
-    if b"HTTP/1." not in body:  # nearly always, and far sooner told than by the pattern
+def contains_response(body: bytes) -> bool:
+    """Whether another response starts within a body, as happens when a truncated response is followed by another: a
+    status line with headers that include a `SERVER_HEADER`, or that reach the end of the body. A status line that is
+    merely quoted in text doesn't count."""
+    if b"HTTP/1." not in body:  # the common case, and far faster than the pattern
         return False
-    return any(MARKS.search(head[0]) or BROKEN_LINE.fullmatch(body, head.end()) for head in HEAD.finditer(body))
+    return any(
+        SERVER_HEADER.search(head[0]) or PARTIAL_HEADER_LINE.fullmatch(body, head.end())
+        for head in RESPONSE_HEAD.finditer(body)
+    )
 
 
-def lacks_one_stamp(answer: Answer, asked: RequestContext, behind: bytes) -> bool:
-    return len(answer.all_of(b"server-seal")) != 1
+def lacks_single_seal(response: Answer, context: RequestContext, trailing: bytes) -> bool:
+    return len(response.header_values(b"server-seal")) != 1
 
 
-def has_an_empty_stamp(answer: Answer, asked: RequestContext, behind: bytes) -> bool:
-    return not all(stamp.strip() for stamp in answer.all_of(b"server-seal"))
+def has_empty_seal(response: Answer, context: RequestContext, trailing: bytes) -> bool:
+    return not all(seal.strip() for seal in response.header_values(b"server-seal"))
 
 
-def is_encoded(answer: Answer, asked: RequestContext, behind: bytes) -> bool:
-    """Clients ask for bodies without an encoding, so one with any is not the server's."""
-    return bool(answer.all_of(b"content-encoding"))
+def is_encoded(response: Answer, context: RequestContext, trailing: bytes) -> bool:
+    """Requests never ask for a content encoding, so an encoded body is not the server's own."""
+    return bool(response.header_values(b"content-encoding"))
 
 
-def is_a_part(answer: Answer, asked: RequestContext, behind: bytes) -> bool:
-    return not asked.part and (answer.status == 206 or bool(answer.all_of(b"content-range")))
+def is_unrequested_partial(response: Answer, context: RequestContext, trailing: bytes) -> bool:
+    return not context.has_range and (response.status == 206 or bool(response.header_values(b"content-range")))
 
 
-def tells_of_no_body_and_of_one(answer: Answer, asked: RequestContext, behind: bytes) -> bool:
-    """A 204 ends with its head, a 205 has nothing behind it: with a body it was another status once."""
-    framed = answer.all_of(b"transfer-encoding") or answer.header(b"content-length") not in (None, b"0")
-    return (answer.status == 204 and bool(framed)) or (answer.status == 205 and bool(answer.body))
+def has_forbidden_body(response: Answer, context: RequestContext, trailing: bytes) -> bool:
+    """A 204 or 205 has no body; one with a body originally had another status."""
+    framing = response.header_values(b"transfer-encoding") or response.header(b"content-length") not in (None, b"0")
+    return (response.status == 204 and bool(framing)) or (response.status == 205 and bool(response.body))
 
 
-def has_an_answer_within(answer: Answer, asked: RequestContext, behind: bytes) -> bool:
-    return holds_an_answer(answer.body)
+def has_embedded_response(response: Answer, context: RequestContext, trailing: bytes) -> bool:
+    return contains_response(response.body)
 
 
-def has_more_behind(answer: Answer, asked: RequestContext, behind: bytes) -> bool:
-    """Bytes at its end that begin no other answer: its length may be too short, and they its own; or its body lacks
-    its end, and has the beginning of the answer in its place that they go on with."""
-    return not asked.no_body and bool(behind) and not begins_an_answer(behind)
+def has_invalid_trailing_bytes(response: Answer, context: RequestContext, trailing: bytes) -> bool:
+    """Whether the trailing bytes don't start another response. Then either the length is too small and they belong to
+    the body, or the body is truncated and ends with the start of the response that they continue."""
+    return not context.no_body and bool(trailing) and not starts_response(trailing)
 
 
-#: All checks of a success, each by what the log says of an answer that fails it.
+#: All checks of a success, by the description that is logged for a response that fails.
 CHECKS: dict[str, Callable[[Answer, RequestContext, bytes], bool]] = {
-    "no Server-Seal, or more than one": lacks_one_stamp,
-    "an empty Server-Seal": has_an_empty_stamp,
+    "no Server-Seal, or more than one": lacks_single_seal,
+    "an empty Server-Seal": has_empty_seal,
     "a Content-Encoding": is_encoded,
-    "a part that nobody asked for": is_a_part,
-    "a body with a status that has none": tells_of_no_body_and_of_one,
-    "another answer within its body": has_an_answer_within,
-    "bytes behind it that begin no answer": has_more_behind,
+    "a part that nobody asked for": is_unrequested_partial,
+    "a body with a status that has none": has_forbidden_body,
+    "another answer within its body": has_embedded_response,
+    "bytes behind it that begin no answer": has_invalid_trailing_bytes,
 }
 
 
-def flaw(answer: Answer, asked: RequestContext, behind: bytes = b"") -> str:
-    """The check that a success fails; empty where it counts. `behind`: the bytes that came with its end."""
-    return next((name for name, fails in CHECKS.items() if fails(answer, asked, behind)), "")
+def failed_check(response: Answer, context: RequestContext, trailing: bytes = b"") -> str:
+    """The first check that a success fails, or an empty string. `trailing` arrived together with its end."""
+    return next((name for name, fails in CHECKS.items() if fails(response, context, trailing)), "")
--- a/cypressbeam/proxy/upstream.py
+++ b/cypressbeam/proxy/upstream.py
@@ -1,7 +1,7 @@
-"""Connections to servers: the pool, attempts, and how each attempt ends.
+"""Connections to servers: the connection pool, attempts, and how each attempt ends.
 
-An attempt is written once, whole, on a connection of its own for that time. What its end says of the request is
-the table of `attempts`: before its connection got the first byte it never ran; after that, whatever breaks, it may.
+An attempt is written once, completely, on a connection that it uses exclusively. The table in `attempts` decides what
+its end means: before the first byte was written the request was not executed; after that it may have been.
 """
 
 from __future__ import annotations
@@ -18,21 +18,27 @@
 from cypressbeam.balancing.interface import AttemptOutcome, Report
 from cypressbeam.protocol.address import Address
 from cypressbeam.proxy.attempts import AttemptResult, EndCause, ReplyKind, SendProgress, result_of
-from cypressbeam.proxy.http_responses import MAX_ANSWER_BYTES, Answer, ResponseReader, keep_alive_s, readable
+from cypressbeam.proxy.http_responses import (
+    MAX_RESPONSE_BYTES,
+    Answer,
+    ResponseReader,
+    has_unread_input,
+    parse_keep_alive_timeout,
+)
 from cypressbeam.proxy.protocol_profile import STANDALONE_PROFILE, ProtocolProfile
 from cypressbeam.proxy.response_validation import RequestContext, begun_at_the_end
 
 log = logging.getLogger(__name__)
 
-#: Idle connections are retired after this share of the time at which the server would close them: a request
-#: written as the server closes is a reset, which may have run.
+#: Idle connections are closed after this share of the time at which the server would close them. A request that is
+#: written while the server closes the connection is reset, and may have been executed.
 IDLE_SHARE = 0.5
-#: The same where the server itself said how long it keeps the connection.
-TOLD_SHARE = 0.8
-#: An answer whose body ends with what may be the beginning of another one waits so long for the bytes behind it.
-DOUBT_S = 0.03
-#: So many requests back a connection knows which it had: none is on it twice, for a copy of an earlier answer would
-#: pass for the answer.
+#: The share that applies if the server has announced its idle timeout.
+ADVERTISED_IDLE_SHARE = 0.8
+#: How long to wait for trailing bytes after a body that ends with a possible prefix of another response.
+TRAILING_BYTES_WAIT_S = 0.03
+#: How many recent request IDs a connection remembers. A request is never sent twice on one connection, because a
+#: duplicate of the earlier response would be accepted as the response.
 REMEMBERED = 32
 
 
@@ -40,13 +46,13 @@
 
 
 class Attempt:
-    """One sending of a request to one server."""
+    """One attempt to send a request to a server."""
 
     __slots__ = (
         "again",
-        "asked",
         "connecting",
         "connection",
+        "context",
         "ended",
         "may_have_run",
         "message",
@@ -64,18 +70,19 @@
         server: str,
         message: bytes,
         sent_us: int,
-        asked: RequestContext = WHOLE_BODY,
+        context: RequestContext = WHOLE_BODY,
         again: bool = False,
     ) -> None:
-        self.asked = asked
-        self.again = again  # its server had the request before: a connection may still bring that answer once more
+        self.context = context
+        # The server got this request before: a pooled connection might still deliver the earlier response.
+        self.again = again
         self.request = request
         self.number = number
         self.server = server
         self.message = message
         self.sent_us = sent_us
         self.ended = False
-        self.may_have_run = True  # or may run yet, as far as is known
+        self.may_have_run = True  # or may still be executed
         self.connecting: asyncio.Task[None] | None = None
         self.connection: ServerConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
@@ -83,11 +90,11 @@
 
 @dataclass(slots=True)
 class EndpointPool:
-    """Where a server is, and its idle connections, longest idle first."""
+    """The address of a server and its idle connections, the longest idle first."""
 
     address: Address
     started_us: int
-    open_to_new: bool
+    accepts_new: bool
     idle: deque[ServerConnection]
 
 
@@ -97,151 +104,163 @@
     def __init__(self, upstream: Upstream, server: str, address: Address, opened_us: int) -> None:
         self.upstream = upstream
         self.server = server
-        self.address = address  # kept here: one that was reset behind its answer has none to ask the system for
+        self.address = address  # stored, because the system knows none after a reset
         self.opened_us = opened_us
         self.idle_since_s = 0.0
         self.attempt: Attempt | None = None
-        self.unwritten = False
+        self.write_paused = False
         self.closed = False
-        self.carried: deque[str] = deque(maxlen=REMEMBERED)
-        self.doubt: asyncio.TimerHandle | None = None
-        """Runs while a whole answer waits for what may come behind it."""
+        self.recent_requests: deque[str] = deque(maxlen=REMEMBERED)
+        self.trailing_timer: asyncio.TimerHandle | None = None
+        """Runs while a complete response waits for possible trailing bytes."""
         self.idle_s = upstream.idle_s
-        dialect = upstream.profile
-        self.reader = ResponseReader(upstream.most_answer, dialect.ident if dialect.names_answers else None)
+        profile = upstream.profile
+        self.reader = ResponseReader(
+            upstream.max_response_bytes, profile.request_id_header if profile.echoes_request_id else None
+        )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         # uvloop's transports do not derive from asyncio.Transport: a check of the type would fail.
         self.transport: asyncio.Transport = cast(asyncio.Transport, transport)
-        # With no room to buffer, a write goes to the system at once, and pause_writing tells of a rest.
+        # With a limit of 0, pause_writing is called whenever the system does not accept all bytes of a write at once.
         self.transport.set_write_buffer_limits(high=0)
         self.upstream.connections.add(self)
 
     def pause_writing(self) -> None:
-        self.unwritten = True
+        self.write_paused = True
 
     def resume_writing(self) -> None:
-        self.unwritten = False
+        self.write_paused = False
 
     def quiet(self) -> bool:
-        """Whether nothing has come since the last answer, neither bytes nor the server's close. What has come
-        unread would pass for the answer to the next request."""
-        return not self.closed and not self.transport.is_closing() and not readable(self.transport)
+        """Whether neither bytes nor the server's close have arrived since the last response. Unread bytes would be
+        taken for the response to the next request."""
+        return not self.closed and not self.transport.is_closing() and not has_unread_input(self.transport)
 
-    def sent(self) -> SendProgress:
-        """How much of the request on this connection it was given."""
-        return SendProgress.PART if self.unwritten else SendProgress.WHOLE
+    def send_progress(self) -> SendProgress:
+        """How much of the current request has been written."""
+        return SendProgress.PART if self.write_paused else SendProgress.WHOLE
 
     def send(self, attempt: Attempt) -> None:
         self.attempt = attempt
         attempt.connection = self
-        self.carried.append(attempt.request)
-        self.reader.reset(attempt.asked.no_body, attempt.request.encode("latin-1"))
+        self.recent_requests.append(attempt.request)
+        self.reader.reset(attempt.context.no_body, attempt.request.encode("latin-1"))
         self.transport.write(attempt.message)
 
     def data_received(self, data: bytes) -> None:
         attempt = self.attempt
-        if attempt is None:  # a server has nothing to say unasked
+        if attempt is None:  # a server must not send anything without a request
             self.close()
             return
-        if self.doubt is not None:
+        if self.trailing_timer is not None:
             self.reader.behind, self.reader.keep_alive = data, False
-            self.answered()
+            self.complete_response()
             return
-        dropped = self.reader.dropped
+        dropped_before = self.reader.dropped_responses
         try:
             self.reader.feed(data)
         except (ValueError, httptools.HttpParserError) as err:
             log.warning("server %s: %s", self.server, err.__context__ or err)
             self.end(EndCause.MALFORMED)
             return
-        if self.reader.dropped > dropped:
-            log.warning("server %s: an answer that belongs to no request is dropped", self.server)
+        if self.reader.dropped_responses > dropped_before:
+            log.warning("server %s: discarded a response to another request", self.server)
         if not self.reader.complete:
             return
-        if self.reader.left is not None and not self.reader.behind and begun_at_the_end(self.reader.answer.body):
-            self.doubt = self.upstream.loop.call_later(DOUBT_S, self.answered)
+        if (
+            self.reader.remaining_body_bytes is not None
+            and not self.reader.behind
+            and begun_at_the_end(self.reader.answer.body)
+        ):
+            self.trailing_timer = self.upstream.loop.call_later(TRAILING_BYTES_WAIT_S, self.complete_response)
         else:
-            self.answered()
-
-    def answered(self) -> None:
-        """A whole answer is there, with all that is waited for behind it."""
-        answer = self.reader.answer
-        told_s = keep_alive_s(answer)
-        if told_s is not None:
-            self.idle_s = told_s * TOLD_SHARE
-        self.end(EndCause.ANSWERED, answer)
-
-    def end(self, cause: EndCause, answer: Answer | None = None) -> None:
-        """Take the attempt off; only a whole answer to a whole request leaves the connection fit for more."""
-        if self.doubt is not None:
-            self.doubt.cancel()
-            self.doubt = None
+            self.complete_response()
+
+    def complete_response(self) -> None:
+        """Finish the attempt: the response is complete, and the wait for trailing bytes is over."""
+        response = self.reader.answer
+        advertised_s = parse_keep_alive_timeout(response)
+        if advertised_s is not None:
+            self.idle_s = advertised_s * ADVERTISED_IDLE_SHARE
+        self.end(EndCause.ANSWERED, response)
+
+    def end(self, cause: EndCause, response: Answer | None = None) -> None:
+        """End the current attempt. Only a complete response to a fully sent request keeps the connection usable."""
+        if self.trailing_timer is not None:
+            self.trailing_timer.cancel()
+            self.trailing_timer = None
         attempt, self.attempt = self.attempt, None
         if attempt is None:
             self.close()
             return
-        reply = None if answer is None else self.judge(attempt, answer)
-        known = result_of(self.sent(), cause, reply)
-        if known.reusable and self.reader.keep_alive and not self.closed:
-            self.upstream.keep(self)
+        reply = None if response is None else self.judge(attempt, response)
+        result = result_of(self.send_progress(), cause, reply)
+        if result.reusable and self.reader.keep_alive and not self.closed:
+            self.upstream.return_to_pool(self)
         else:
             self.close()
-        self.upstream.end(attempt, known, None if reply is ReplyKind.SPOILT else answer)
+        self.upstream.end(attempt, result, None if reply is ReplyKind.INVALID else response)
 
-    def judge(self, attempt: Attempt, answer: Answer) -> ReplyKind:
-        """What an answer says of its request. A success must prove that it is the server's own and whole."""
-        reply = self.upstream.profile.judge(answer)
+    def judge(self, attempt: Attempt, response: Answer) -> ReplyKind:
+        """Classify a response. A success must prove that it is the server's own and complete."""
+        reply = self.upstream.profile.judge(response)
         if reply is ReplyKind.SUCCESS:
-            flaw = self.upstream.profile.flaw(answer, attempt.asked, self.reader.behind)
-            if flaw:
+            failed_check = self.upstream.profile.failed_check(response, attempt.context, self.reader.behind)
+            if failed_check:
                 log.warning(
-                    "server %s: its answer %d to %s is not taken: %s", self.server, answer.status, attempt.request, flaw
+                    "server %s: response %d to %s rejected: %s",
+                    self.server,
+                    response.status,
+                    attempt.request,
+                    failed_check,
                 )
-                return ReplyKind.SPOILT
+                return ReplyKind.INVALID
         return reply
 
     def close(self) -> None:
         if not self.closed:
             self.closed = True
-            # Not close(): that would first write out a rest of the request, and the attempt is over.
+            # Not close(), which would first write the rest of the request although the attempt has ended.
             self.transport.abort()
             self.upstream.drop(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        # A close in order ends an answer without a length; a reset does not, nor one before the whole request was read.
-        in_order = exc is None and not self.closed and self.sent() is SendProgress.WHOLE
-        whole = self.doubt is not None or (in_order and self.attempt is not None and self.reader.ends_with_close())
+        # Only a clean close, after the whole request was written, can complete a response without a length.
+        closed_cleanly = exc is None and not self.closed and self.send_progress() is SendProgress.WHOLE
+        is_whole = self.trailing_timer is not None or (
+            closed_cleanly and self.attempt is not None and self.reader.complete_on_close()
+        )
         self.closed = True
         self.reader.close()
         self.upstream.drop(self)
         if self.attempt is None:
             return
-        if whole:
-            self.answered()
+        if is_whole:
+            self.complete_response()
         else:
             self.end(EndCause.CLOSED)
 
 
 class Upstream:
-    """All connections to servers. `on_end` gets each attempt once, with its ending."""
+    """All connections to servers. `on_end` is called once for each attempt, with its outcome."""
 
     def __init__(
         self,
         connect_timeout_us: int,
         idle_us: int,
-        most: int,
+        max_connections: int,
         now_us: Callable[[], int],
         on_end: Callable[[Attempt, AttemptOutcome, Answer | None, Report | None], None],
-        dialect: ProtocolProfile = STANDALONE_PROFILE,
-        most_answer: int = MAX_ANSWER_BYTES,
+        profile: ProtocolProfile = STANDALONE_PROFILE,
+        max_response_bytes: int = MAX_RESPONSE_BYTES,
     ) -> None:
-        self.profile = dialect
-        self.most_answer = most_answer
+        self.profile = profile
+        self.max_response_bytes = max_response_bytes
         self.loop = asyncio.get_running_loop()
         self.connect_timeout_s = connect_timeout_us / 1e6
         self.idle_s = idle_us / 1e6 * IDLE_SHARE
-        self.max_connections = most
+        self.max_connections = max_connections
         self.now_us = now_us
         self.on_end = on_end
         self.pools: dict[str, EndpointPool] = {}
@@ -251,79 +270,79 @@
 
     # -- servers -----------------------------------------------------------------------------------------
 
-    def pool(self, server: str, address: Address, started_us: int, open_to_new: bool) -> None:
-        """Take up what the list says of a server. Attempts with a process that is no more are left for
-        `end_stale`, to be ended once the balancer knows of the change."""
-        place = self.pools.get(server)
-        if place is None:
-            self.pools[server] = EndpointPool(address, started_us, open_to_new, deque())
+    def pool(self, server: str, address: Address, started_us: int, accepts_new: bool) -> None:
+        """Add or update a server from the server list. Attempts at a process that no longer exists are ended later by
+        `end_stale`, once the balancer knows of the change."""
+        pool = self.pools.get(server)
+        if pool is None:
+            self.pools[server] = EndpointPool(address, started_us, accepts_new, deque())
             return
-        moved = place.address != address
-        restarted = started_us > place.started_us
-        place.address, place.started_us, place.open_to_new = address, started_us, open_to_new
-        if moved or not open_to_new:
-            self.drop_idle(place)
+        moved = pool.address != address
+        restarted = started_us > pool.started_us
+        pool.address, pool.started_us, pool.accepts_new = address, started_us, accepts_new
+        if moved or not accepts_new:
+            self.drop_idle(pool)
         if restarted:
             self.stale += [c for c in self.connections if c.server == server and c.opened_us < started_us]
 
     def end_stale(self) -> None:
-        """A machine that vanished never resets its connections: what its old process was asked gets no answer
-        any more. Connections opened since it started again belong to the new process."""
+        """End the attempts at processes that have been replaced. A machine that vanished never resets its connections,
+        so these attempts would get no response. Connections opened after the restart belong to the new process."""
         stale, self.stale = self.stale, []
         for connection in stale:
             connection.end(EndCause.SERVER_GONE)
 
     def shut(self, server: str) -> None:
-        """The server has left the list. What is out on its connections goes on; nothing else of it is kept,
-        and one that comes to its address under a new id starts with nothing."""
-        place = self.pools.pop(server, None)
-        if place is not None:
-            self.drop_idle(place)
+        """Remove a server that has left the server list. Its attempts in flight continue; nothing else is kept, so
+        a new server at the same address starts without state."""
+        pool = self.pools.pop(server, None)
+        if pool is not None:
+            self.drop_idle(pool)
 
-    def drop_idle(self, place: EndpointPool) -> None:
-        while place.idle:
-            place.idle.pop().close()
+    def drop_idle(self, pool: EndpointPool) -> None:
+        while pool.idle:
+            pool.idle.pop().close()
 
     # -- attempts ----------------------------------------------------------------------------------------
 
     def start(self, attempt: Attempt) -> None:
-        place = self.pools.get(attempt.server)
-        if place is None or not place.open_to_new:
+        pool = self.pools.get(attempt.server)
+        if pool is None or not pool.accepts_new:
             self.end(attempt, result_of(SendProgress.NOTHING, EndCause.NO_CONNECTION))
             return
-        connection = None if attempt.again else self.idle(place, attempt.request)
+        connection = None if attempt.again else self.take_idle(pool, attempt.request)
         if connection is not None:
             connection.send(attempt)
             return
         if not self.has_capacity():
-            log.warning("server %s: no connection, all %d are in use", attempt.server, self.max_connections)
+            log.warning("server %s: no connection available, all %d are in use", attempt.server, self.max_connections)
             self.end(attempt, result_of(SendProgress.NOTHING, EndCause.NO_CONNECTION))
             return
         self.connecting += 1
-        attempt.connecting = self.loop.create_task(self.connect(attempt, place.address))
-        # Counted here and not in the task, for one that is cancelled early never runs.
-        attempt.connecting.add_done_callback(self.connected)
+        attempt.connecting = self.loop.create_task(self.connect(attempt, pool.address))
+        # Counted here and not in the task, because a task that is cancelled early never runs.
+        attempt.connecting.add_done_callback(self.connect_done)
 
-    def idle(self, place: EndpointPool, request: str) -> ServerConnection | None:
-        """The connection that was idle for the shortest time, of those fit for the request; unfit ones are closed."""
+    def take_idle(self, pool: EndpointPool, request: str) -> ServerConnection | None:
+        """Take the most recently used idle connection that is suitable for the request; close unusable ones."""
         now_s = self.loop.time()
-        found, had_it = None, []
-        while found is None and place.idle:
-            connection = place.idle.pop()
+        found, already_used = None, []
+        while found is None and pool.idle:
+            connection = pool.idle.pop()
             if now_s - connection.idle_since_s > connection.idle_s or not connection.quiet():
                 connection.close()
-            elif self.profile.names_answers and request in connection.carried:
-                had_it.append(connection)
+            elif self.profile.echoes_request_id and request in connection.recent_requests:
+                already_used.append(connection)
             else:
                 found = connection
-        place.idle.extend(reversed(had_it))
+        pool.idle.extend(reversed(already_used))
         return found
 
     def has_capacity(self) -> bool:
-        """Room for one more connection, by closing the one that has been idle longest if need be."""
+        """Whether another connection may be opened; if need be the longest idle one is closed."""
         if len(self.connections) + self.connecting < self.max_connections:
             return True
-        idle = [place.idle[0] for place in self.pools.values() if place.idle]
+        idle = [pool.idle[0] for pool in self.pools.values() if pool.idle]
         if not idle:
             return False
         min(idle, key=lambda connection: connection.idle_since_s).close()
@@ -340,28 +359,22 @@
             self.end(attempt, result_of(SendProgress.NOTHING, EndCause.NO_CONNECTION))
             return
         attempt.connecting = None
-        # While it came up the request may have ended, the list told of a drain or of another address, or the server
-        # have closed it again, as one does that has too many: nothing is written then.
-        place = self.pools.get(attempt.server)
-        if (
-            attempt.ended
-            or place is None
-            or not place.open_to_new
-            or place.address != address
-            or not connection.quiet()
-        ):
+        # Nothing is written if, in the meantime, the request ended, the server started to drain or changed its address,
+        # or the server closed the connection again, for instance because it has too many.
+        pool = self.pools.get(attempt.server)
+        if attempt.ended or pool is None or not pool.accepts_new or pool.address != address or not connection.quiet():
             connection.close()
             self.end(attempt, result_of(SendProgress.NOTHING, EndCause.NO_CONNECTION))
         else:
             connection.send(attempt)
 
-    def connected(self, task: asyncio.Task[None]) -> None:
+    def connect_done(self, task: asyncio.Task[None]) -> None:
         self.connecting -= 1
         if not task.cancelled() and task.exception() is not None:
-            log.error("connecting failed unexpectedly", exc_info=task.exception())
+            log.error("unexpected error while connecting", exc_info=task.exception())
 
     def stop(self, attempt: Attempt, cause: EndCause) -> None:
-        """End an attempt from this side: its connection closes and nothing of it is written any more."""
+        """End an attempt from this side: close its connection and write nothing more."""
         if attempt.ended:
             return
         if attempt.connection is not None:
@@ -371,40 +384,40 @@
             attempt.connecting.cancel()
         self.end(attempt, result_of(SendProgress.NOTHING, cause))
 
-    def end(self, attempt: Attempt, known: AttemptResult, answer: Answer | None = None) -> None:
+    def end(self, attempt: Attempt, result: AttemptResult, response: Answer | None = None) -> None:
         if attempt.ended:
             return
         attempt.ended = True
-        attempt.may_have_run = known.may_have_run
+        attempt.may_have_run = result.may_have_run
         attempt.connection = None
         if attempt.timer is not None:
             attempt.timer.cancel()
-        report = None if answer is None else self.profile.read_load(answer.header(self.profile.load))
-        self.on_end(attempt, known.ending, answer, report)
+        report = None if response is None else self.profile.parse_load(response.header(self.profile.load_header))
+        self.on_end(attempt, result.ending, response, report)
 
     # -- pool --------------------------------------------------------------------------------------------
 
-    def keep(self, connection: ServerConnection) -> None:
-        place = self.pools.get(connection.server)
-        if place is None or not place.open_to_new or connection.address != place.address:
+    def return_to_pool(self, connection: ServerConnection) -> None:
+        pool = self.pools.get(connection.server)
+        if pool is None or not pool.accepts_new or connection.address != pool.address:
             connection.close()
             return
         connection.idle_since_s = self.loop.time()
-        place.idle.append(connection)
+        pool.idle.append(connection)
 
     def drop(self, connection: ServerConnection) -> None:
-        # At once, not when its loss is told: until then it would take the room of another.
+        # Immediately, not when connection_lost is called: until then it would count against the limit.
         self.connections.discard(connection)
-        place = self.pools.get(connection.server)
-        if place is not None and connection in place.idle:
-            place.idle.remove(connection)
+        pool = self.pools.get(connection.server)
+        if pool is not None and connection in pool.idle:
+            pool.idle.remove(connection)
 
     def sweep(self) -> None:
-        """Retire connections that have been idle for long."""
+        """Close connections that have exceeded their idle time."""
         now_s = self.loop.time()
-        for place in self.pools.values():
-            while place.idle and now_s - place.idle[0].idle_since_s > place.idle[0].idle_s:
-                place.idle[0].close()
+        for pool in self.pools.values():
+            while pool.idle and now_s - pool.idle[0].idle_since_s > pool.idle[0].idle_s:
+                pool.idle[0].close()
 
     def close(self) -> None:
         for connection in list(self.connections):
